--- a/crates/limits/src/budget.rs
+++ b/crates/limits/src/budget.rs
@@ -1,57 +1,59 @@
-//! Room that is set aside before something large is read: who finds none waits in a row.
+//! A byte budget for large uploads: memory is reserved before a large command is read, first come, first
+//! served.
 
 use std::collections::VecDeque;
 
-/// So many bytes, shared out.
+/// A number of bytes to reserve from.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    most: usize,
+    capacity: usize,
     held: usize,
-    /// Who waits for how many, the one that came first in front.
+    /// Waiters and the bytes that each needs, in order of arrival.
     waiting: VecDeque<(u64, usize)>,
 }
 
 impl Budget {
-    /// Of so many bytes.
-    pub fn new(most: usize) -> Budget {
-        Budget { most, held: 0, waiting: VecDeque::new() }
+    /// A budget of `capacity` bytes.
+    pub fn new(capacity: usize) -> Budget {
+        Budget { capacity, held: 0, waiting: VecDeque::new() }
     }
 
-    /// Sets bytes aside, if there is room; else `who` waits. More than there is finds room while nobody else holds any.
-    pub fn ask(&mut self, who: u64, bytes: usize) -> bool {
+    /// Reserves bytes if they are free; otherwise `waiter` is queued. A request above the capacity is granted
+    /// while nothing else is reserved.
+    pub fn acquire(&mut self, waiter: u64, bytes: usize) -> bool {
         let fits = self.take(bytes);
         if !fits {
-            self.waiting.push_back((who, bytes));
+            self.waiting.push_back((waiter, bytes));
         }
         fits
     }
 
-    /// Bytes are free again. Gives those that waited and have their room now.
-    pub fn free(&mut self, bytes: usize) -> Vec<u64> {
+    /// Releases bytes. Returns the waiters that have their bytes now.
+    pub fn release(&mut self, bytes: usize) -> Vec<u64> {
         self.held -= bytes.min(self.held);
-        self.next()
+        self.grant_waiting()
     }
 
-    /// `who` waits no longer. Gives those that waited behind it and have their room now.
-    pub fn leave(&mut self, who: u64) -> Vec<u64> {
-        self.waiting.retain(|(other, _)| *other != who);
-        self.next()
+    /// Removes `waiter` from the queue. Returns the waiters behind it that have their bytes now.
+    pub fn cancel(&mut self, waiter: u64) -> Vec<u64> {
+        self.waiting.retain(|(other, _)| *other != waiter);
+        self.grant_waiting()
     }
 
-    /// Whoever waits longest goes first. Guards the largest: smaller ones behind it would pass it for good.
-    fn next(&mut self) -> Vec<u64> {
-        let mut found = Vec::new();
-        while let Some((who, bytes)) = self.waiting.front().copied()
+    /// Grants waiters in order of arrival. Otherwise smaller requests could overtake a large one for ever.
+    fn grant_waiting(&mut self) -> Vec<u64> {
+        let mut granted = Vec::new();
+        while let Some((waiter, bytes)) = self.waiting.front().copied()
             && self.take(bytes)
         {
             self.waiting.pop_front();
-            found.push(who);
+            granted.push(waiter);
         }
-        found
+        granted
     }
 
     fn take(&mut self, bytes: usize) -> bool {
-        let fits = self.held == 0 || self.held + bytes <= self.most;
+        let fits = self.held == 0 || self.held + bytes <= self.capacity;
         self.held += if fits { bytes } else { 0 };
         fits
     }
@@ -62,31 +64,31 @@
     use super::*;
 
     #[test]
-    fn who_waits_longest_is_next_however_large() {
+    fn the_longest_waiting_is_granted_first_whatever_its_size() {
         let mut budget = Budget::new(10);
-        assert!(budget.ask(1, 6));
-        assert!(!budget.ask(2, 9) && !budget.ask(3, 5));
-        assert!(budget.ask(4, 2), "what fits does not wait");
-        assert_eq!(budget.free(2), Vec::<u64>::new(), "5 would not fit either, and 9 is first");
-        assert_eq!(budget.free(6), [2]);
-        assert_eq!(budget.free(9), [3]);
+        assert!(budget.acquire(1, 6));
+        assert!(!budget.acquire(2, 9) && !budget.acquire(3, 5));
+        assert!(budget.acquire(4, 2), "a request that fits does not wait");
+        assert_eq!(budget.release(2), Vec::<u64>::new(), "9 is first and does not fit, nor would 5");
+        assert_eq!(budget.release(6), [2]);
+        assert_eq!(budget.release(9), [3]);
     }
 
     #[test]
-    fn one_that_leaves_lets_those_behind_it_go_on() {
+    fn a_cancelled_waiter_no_longer_blocks_those_behind_it() {
         let mut budget = Budget::new(10);
-        assert!(budget.ask(1, 6) && budget.ask(2, 3));
-        assert!(!budget.ask(3, 9) && !budget.ask(4, 4));
-        assert_eq!(budget.free(3), Vec::<u64>::new());
-        assert_eq!(budget.leave(9), Vec::<u64>::new(), "it never waited");
-        assert_eq!(budget.leave(3), [4]);
+        assert!(budget.acquire(1, 6) && budget.acquire(2, 3));
+        assert!(!budget.acquire(3, 9) && !budget.acquire(4, 4));
+        assert_eq!(budget.release(3), Vec::<u64>::new());
+        assert_eq!(budget.cancel(9), Vec::<u64>::new(), "it never waited");
+        assert_eq!(budget.cancel(3), [4]);
     }
 
     #[test]
-    fn more_than_there_is_finds_room_alone() {
+    fn a_request_above_the_capacity_is_granted_alone() {
         let mut budget = Budget::new(10);
-        assert!(budget.ask(1, 25));
-        assert!(!budget.ask(2, 1));
-        assert_eq!(budget.free(25), [2]);
+        assert!(budget.acquire(1, 25));
+        assert!(!budget.acquire(2, 1));
+        assert_eq!(budget.release(25), [2]);
     }
 }
--- a/crates/limits/src/resources.rs
+++ b/crates/limits/src/resources.rs
@@ -1,63 +1,67 @@
-//! What a host can bear, and how it takes connections from the kernel's queue.
+//! The host's capacities, and how it takes connections from the kernel's accept queue.
 
 use crate::Micros;
 
-/// How much of something is used. A `limit` of 0 means that it is not known.
+/// Usage of a resource. A `limit` of 0 means that the limit is not known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Used {
-    /// In use.
+pub struct Usage {
+    /// Amount in use.
     pub used: u64,
-    /// As much as there is.
+    /// Maximum.
     pub limit: u64,
 }
 
-/// What the host can bear, as of now.
+/// The host's present capacities.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
-    /// Connections that clients may hold at this node, in all: its descriptors without those that members,
+    /// Maximum number of client connections at this node: its descriptors without those that servers,
     /// discovery, the origin and the node itself need.
     pub connections: usize,
-    /// Connections that usual clients open at most, all together, where the deployment bounds that (a third of the
-    /// node's descriptors). 0: not bound, and idle ones are closed early only where a newcomer asks for room.
+    /// Maximum number of connections that ordinary clients open together, where the deployment limits that
+    /// (to a third of the node's descriptors). 0: no limit; idle connections are closed early only when a new
+    /// one needs their slot.
     pub clients_room: usize,
-    /// Requests that may be in flight: the intake's limit. May be a limit that follows.
+    /// Maximum number of requests in flight. It may be an adaptive limit.
     pub in_flight: usize,
-    /// The shortest time within which answers are wanted, of all classes; 0: not known.
-    pub aim: crate::Micros,
-    /// Bytes that may be held for commands. 0: not bound.
+    /// The shortest latency target of all classes; 0: not known.
+    pub latency_target: crate::Micros,
+    /// Maximum number of bytes buffered for commands. 0: no limit.
     pub buffer_bytes: usize,
-    /// Descriptors of the process.
-    pub descriptors: Used,
+    /// File descriptors of the process.
+    pub descriptors: Usage,
     /// Memory, in bytes.
-    pub memory: Used,
-    /// Ephemeral ports towards the busiest member.
-    pub ports: Used,
+    pub memory: Usage,
+    /// Ephemeral ports towards the server with the most connections.
+    pub ports: Usage,
 }
 
-/// How many connections to take from the kernel's queue.
+/// How many connections to accept from the kernel's queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Accepting {
-    /// Up to so many in this turn. Ask again after them.
+    /// Up to this many in the present event-loop iteration; then call
+    /// [`Admission::accepting`](crate::Admission::accepting) again.
     Take(usize),
-    /// None until then, or until [`Admission::accepting`](crate::Admission::accepting) says otherwise.
+    /// None until `until`, or until [`Admission::accepting`](crate::Admission::accepting) says otherwise.
     Pause {
-        /// When to ask again at the latest.
+        /// The latest time for the next call.
         until: Micros,
     },
 }
 
-/// What to do where `accept` found no descriptor.
+/// What to do after `accept` failed because there is no descriptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortage {
-    /// Close the spare descriptor, accept, tell the connection `busy` with so many milliseconds, close it, open the
-    /// spare again and report [`Admission::spare`](crate::Admission::spare). Ask [`Admission::accepting`](crate::Admission::accepting) before the next.
+    /// Close the spare descriptor, accept the connection, answer it `busy` with a time to retry, and close
+    /// it. Then open the spare descriptor again, report it by
+    /// [`Admission::set_spare_descriptor`](crate::Admission::set_spare_descriptor), and call
+    /// [`Admission::accepting`](crate::Admission::accepting) before the next `accept`.
     UseSpare {
-        /// Come again after so many milliseconds.
+        /// Time to retry, in milliseconds, for the `busy` answer.
         retry_ms: u32,
     },
-    /// Leave the queue alone until then.
+    /// Do not accept until `until`.
     Pause {
-        /// When to ask [`Admission::accepting`](crate::Admission::accepting) again.
+        /// When to call [`Admission::accepting`](crate::Admission::accepting) again.
         until: Micros,
     },
 }
--- a/crates/limits/src/share.rs
+++ b/crates/limits/src/share.rs
@@ -1,23 +1,24 @@
-//! Weighted max-min fair shares: who holds more than his share, and by how much.
+//! Weighted max-min fair shares: which sources hold more than their share, and by how much.
 //!
-//! Max-min fairness by progressive filling (Bertsekas and Gallager, *Data Networks*, 1992, section 6.5.2): all are
-//! raised together, each in proportion to its weight, until what it holds is met or the capacity is spent. The
-//! *level* at which that stops parts those that are within their share (holding at most weight times level) from
-//! those that are over it.
+//! Max-min fairness by progressive filling (Bertsekas and Gallager, *Data Networks*, 1992, section 6.5.2):
+//! the allocations of all sources rise together, each in proportion to its weight, until a source has what it
+//! holds or the capacity is used up. The *level* at which that stops separates the sources within their share
+//! (holding at most weight times level) from those over it.
 //!
-//! Sources that hold equally much for their weight stand in one group, and the groups in a treap (Seidel and Aragon
-//! 1996) that sums what its subtrees hold and weigh. Since what all hold sums up to at most the capacity, there are
-//! at most about sqrt(2 capacity) groups for each weight in use, however many sources: the cost of a change grows
-//! with the logarithm of that.
+//! Sources with the same ratio of held units to weight form one group. The groups are nodes of a treap
+//! (Seidel and Aragon 1996) in which each node has the sums of units and weights of its subtree. Since the
+//! held units sum up to at most the capacity, there are at most about sqrt(2 capacity) groups for each weight
+//! in use, however many sources: the cost of an update grows with the logarithm of that.
 
-use crate::source::Keyed;
+use crate::source::KeyedHash;
 use std::cmp::Ordering;
 use std::hash::{BuildHasher, Hasher};
 use std::ops::ControlFlow;
 
 const NIL: u32 = u32::MAX;
 
-/// The water level: a source is within its share while it holds at most `weight * num / den`.
+/// The water level of progressive filling: a source is within its share while it holds at most `weight * num
+/// / den`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Level {
     /// Numerator.
@@ -27,19 +28,19 @@
 }
 
 impl Level {
-    /// It holds one or more above its share.
+    /// Whether a source of this weight holds at least one unit more than its share.
     pub fn is_over(self, held: u32, weight: u32) -> bool {
         let (held, weight) = (u128::from(held), u128::from(weight));
         held * u128::from(self.den) >= weight * u128::from(self.num) + u128::from(self.den)
     }
 
-    /// The share of one that weighs so much, in whole units.
+    /// The share of a source of this weight, in whole units.
     pub fn share(self, weight: u32) -> u64 {
         u64::try_from(u128::from(weight) * u128::from(self.num) / u128::from(self.den)).unwrap_or(u64::MAX)
     }
 }
 
-/// How much a source holds for its weight, as a reduced fraction.
+/// Ratio of held units to weight, as a reduced fraction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Ratio {
     held: u32,
@@ -69,22 +70,24 @@
     }
 }
 
-/// Sources that hold equally much for their weight.
+/// Sources with the same ratio: a node of the treap.
 #[derive(Clone, Debug)]
 struct Group {
     ratio: Ratio,
-    /// Of its own members.
+    /// Sums over the members of this group.
     held: u64,
     weight: u64,
-    /// Of its subtree.
+    /// Sums over the groups of its subtree.
     all_held: u64,
     all_weight: u64,
     left: u32,
     right: u32,
     priority: u64,
+    /// Head of the list of members.
     first: u32,
 }
 
+/// A source, as an element of its group's doubly linked list.
 #[derive(Clone, Copy, Debug)]
 struct Member {
     held: u32,
@@ -94,78 +97,80 @@
     next: u32,
 }
 
-const NOBODY: Member = Member { held: 0, weight: 1, group: NIL, prev: NIL, next: NIL };
+const NO_MEMBER: Member = Member { held: 0, weight: 1, group: NIL, prev: NIL, next: NIL };
 
-/// What each source holds of one thing. Sources are named by small numbers that may be used again.
+/// How much of one resource each source holds. Sources are identified by small numbers that may be reused.
 #[derive(Clone, Debug)]
 pub struct Shares {
     groups: Vec<Group>,
     free: Vec<u32>,
     root: u32,
     members: Vec<Member>,
-    priorities: Keyed,
+    priorities: KeyedHash,
 }
 
 impl Shares {
-    /// Nobody holds anything. The seed guards against histories that make a crooked tree.
+    /// No source holds anything. The seed makes the priorities of the treap unpredictable, so that no
+    /// sequence of changes can be chosen that unbalances it.
     pub fn new(seed: u64) -> Shares {
         Shares {
             groups: Vec::new(),
             free: Vec::new(),
             root: NIL,
             members: Vec::new(),
-            priorities: Keyed::new(seed, 0x7ea9),
+            priorities: KeyedHash::new(seed, 0x7ea9),
         }
     }
 
-    /// What all hold together.
+    /// Units held by all sources together.
     pub fn total(&self) -> u64 {
         self.group(self.root).map_or(0, |g| g.all_held)
     }
 
-    /// What one holds.
+    /// Units held by one source.
     pub fn held(&self, id: u32) -> u32 {
         self.members.get(id as usize).map_or(0, |m| m.held)
     }
 
-    /// Bytes for so many sources and so much held, at most; see the [module](self) for the number of groups.
-    pub fn most_bytes(sources: usize, held: usize, weights: usize) -> usize {
+    /// Upper bound of the memory for this many sources, held units and distinct weights; see the
+    /// [module](self) for the number of groups.
+    pub fn max_bytes(sources: usize, held: usize, weights: usize) -> usize {
         let groups = sources.min(((2.0 * held as f64).sqrt() as usize + 2) * weights.max(1));
-        // A growing `Vec` has up to twice the room it needs.
+        // The capacity of a growing `Vec` is up to twice its length.
         2 * (sources * size_of::<Member>() + groups * (size_of::<Group>() + size_of::<u32>()))
     }
 
-    /// Bytes taken now.
+    /// Memory in use, in bytes.
     pub fn bytes(&self) -> usize {
         self.members.capacity() * size_of::<Member>()
             + self.groups.capacity() * size_of::<Group>()
             + self.free.capacity() * size_of::<u32>()
     }
 
-    /// A source holds so much from now on; 0 takes it out. Its weight must be above 0.
+    /// Sets what a source holds; 0 removes it. Its weight must be above 0.
     pub fn set(&mut self, id: u32, held: u32, weight: u32) {
-        let old = self.members.get(id as usize).copied().unwrap_or(NOBODY);
+        let old = self.members.get(id as usize).copied().unwrap_or(NO_MEMBER);
         if (old.held, old.weight) == (held, weight) {
             return;
         }
         if old.held > 0 {
             self.unlink(id, old);
             let (sub, weigh) = (u64::from(old.held), u64::from(old.weight));
-            self.root = self.change(self.root, Ratio::new(old.held, old.weight), |g| {
+            self.root = self.update(self.root, Ratio::new(old.held, old.weight), |g| {
                 g.held -= sub;
                 g.weight -= weigh;
             });
         }
         if self.members.len() <= id as usize {
-            self.members.resize(id as usize + 1, NOBODY);
+            self.members.resize(id as usize + 1, NO_MEMBER);
         }
         if let Some(member) = self.members.get_mut(id as usize) {
-            *member = Member { held, weight: weight.max(1), ..NOBODY };
+            *member = Member { held, weight: weight.max(1), ..NO_MEMBER };
         }
         if held > 0 {
             let (add, weigh) = (u64::from(held), u64::from(weight.max(1)));
             let ratio = Ratio::new(held, weight.max(1));
-            self.root = self.change(self.root, ratio, |g| {
+            self.root = self.update(self.root, ratio, |g| {
                 g.held += add;
                 g.weight += weigh;
             });
@@ -173,13 +178,13 @@
         }
     }
 
-    /// The level at which the capacity is spent; `None` while there is room for all.
+    /// The level at which the capacity is used up; `None` while all sources together fit into it.
     pub fn level(&self, capacity: u64) -> Option<Level> {
         if self.total() <= capacity {
             return None;
         }
-        // Those below the level hold what they ask, those above get the level times their weight:
-        // below + level * above = capacity.
+        // Sources below the level have all that they hold, sources above it get the level times their weight:
+        // held below + level * weight above = capacity.
         let (mut at, mut below, mut above) = (self.root, 0u64, 0u64);
         while let Some(group) = self.group(at) {
             let (left, right) = (self.group(group.left), self.group(group.right));
@@ -195,8 +200,8 @@
         Some(Level { num: capacity - below.min(capacity), den: above.max(1) })
     }
 
-    /// Visits sources, those furthest over their share first, until the visitor breaks.
-    pub fn from_top<B>(&self, visit: &mut impl FnMut(u32) -> ControlFlow<B>) -> ControlFlow<B> {
+    /// Visits sources by descending ratio (furthest over their share first) until the visitor breaks.
+    pub fn visit_descending<B>(&self, visit: &mut impl FnMut(u32) -> ControlFlow<B>) -> ControlFlow<B> {
         self.visit(self.root, visit)
     }
 
@@ -254,10 +259,10 @@
         }
     }
 
-    /// Changes the group of a ratio under `at`, which begins with this or ends if nobody is left in it; gives the
-    /// new root of the subtree.
-    fn change(&mut self, at: u32, ratio: Ratio, with: impl FnOnce(&mut Group)) -> u32 {
-        let Some(group) = self.groups.get_mut(at as usize) else { return self.begin(ratio, with) };
+    /// Changes the group of this ratio in the subtree of `at`: creates it if there is none, and removes it
+    /// when it has no members left. Returns the new root of the subtree.
+    fn update(&mut self, at: u32, ratio: Ratio, with: impl FnOnce(&mut Group)) -> u32 {
+        let Some(group) = self.groups.get_mut(at as usize) else { return self.insert_group(ratio, with) };
         match ratio.cmp(&group.ratio) {
             Ordering::Equal => {
                 with(group);
@@ -266,25 +271,25 @@
                     self.free.push(at);
                     return self.merge(left, right);
                 }
-                self.sum(at);
+                self.update_sums(at);
                 at
             }
             Ordering::Less => {
                 let left = group.left;
-                let child = self.change(left, ratio, with);
+                let child = self.update(left, ratio, with);
                 self.groups[at as usize].left = child;
-                self.lift(at, child)
+                self.rotate_if_higher(at, child)
             }
             Ordering::Greater => {
                 let right = group.right;
-                let child = self.change(right, ratio, with);
+                let child = self.update(right, ratio, with);
                 self.groups[at as usize].right = child;
-                self.lift(at, child)
+                self.rotate_if_higher(at, child)
             }
         }
     }
 
-    fn begin(&mut self, ratio: Ratio, with: impl FnOnce(&mut Group)) -> u32 {
+    fn insert_group(&mut self, ratio: Ratio, with: impl FnOnce(&mut Group)) -> u32 {
         let mut hasher = self.priorities.build_hasher();
         hasher.write_u32(ratio.held);
         hasher.write_u32(ratio.weight);
@@ -311,13 +316,13 @@
                 self.groups.len() as u32 - 1
             }
         };
-        self.sum(at);
+        self.update_sums(at);
         at
     }
 
-    /// Turns the child over its parent if its priority is higher.
-    fn lift(&mut self, at: u32, child: u32) -> u32 {
-        self.sum(at);
+    /// Rotates the child above its parent if its priority is higher; returns the root of the subtree.
+    fn rotate_if_higher(&mut self, at: u32, child: u32) -> u32 {
+        self.update_sums(at);
         let above = self.group(at).map_or(0, |g| g.priority);
         let Some(group) = self.groups.get_mut(child as usize).filter(|g| g.priority > above) else {
             return at;
@@ -330,8 +335,8 @@
             self.groups[at as usize].right = left;
             self.groups[child as usize].left = at;
         }
-        self.sum(at);
-        self.sum(child);
+        self.update_sums(at);
+        self.update_sums(child);
         child
     }
 
@@ -343,18 +348,18 @@
             let right = a.right;
             let merged = self.merge(right, high);
             self.groups[low as usize].right = merged;
-            self.sum(low);
+            self.update_sums(low);
             low
         } else {
             let left = b.left;
             let merged = self.merge(low, left);
             self.groups[high as usize].left = merged;
-            self.sum(high);
+            self.update_sums(high);
             high
         }
     }
 
-    fn sum(&mut self, at: u32) {
+    fn update_sums(&mut self, at: u32) {
         let Some(group) = self.group(at) else { return };
         let of = |at: u32| self.group(at).map_or((0, 0), |g| (g.all_held, g.all_weight));
         let ((a, v), (b, w)) = (of(group.left), of(group.right));
@@ -369,8 +374,8 @@
     use super::*;
     use proptest::prelude::*;
 
-    /// Water-filling as it is defined: one at a time, the least served for its weight gets the next small amount.
-    /// Exact: units of 1/den with den a common multiple of all sums of weights.
+    /// Water-filling by its definition: all sources that are not satisfied rise together, in proportion to
+    /// their weights, by steps that each satisfy a source or use up the capacity.
     fn brute(held: &[(u32, u32)], capacity: u64) -> Vec<f64> {
         let mut given = vec![0.0; held.len()];
         let mut open: Vec<usize> = (0..held.len()).collect();
@@ -398,7 +403,7 @@
 
     proptest! {
         #[test]
-        fn the_level_is_that_of_water_filling(
+        fn the_level_equals_that_of_water_filling(
             held in proptest::collection::vec((0u32..20, 1u32..6), 1..12),
             before in proptest::collection::vec((0u32..12, 0u32..20, 1u32..6), 0..30),
             capacity in 0u64..120,
@@ -426,7 +431,7 @@
                 }
             }
             let mut seen = Vec::new();
-            let _ = shares.from_top::<()>(&mut |id| {
+            let _ = shares.visit_descending::<()>(&mut |id| {
                 let (h, w) = held[id as usize];
                 seen.push(f64::from(h) / f64::from(w));
                 ControlFlow::Continue(())
@@ -437,18 +442,19 @@
     }
 
     #[test]
-    fn a_heavy_source_gets_more_than_one_share_yet_never_all() {
+    fn a_heavy_source_gets_many_shares_but_not_the_whole_capacity() {
         let level = shares(&[(2000, 900), (2000, 1), (3, 1)]).level(1000).unwrap();
         assert_eq!((level.share(900), level.share(1)), (997, 1), "{level:?}");
         assert!(
             level.is_over(2000, 1) && !level.is_over(2, 1),
-            "two are within a whole one of it: {level:?}"
+            "2 is less than one whole unit over the share: {level:?}"
         );
     }
 
     #[test]
-    fn many_are_served_evenly() {
-        // Jain's index (1984) of what each gets per weight, where all ask for more than there is.
+    fn many_sources_get_even_shares_per_weight() {
+        // Jain's fairness index (1984) of the allocation per weight, where all sources together exceed the
+        // capacity.
         let held: Vec<(u32, u32)> = (0..50_000).map(|i| (50 + i % 37, 1 + i % 5)).collect();
         let shares = shares(&held);
         let level = shares.level(300_000).unwrap();
--- a/crates/limits/src/source.rs
+++ b/crates/limits/src/source.rs
@@ -1,4 +1,4 @@
-//! Sources: who counts as one, what each weighs, and who is known.
+//! Sources: which client addresses are counted as one source, its weight, and whether it is a known client.
 
 use crate::settings::{Known, Sources};
 use ipnet::IpNet;
@@ -8,19 +8,19 @@
 use std::hash::{BuildHasher, Hasher};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
-/// An address or a prefix of the configured length: all that connect from inside it count as one.
+/// An address, or a prefix of the configured length: all clients inside it count as one source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Source {
     /// The prefix; IPv4 as v4-mapped.
     bits: u128,
-    /// Leading bits that count, of the 128.
+    /// Length of the prefix, of the 128 bits.
     len: u8,
 }
 
-/// Where IPv4 lies in IPv6 (RFC 4291, 2.5.5.2).
+/// Prefix length of the v4-mapped addresses within IPv6 (RFC 4291, 2.5.5.2).
 const MAPPED: u8 = 96;
 
-/// An IPv4 address and its v4-mapped form are the same.
+/// The bits of an address, and whether it is IPv4. An IPv4 address and its v4-mapped form are the same.
 fn bits(address: IpAddr) -> (u128, bool) {
     match address.to_canonical() {
         IpAddr::V4(v4) => (v4.to_ipv6_mapped().to_bits(), true),
@@ -28,7 +28,7 @@
     }
 }
 
-/// Leading bits only.
+/// The bits with all but the first `len` cleared.
 fn masked(bits: u128, len: u8) -> u128 {
     bits & u128::MAX.checked_shl(128 - u32::from(len)).unwrap_or(0)
 }
@@ -54,19 +54,19 @@
     }
 }
 
-/// A keyed hash for what attackers choose. Guards the tables against addresses picked to fall together: SipHash
-/// (Aumasson and Bernstein 2012) gives no way to find those without the key.
+/// A keyed hash for values that attackers choose: without the key nobody can find addresses that collide in a
+/// table (SipHash, Aumasson and Bernstein 2012).
 #[derive(Clone, Copy, Debug)]
-pub struct Keyed(u64, u64);
+pub struct KeyedHash(u64, u64);
 
-impl Keyed {
-    /// A hash of its own for each pair of numbers.
-    pub fn new(seed: u64, stream: u64) -> Keyed {
-        Keyed(seed, stream)
+impl KeyedHash {
+    /// An independent hash function for each pair of numbers.
+    pub fn new(seed: u64, stream: u64) -> KeyedHash {
+        KeyedHash(seed, stream)
     }
 }
 
-impl BuildHasher for Keyed {
+impl BuildHasher for KeyedHash {
     type Hasher = SipHasher13;
 
     fn build_hasher(&self) -> SipHasher13 {
@@ -74,7 +74,7 @@
     }
 }
 
-impl Keyed {
+impl KeyedHash {
     /// The hash of a source.
     pub fn hash(&self, source: &Source) -> u64 {
         let mut hasher = self.build_hasher();
@@ -84,10 +84,11 @@
     }
 }
 
-/// A value by prefix; the longest prefix that holds an address decides. One look-up for each length in use.
+/// A map from prefixes to values by longest-prefix match; a lookup costs one hash lookup for each length in
+/// use.
 #[derive(Clone, Debug)]
 pub struct Prefixes<T> {
-    /// Lengths in use, longest first.
+    /// Prefix lengths in use, longest first.
     lengths: Vec<u8>,
     by_prefix: HashMap<(u8, u128), T>,
 }
@@ -103,7 +104,8 @@
         let mut prefixes = Prefixes::default();
         for (net, value) in list {
             let (bits, v4) = bits(net.addr());
-            // A prefix of mapped addresses (::ffff:10.0.0.0/104) is written in IPv6's lengths already.
+            // A prefix that is written in its mapped form (::ffff:10.0.0.0/104) has an IPv6 prefix length
+            // already.
             let len =
                 if v4 && net.max_prefix_len() == 32 { MAPPED + net.prefix_len() } else { net.prefix_len() };
             prefixes.by_prefix.insert((len, masked(bits, len)), value);
@@ -116,14 +118,14 @@
 }
 
 impl<T> Prefixes<T> {
-    /// What the longest prefix that holds the address says.
+    /// The value of the longest prefix that contains the address.
     pub fn get(&self, address: IpAddr) -> Option<&T> {
         let (bits, _) = bits(address);
         self.lengths.iter().find_map(|&len| self.by_prefix.get(&(len, masked(bits, len))))
     }
 }
 
-/// What the settings say of an address.
+/// What the settings say about client addresses.
 #[derive(Clone, Debug)]
 pub struct Directory {
     sources: Sources,
@@ -131,19 +133,19 @@
     known: Prefixes<()>,
 }
 
-/// What is known of an address before it has done anything.
+/// What the settings say about one address.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Listed {
-    /// What it counts as.
+pub struct SourceInfo {
+    /// The source that the address belongs to.
     pub source: Source,
-    /// For how many usual clients the source stands.
+    /// How many ordinary clients the source stands for.
     pub weight: u32,
-    /// It is in the list of known clients.
+    /// The address is in the list of known clients.
     pub known: bool,
 }
 
 impl Directory {
-    /// Sorts the lists for look-ups.
+    /// Prepares the lists of the settings for lookups.
     pub fn new(sources: &Sources, known: &Known) -> Directory {
         Directory {
             sources: sources.clone(),
@@ -152,9 +154,9 @@
         }
     }
 
-    /// Looks an address up.
-    pub fn look_up(&self, address: IpAddr) -> Listed {
-        Listed {
+    /// The source, weight and list entry of an address.
+    pub fn look_up(&self, address: IpAddr) -> SourceInfo {
+        SourceInfo {
             source: Source::of(address, &self.sources),
             weight: self.weights.get(address).copied().unwrap_or(1),
             known: self.known.get(address).is_some(),
@@ -162,8 +164,8 @@
     }
 }
 
-/// An address that stands for nobody, where a peer's address cannot be had.
-pub const NOBODY: IpAddr = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
+/// Stands for a peer address that could not be determined.
+pub const UNKNOWN_ADDRESS: IpAddr = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
 
 #[cfg(test)]
 mod tests {
@@ -175,7 +177,7 @@
     }
 
     #[test]
-    fn an_address_counts_by_its_prefix_and_mapped_ones_as_ipv4() {
+    fn addresses_count_by_prefix_and_mapped_ones_as_ipv4() {
         for (address, v4, v6, shown) in [
             ("10.1.2.3", 32, 64, "10.1.2.3"),
             ("10.1.2.3", 24, 64, "10.1.2.0/24"),
@@ -189,7 +191,7 @@
     }
 
     #[test]
-    fn the_longest_prefix_decides() {
+    fn the_longest_matching_prefix_decides() {
         let nets =
             [("10.0.0.0/8", 1), ("10.1.0.0/16", 2), ("2001:db8::/32", 3), ("::ffff:172.16.0.0/108", 4)];
         let prefixes: Prefixes<i32> = nets.iter().map(|(net, v)| (net.parse().unwrap(), *v)).collect();
@@ -207,7 +209,7 @@
     }
 
     #[test]
-    fn a_zero_length_prefix_holds_all_of_its_family() {
+    fn a_zero_length_prefix_matches_its_whole_address_family() {
         let all: Prefixes<()> = [("0.0.0.0/0".parse().unwrap(), ())].into_iter().collect();
         assert!(all.get("203.0.113.9".parse().unwrap()).is_some());
         assert!(all.get("2001:db8::1".parse().unwrap()).is_none());
