--- a/crates/limits/src/adaptive_limit/decide.rs
+++ b/crates/limits/src/adaptive_limit/decide.rs
@@ -1,169 +1,184 @@
-//! When a limit grows, is cut, or is tried lower.
+//! When the limit grows, is cut, or is lowered as a test.
 
-use super::Follow;
+use super::AdaptiveLimit;
 use crate::Micros;
 
-/// What is left of the limit after a cut, and after one at far more than a queue.
+/// Factor on the limit at a cut, and at one where latency is far above the queueing threshold.
 pub(super) const CUT: f64 = 0.7;
-const CUT_DEEP: f64 = 0.5;
-/// What cuts in a row leave of the limit when they must have helped, in general and where answers are beyond the
-/// patience; the part of the time before them that is help, and the answers needed to tell. Danger: nodes that
-/// give up soon take the queue of the others for the place, one after the other.
-const CUT_TO: f64 = 0.12;
-const CUT_TO_LATE: f64 = 0.02;
+const DEEP_CUT: f64 = 0.5;
+/// Successive cuts are judged when the limit has fallen to `JUDGE_AT` of its value before them
+/// (`JUDGE_AT_LATE` where the mean latency is beyond `max_latency`) and at least `JUDGE_ANSWERS` answers have
+/// come. They have helped if the mean latency is at most `HELPED` of the value before them. A node that
+/// judges too early takes the queue that the other nodes cause for the backend's own latency, and the other
+/// nodes follow one after the other.
+const JUDGE_AT: f64 = 0.12;
+const JUDGE_AT_LATE: f64 = 0.02;
 const HELPED: f64 = 0.6;
-const TRIAL_ANSWERS: f64 = 24.0;
-/// In a search for the least time: the part of the time before a step that is help, the answers needed to tell,
-/// and the time between two searches.
+const JUDGE_ANSWERS: f64 = 24.0;
+/// In a search for the minimum latency: a step has helped if the mean latency is below this part of the value
+/// before it; the answers needed for that decision; and the time between two searches.
 const STEP_HELPED: f64 = 0.85;
 const STEP_ANSWERS: f64 = 16.0;
-const SEARCH_EVERY: Micros = 30_000_000;
-/// Growth by an answer: this over the root of the limit. Over time it is sublinear in the limit, so that nodes
-/// draw level (binomial congestion control, Bansal and Balakrishnan, INFOCOM 2001).
+const SEARCH_INTERVAL: Micros = 30_000_000;
+/// An answer raises the limit by this over the square root of the limit. Over time that is sublinear in the
+/// limit, so that nodes converge to equal limits (binomial congestion control, Bansal and Balakrishnan,
+/// INFOCOM 2001).
 const GROWTH: f64 = 0.25;
-/// The same scales with the start where that is under four, so that hundreds of nodes together grow as few do.
+/// Where the initial limit is under four, growth scales with it, so that hundreds of nodes together grow as
+/// fast as a few do.
 const GROWTH_START: f64 = 0.03;
-/// Growth by an answer as a part of the limit, and as a part of a round's, at most. Guards against growing far
-/// between two signs of a queue where answers are few.
-const GROWTH_PART: f64 = 0.12;
-const GROWTH_ROUND: f64 = 0.25;
-/// Growth is so many times faster below a limit that was good; it is twice as fast after so many rounds with
-/// nothing against it, and so on up to a bound (as the convex part of CUBIC, RFC 9438); and it is slower while
-/// answers are slower, though not by enough for a cut.
+/// Maximum growth by one answer: as a part of the limit, and absolute. Where answers are few, the limit would
+/// otherwise grow far between two signs of a queue.
+const MAX_GROWTH_SHARE: f64 = 0.12;
+const MAX_GROWTH: f64 = 0.25;
+/// Growth is `FASTER` times as fast below a limit that is known to be good. It is twice as fast after
+/// `FASTER_ROUNDS` uncongested rounds, three times after twice as many, and so on up to `FASTEST` (as the
+/// convex part of CUBIC, RFC 9438). It is slowed down by `SLOWER` while latency is raised, but not enough for
+/// a cut.
 const FASTER: f64 = 4.0;
 const FASTER_ROUNDS: f64 = 8.0;
 const FASTEST: f64 = 64.0;
 const SLOWER: f64 = 0.125;
-/// An attempt in flight is presumed lost after this many times the usual time, if one sent a whole round later was
-/// answered.
-const LONG_AGO: f64 = 8.0;
-/// A limit under which a place stopped rises by its own size in this time; growth is slow from this part of it on.
-const PUSHED: f64 = 60e6;
-const PUSHED_PART: f64 = 0.6;
-/// A stop counts as such, and not as a burst of losses, after this many times the usual time.
+/// An attempt in flight is presumed lost after this many times the typical latency, if one sent a whole round
+/// later was answered.
+const LOST_AFTER: f64 = 8.0;
+/// The remembered limit at which the backend stopped grows by its own size in this time (us); from this part
+/// of it on growth is slow.
+const STOP_LIMIT_GROWTH: f64 = 60e6;
+const STOP_LIMIT_PART: f64 = 0.6;
+/// The backend has stopped, rather than lost a burst of attempts, if it did not answer for this many times
+/// the typical latency.
 const STOPPED: f64 = 4.0;
-/// An answer that turns away takes back the growth of so many answers.
-const TURNED_AWAY: f64 = 4.0;
+/// A rejection undoes the growth of this many answers.
+const REJECTION: f64 = 4.0;
 
-/// What cuts in a row are held against: the limit and the mean time before them.
+/// The limit and the mean latency before a series of cuts, with which the cuts are judged.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Trial {
     limit: f64,
     mean: f64,
 }
 
-impl Follow {
-    /// In flight and not presumed lost, when the limit is used.
+impl AdaptiveLimit {
+    /// Attempts in flight and not presumed lost, when the limit is fully used.
     pub(super) fn live(&self) -> f64 {
-        self.limit - self.dead
+        self.limit - self.presumed_lost
     }
 
-    /// Grows or cuts, by the answers since the last cut; `used` says that the limit held the attempt back.
-    pub(super) fn decide(&mut self, now: Micros, used: bool) {
-        self.pushed *= 1.0 + (now - self.looked).max(0) as f64 / PUSHED;
-        self.looked = now;
-        if self.search.is_none() && self.times.queued(self.live()) {
-            return self.queued(now);
+    /// Grows or cuts the limit by the answers since the last cut; `limited` says that the attempt just
+    /// answered was sent while the limit was about used up.
+    pub(super) fn decide(&mut self, now: Micros, limited: bool) {
+        self.stop_limit *= 1.0 + (now - self.decided).max(0) as f64 / STOP_LIMIT_GROWTH;
+        self.decided = now;
+        if self.search.is_none() && self.latency.is_queueing(self.live()) {
+            return self.on_queueing(now);
         }
-        let free = self.times.free();
-        self.free = if free { self.free + 1.0 } else { 0.0 };
+        let uncongested = self.latency.is_uncongested();
+        self.uncongested = if uncongested { self.uncongested + 1.0 } else { 0.0 };
         if self.searches(now) {
             return;
         }
-        // Danger: answers right after a cut are the quickest. A trial that they ended would begin again lower.
-        let enough = 2.0 * self.times.enough(self.live());
-        if free && self.times.answers >= enough.max(TRIAL_ANSWERS) {
+        // The answers right after a cut are the quickest. If they ended a trial, the next one would begin at
+        // a lower limit.
+        let enough = 2.0 * self.latency.answers_needed(self.live());
+        if uncongested && self.latency.answers >= enough.max(JUDGE_ANSWERS) {
             self.trial = None;
         }
-        if used && (self.trial.is_none() || self.times.answers >= enough) {
-            let part = if free && self.limit < PUSHED_PART * self.pushed { 1.0 } else { SLOWER };
-            self.limit = (self.limit + part * self.growth()).min(self.settings.most);
+        if limited && (self.trial.is_none() || self.latency.answers >= enough) {
+            let part =
+                if uncongested && self.limit < STOP_LIMIT_PART * self.stop_limit { 1.0 } else { SLOWER };
+            self.limit = (self.limit + part * self.growth()).min(self.settings.max);
         }
     }
 
-    /// A least time near the patience may be of a queue that was there from the start. Then less is sent, for as
-    /// long as less is faster: nodes that have begun together find the least time together. True while it goes on.
+    /// Searches for the minimum latency by cuts, for as long as each makes answers faster: a minimum near
+    /// `max_latency` may be that of a queue that was there from the start. Nodes that started together find
+    /// the minimum together. Returns whether a search is going on.
     fn searches(&mut self, now: Micros) -> bool {
-        let mean = self.times.mean();
+        let mean = self.latency.mean();
         let Some(last) = self.search else {
-            if self.times.suspect() && now >= self.search_at && self.trial.is_none() {
-                (self.search, self.good) = (Some(mean), self.limit);
+            if self.latency.baseline_is_suspect() && now >= self.next_search && self.trial.is_none() {
+                (self.search, self.good_limit) = (Some(mean), self.limit);
                 self.cut(now, CUT);
             }
             return self.search.is_some();
         };
-        if self.times.answers < self.times.enough(self.live()).max(STEP_ANSWERS) {
+        if self.latency.answers < self.latency.answers_needed(self.live()).max(STEP_ANSWERS) {
             return true;
         }
         if mean < STEP_HELPED * last {
             self.search = Some(mean);
-            self.times.forget_rounds();
+            self.latency.forget_older_rounds();
             self.cut(now, CUT);
             return true;
         }
-        (self.search, self.search_at) = (None, now + SEARCH_EVERY);
+        (self.search, self.next_search) = (None, now + SEARCH_INTERVAL);
         false
     }
 
     /// By how much an answer raises the limit.
     fn growth(&self) -> f64 {
-        let rounds = self.free / self.limit.max(1.0);
+        let rounds = self.uncongested / self.limit.max(1.0);
         let faster = (1.0 + rounds / FASTER_ROUNDS).min(FASTEST);
-        let faster = if self.limit < self.good { faster.max(FASTER) } else { faster };
+        let faster = if self.limit < self.good_limit { faster.max(FASTER) } else { faster };
         let step = faster * GROWTH.min(GROWTH_START * self.settings.start.powf(1.5)) / self.limit.sqrt();
-        step.min(GROWTH_PART * self.limit).min(GROWTH_ROUND)
+        step.min(MAX_GROWTH_SHARE * self.limit).min(MAX_GROWTH)
     }
 
-    /// Leaves that part of what may be in flight beside what is presumed lost, and begins a round. Danger: what was
-    /// lost holds its place until it times out; a cut that counted it left nothing for the rest.
-    pub(super) fn cut(&mut self, now: Micros, left: f64) {
-        let long_ago = now.saturating_sub((LONG_AGO * self.times.usual()) as Micros);
-        let overtaken = self.newest.unwrap_or(0).saturating_sub(self.out.len() as u64);
+    /// Multiplies what may be in flight, beside what is presumed lost, by `factor`, and begins a round. A
+    /// lost attempt holds its slot until it times out; a cut that counted lost attempts would leave nothing
+    /// for the others.
+    pub(super) fn cut(&mut self, now: Micros, factor: f64) {
+        let long_ago = now.saturating_sub((LOST_AFTER * self.latency.typical()) as Micros);
+        let overtaken = self.newest_answered.unwrap_or(0).saturating_sub(self.in_flight.len() as u64);
         let lost = |(number, at): &(&u64, &Micros)| **number < overtaken && **at < long_ago;
-        self.dead = (self.out.iter().take_while(lost).count() as f64).min(self.limit);
-        self.limit = (self.dead + self.live() * left).max(self.settings.least);
-        (self.round, self.free) = (self.next, 0.0);
-        self.times.new_round();
+        self.presumed_lost = (self.in_flight.iter().take_while(lost).count() as f64).min(self.limit);
+        self.limit = (self.presumed_lost + self.live() * factor).max(self.settings.min);
+        (self.round, self.uncongested) = (self.next, 0.0);
+        self.latency.new_round();
     }
 
-    /// Answers show a queue: cuts, unless cuts were no help.
-    pub(super) fn queued(&mut self, now: Micros) {
-        let mean = self.times.mean();
+    /// Answers show a queue: cuts the limit, unless the cuts before did not help.
+    pub(super) fn on_queueing(&mut self, now: Micros) {
+        let mean = self.latency.mean();
         let first = Trial { limit: self.limit, mean };
         if self.trial.is_none() {
-            self.good = CUT * self.limit;
+            self.good_limit = CUT * self.limit;
         }
         let mut trial = self.trial.unwrap_or(first);
-        let to = if self.times.late() { CUT_TO_LATE } else { CUT_TO };
+        let to = if self.latency.exceeds_max_latency() { JUDGE_AT_LATE } else { JUDGE_AT };
         if self.limit <= to * trial.limit {
-            if self.times.answers < TRIAL_ANSWERS {
+            if self.latency.answers < JUDGE_ANSWERS {
                 return;
             }
             if mean > HELPED * trial.mean {
-                // Less in flight was no faster: the place is slower, and the limit was none too high.
-                self.times.accept();
-                (self.trial, self.limit) = (None, self.limit.max(self.good));
+                // Fewer attempts in flight were not answered faster: the backend itself is slower, and the
+                // limit was not too high.
+                self.latency.accept_as_baseline();
+                (self.trial, self.limit) = (None, self.limit.max(self.good_limit));
                 return;
             }
             trial = first;
         }
         self.trial = Some(trial);
-        self.cut(now, if mean > 2.0 * self.times.queue_from() { CUT_DEEP } else { CUT });
+        self.cut(now, if mean > 2.0 * self.latency.queue_threshold() { DEEP_CUT } else { CUT });
     }
 
-    /// The place answers again. If it had stopped for long it may have been pushed.
-    pub(super) fn started_again(&mut self, now: Micros, since: Micros) {
-        if (now - since) as f64 > STOPPED * self.times.usual() {
-            (self.pushed, self.trial, self.search) = (self.limit, None, None);
-            self.cut(now, CUT_DEEP);
-            self.good = self.limit;
+    /// The backend answers again after no answer since `since`. If that was long, it may have been
+    /// overloaded.
+    pub(super) fn on_restart(&mut self, now: Micros, since: Micros) {
+        if (now - since) as f64 > STOPPED * self.latency.typical() {
+            (self.stop_limit, self.trial, self.search) = (self.limit, None, None);
+            self.cut(now, DEEP_CUT);
+            self.good_limit = self.limit;
         }
     }
 
-    /// Guards against a place that has no queue, and says so. No less than is in flight otherwise stays.
-    pub(super) fn turned_away(&mut self) {
-        let less = (self.limit - TURNED_AWAY * self.growth()).max(self.limit.min(self.out.len() as f64));
-        self.limit = less.max(self.settings.least);
-        self.good = self.good.min(self.limit);
+    /// Lowers the limit after a rejection, for a backend that does not queue but rejects what it cannot take.
+    /// The limit does not fall below the number of attempts still in flight.
+    pub(super) fn on_rejected(&mut self) {
+        let less = (self.limit - REJECTION * self.growth()).max(self.limit.min(self.in_flight.len() as f64));
+        self.limit = less.max(self.settings.min);
+        self.good_limit = self.good_limit.min(self.limit);
     }
 }
--- a/crates/limits/src/adaptive_limit/latency.rs
+++ b/crates/limits/src/adaptive_limit/latency.rs
@@ -1,191 +1,194 @@
-//! What the times of answers tell: how long they take now, how long where nothing queues, and how sure that is.
+//! Latency statistics: the present mean, the latency without a queue, and how certain both are.
 
 use super::sample::Sample;
 use crate::Micros;
 
-/// Mean time over that of a place without a queue from which answers count as queueing, with what chance may add,
-/// and up to which they count as free.
-const CROWDED: f64 = 1.4;
-const FREE: f64 = 1.2;
-/// Answers in the mean of a round at least, and in the mean of which the least is kept; so many times more as the
-/// spread of the times asks for, up to a bound. Answers that tell the spread.
-const SHORT: f64 = 32.0;
-const LONG: f64 = 64.0;
-const SPREAD_MOST: f64 = 16.0;
-const USUALLY: f64 = 1024.0;
-/// Answers that a decision takes at least; rounds of them for a least time. Danger: of many sent together the
-/// quickest are answered first, and a mean of those was once taken for the place.
-const KNOWN: f64 = 6.0;
+/// A mean latency above `CONGESTED` times the baseline, plus what chance may add, is a sign of a queue; below
+/// `UNCONGESTED` times the baseline there is no congestion.
+const CONGESTED: f64 = 1.4;
+const UNCONGESTED: f64 = 1.2;
+/// Minimum windows, in answers: of the mean of a round, and of the mean whose minimum is kept. Both are
+/// multiplied by the squared coefficient of variation of the latencies, up to `MAX_CV_SQUARED`.
+/// `SPREAD_WINDOW` is the window over which that is measured.
+const ROUND_WINDOW: f64 = 32.0;
+const RECENT_WINDOW: f64 = 64.0;
+const MAX_CV_SQUARED: f64 = 16.0;
+const SPREAD_WINDOW: f64 = 1024.0;
+/// Minimum number of answers for a decision, and the rounds that a lowest mean is taken over. Of many
+/// attempts sent together the quickest are answered first; the mean of those alone would pass for the latency
+/// of the backend.
+const MIN_ANSWERS: f64 = 6.0;
 const ROUNDS: f64 = 4.0;
-/// The least time rises by its own length in this time, unless it is seen again.
-const AGES: f64 = 900e6;
-/// A time that was accepted counts as so many times that without a queue: neither a queue nor free, so that
-/// mistakes do not add up quickly.
+/// The lowest mean rises by its own length in this time (us), unless it is seen again.
+const AGEING: f64 = 900e6;
+/// A mean that is accepted as that of a backend without a queue counts as this many times the baseline:
+/// neither congested nor uncongested, so that mistakes do not add up quickly.
 const ACCEPTED: f64 = 1.3;
 
-/// The times of answers.
+/// Statistics of the latencies of answers.
 #[derive(Clone, Debug)]
-pub(super) struct Times {
-    patience: f64,
+pub(super) struct LatencyStats {
+    max_latency: f64,
     /// Answers in this round.
     pub(super) answers: f64,
-    /// Of this round.
-    short: Sample,
-    /// Over rounds.
-    long: Sample,
-    /// Over very many, for their spread.
-    usually: Sample,
-    /// The least that `long` was.
-    least: Option<Sample>,
-    /// The least was found by a trial, so that the patience yields to it.
+    /// Latencies of this round.
+    current: Sample,
+    /// Latencies of the last rounds.
+    recent: Sample,
+    /// Latencies over a long time, for their spread.
+    long_term: Sample,
+    /// The lowest mean of `recent`.
+    lowest: Option<Sample>,
+    /// The lowest mean was accepted after cuts without effect, so that it may be above `max_latency`.
     accepted: bool,
-    /// The time of answers where there was none.
-    guess: f64,
+    /// The latency that is assumed before the first answer.
+    initial: f64,
+    /// When the lowest mean was last aged.
     aged: Micros,
 }
 
-impl Times {
-    pub(super) fn new(patience: Micros, now: Micros) -> Self {
-        Times {
-            patience: patience as f64,
+impl LatencyStats {
+    pub(super) fn new(max_latency: Micros, now: Micros) -> Self {
+        LatencyStats {
+            max_latency: max_latency as f64,
             answers: 0.0,
-            short: Sample::new(SHORT),
-            long: Sample::new(LONG),
-            usually: Sample::new(USUALLY),
-            least: None,
+            current: Sample::new(ROUND_WINDOW),
+            recent: Sample::new(RECENT_WINDOW),
+            long_term: Sample::new(SPREAD_WINDOW),
+            lowest: None,
             accepted: false,
-            guess: patience as f64,
+            initial: max_latency as f64,
             aged: now,
         }
     }
 
-    /// Begins a round. What was sent before it must not be added to it.
+    /// Begins a round. Answers to attempts sent before it must not be added to it.
     pub(super) fn new_round(&mut self) {
-        (self.answers, self.short) = (0.0, Sample::new(SHORT));
+        (self.answers, self.current) = (0.0, Sample::new(ROUND_WINDOW));
     }
 
-    /// Adds an answer of this round, with so many in flight and not presumed lost.
+    /// Adds an answer of this round; `live` is the number of attempts in flight and not presumed lost.
     pub(super) fn add(&mut self, took: f64, live: f64) {
         self.answers += 1.0;
-        self.short.remember(live.max(SHORT * self.spread()));
-        self.short.add(self.bounded(took, 1.0));
+        self.current.set_memory(live.max(ROUND_WINDOW * self.cv_squared()));
+        self.current.add(self.bounded(took, 1.0));
     }
 
-    /// Adds an answer of any round to what is kept over rounds.
-    pub(super) fn keep(&mut self, now: Micros, took: f64, live: f64) {
+    /// Adds an answer of any round to the statistics over rounds.
+    pub(super) fn add_any_round(&mut self, now: Micros, took: f64, live: f64) {
         let took = self.bounded(took, 2.0);
-        self.long.remember((LONG * self.spread()).max(ROUNDS * live));
-        self.long.add(took);
-        self.usually.add(took);
-        if let Some(least) = &mut self.least {
-            least.mean *= 1.0 + (now - self.aged).max(0) as f64 / AGES;
+        self.recent.set_memory((RECENT_WINDOW * self.cv_squared()).max(ROUNDS * live));
+        self.recent.add(took);
+        self.long_term.add(took);
+        if let Some(lowest) = &mut self.lowest {
+            lowest.mean *= 1.0 + (now - self.aged).max(0) as f64 / AGEING;
         }
         self.aged = now;
-        let known = self.long.count >= KNOWN.max(ROUNDS * live);
-        if known && self.uncrowded().is_none_or(|least| self.at_most(&self.long) < least) {
-            self.least = Some(self.long);
+        let enough = self.recent.count >= MIN_ANSWERS.max(ROUNDS * live);
+        if enough && self.baseline().is_none_or(|baseline| self.upper_bound(&self.recent) < baseline) {
+            self.lowest = Some(self.recent);
         }
     }
 
-    /// Nothing came in that time, nor anything before.
-    pub(super) fn none_in(&mut self, took: f64) {
-        if self.long.count == 0.0 {
-            self.guess = self.guess.max(took);
+    /// Records that no answer came within this time; it counts only before the first answer.
+    pub(super) fn no_answer_within(&mut self, took: f64) {
+        if self.recent.count == 0.0 {
+            self.initial = self.initial.max(took);
         }
     }
 
-    /// A time as far as it counts. Guards against a slow draw that rules a mean. Danger: where quick answers are
-    /// mixed in, a bound by those alone would hide all others; so what is well inside the patience counts whole.
+    /// A latency, limited so that one slow request does not dominate a mean. The bound is at least half of
+    /// `max_latency`: where quick answers are mixed in, a bound by those alone would hide all others.
     fn bounded(&self, took: f64, times: f64) -> f64 {
-        let bound = |least: Sample| 4.0 * (least.mean + times * least.deviation());
-        self.least.map_or(took, |least| took.min(bound(least).max(self.patience / 2.0)))
+        let bound = |lowest: Sample| 4.0 * (lowest.mean + times * lowest.deviation());
+        self.lowest.map_or(took, |lowest| took.min(bound(lowest).max(self.max_latency / 2.0)))
     }
 
-    /// How many times as many samples a mean takes here as where times are exponential.
-    fn spread(&self) -> f64 {
-        self.usually.spread().clamp(1.0, SPREAD_MOST)
+    /// How many times as many samples a mean needs as with exponentially distributed latencies.
+    fn cv_squared(&self) -> f64 {
+        self.long_term.cv_squared().clamp(1.0, MAX_CV_SQUARED)
     }
 
     /// How far this round's mean may be off by chance, as a part of it: three standard errors.
-    fn doubt(&self) -> f64 {
-        3.0 * (self.usually.spread().clamp(0.1, SPREAD_MOST) / self.short.count.max(1.0)).sqrt()
+    fn relative_error(&self) -> f64 {
+        3.0 * (self.long_term.cv_squared().clamp(0.1, MAX_CV_SQUARED) / self.current.count.max(1.0)).sqrt()
     }
 
-    /// A mean with one and a half standard errors on top: the least of many means is too low by chance, and the
-    /// more so the fewer samples each rests on.
-    fn at_most(&self, sample: &Sample) -> f64 {
-        sample.mean / (1.0 - 1.5 * (self.spread() / sample.count.max(1.0)).sqrt()).max(0.1)
+    /// A mean plus one and a half standard errors: the lowest of many means is too low by chance, and the
+    /// more so the fewer samples each is based on.
+    fn upper_bound(&self, sample: &Sample) -> f64 {
+        sample.mean / (1.0 - 1.5 * (self.cv_squared() / sample.count.max(1.0)).sqrt()).max(0.1)
     }
 
-    /// The least mean seen.
-    pub(super) fn least(&self) -> Option<f64> {
-        self.least.map(|least| least.mean)
+    /// The lowest mean seen.
+    pub(super) fn lowest_mean(&self) -> Option<f64> {
+        self.lowest.map(|lowest| lowest.mean)
     }
 
-    /// The mean time where nothing queues.
-    fn uncrowded(&self) -> Option<f64> {
-        self.least.as_ref().map(|least| self.at_most(least))
+    /// The mean latency without a queue.
+    fn baseline(&self) -> Option<f64> {
+        self.lowest.as_ref().map(|lowest| self.upper_bound(lowest))
     }
 
-    /// Mean time of this round; 0 without answers.
+    /// Mean latency of this round; 0 without answers.
     pub(super) fn mean(&self) -> f64 {
-        self.short.mean
+        self.current.mean
     }
 
-    /// The time that answers take now, or a guess.
-    pub(super) fn usual(&self) -> f64 {
-        match (self.short.count > 0.0, self.long.count > 0.0) {
-            (true, _) => self.short.mean,
-            (false, true) => self.long.mean,
-            _ => self.guess,
+    /// The latency at present, as far as it is known.
+    pub(super) fn typical(&self) -> f64 {
+        match (self.current.count > 0.0, self.recent.count > 0.0) {
+            (true, _) => self.current.mean,
+            (false, true) => self.recent.mean,
+            _ => self.initial,
         }
     }
 
-    /// Answers that a decision needs: a round, as many as are in flight.
-    pub(super) fn enough(&self, live: f64) -> f64 {
-        live.max(KNOWN * self.spread())
+    /// Answers that a decision needs: at least one round, which is as many as are in flight.
+    pub(super) fn answers_needed(&self, live: f64) -> f64 {
+        live.max(MIN_ANSWERS * self.cv_squared())
     }
 
-    /// The mean time that shows a queue, with the answers in hand.
-    pub(super) fn queue_from(&self) -> f64 {
-        let late = self.patience * (1.0 + 1.0 / self.short.count.max(1.0).sqrt());
-        let Some(uncrowded) = self.uncrowded() else { return late };
-        let doubt = uncrowded * self.doubt();
-        let late = if self.accepted { late.max(FREE * uncrowded + doubt) } else { late };
-        (CROWDED * uncrowded + doubt).min(late)
+    /// The mean latency above which the answers of this round show a queue.
+    pub(super) fn queue_threshold(&self) -> f64 {
+        let late = self.max_latency * (1.0 + 1.0 / self.current.count.max(1.0).sqrt());
+        let Some(baseline) = self.baseline() else { return late };
+        let error = baseline * self.relative_error();
+        let late = if self.accepted { late.max(UNCONGESTED * baseline + error) } else { late };
+        (CONGESTED * baseline + error).min(late)
     }
 
-    /// This round's answers show a queue.
-    pub(super) fn queued(&self, live: f64) -> bool {
-        self.answers >= self.enough(live) && self.short.mean > self.queue_from()
+    /// Whether the answers of this round show a queue.
+    pub(super) fn is_queueing(&self, live: f64) -> bool {
+        self.answers >= self.answers_needed(live) && self.current.mean > self.queue_threshold()
     }
 
-    /// Answers come as fast as ever.
-    pub(super) fn free(&self) -> bool {
-        self.short.mean < self.uncrowded().map_or(self.patience / 2.0, |t| FREE * t)
+    /// Whether answers are as fast as without a queue.
+    pub(super) fn is_uncongested(&self) -> bool {
+        self.current.mean < self.baseline().map_or(self.max_latency / 2.0, |t| UNCONGESTED * t)
     }
 
-    /// The mean is beyond the patience.
-    pub(super) fn late(&self) -> bool {
-        self.short.mean > self.patience
+    /// Whether this round's mean is beyond `max_latency`.
+    pub(super) fn exceeds_max_latency(&self) -> bool {
+        self.current.mean > self.max_latency
     }
 
-    /// The least seen is so near the patience that it may itself be of a queue.
-    pub(super) fn suspect(&self) -> bool {
-        self.uncrowded().is_some_and(|t| CROWDED * t > self.patience)
+    /// Whether the baseline is so near `max_latency` that it may itself be that of a queue.
+    pub(super) fn baseline_is_suspect(&self) -> bool {
+        self.baseline().is_some_and(|t| CONGESTED * t > self.max_latency)
     }
 
-    /// Lets only this round count for the least.
-    pub(super) fn forget_rounds(&mut self) {
-        self.long = self.short.afresh(LONG, KNOWN);
+    /// From now on only this round counts for the lowest mean.
+    pub(super) fn forget_older_rounds(&mut self) {
+        self.recent = self.current.restarted(RECENT_WINDOW, MIN_ANSWERS);
     }
 
-    /// This round's mean is that of a place without a queue, or not far over it.
-    pub(super) fn accept(&mut self) {
-        let accepted = self.short.scaled(1.0 / ACCEPTED);
-        self.accepted = accepted.mean * CROWDED > self.patience;
-        self.least = Some(accepted.afresh(LONG, LONG));
-        self.forget_rounds();
+    /// Takes this round's mean for that of the backend without a queue, or a little above it.
+    pub(super) fn accept_as_baseline(&mut self) {
+        let accepted = self.current.scaled(1.0 / ACCEPTED);
+        self.accepted = accepted.mean * CONGESTED > self.max_latency;
+        self.lowest = Some(accepted.restarted(RECENT_WINDOW, RECENT_WINDOW));
+        self.forget_older_rounds();
     }
 }
 
@@ -193,40 +196,40 @@
 mod tests {
     use super::*;
 
-    /// Answers `n` in rounds of twenty; then whether they show a queue.
-    fn queued(times: &mut Times, n: usize, took: impl Fn(usize) -> f64) -> bool {
-        times.new_round();
+    /// Adds `n` answers in a new round with twenty attempts in flight; returns whether they show a queue.
+    fn queueing(stats: &mut LatencyStats, n: usize, took: impl Fn(usize) -> f64) -> bool {
+        stats.new_round();
         (0..n).for_each(|i| {
-            times.add(took(i), 20.0);
-            times.keep(0, took(i), 20.0);
+            stats.add(took(i), 20.0);
+            stats.add_any_round(0, took(i), 20.0);
         });
-        times.queued(20.0)
+        stats.is_queueing(20.0)
     }
 
     #[test]
-    fn a_queue_shifts_all_answers_and_slow_draws_do_not() {
-        let mut times = Times::new(1_000_000, 0);
+    fn a_queue_raises_all_latencies_and_slow_requests_are_no_queue() {
+        let mut stats = LatencyStats::new(1_000_000, 0);
         let plain = |i: usize| [40e3, 70e3, 100e3, 190e3][i % 4];
-        assert!(!queued(&mut times, 400, plain) && times.free());
-        assert!(!queued(&mut times, 64, |i| if i % 20 == 0 { 3e6 } else { plain(i) }), "slow draws");
-        assert!(queued(&mut times, 64, |i| plain(i) + 150e3), "a queue");
-        assert!(!queued(&mut times, 64, plain) && times.free(), "it is over");
+        assert!(!queueing(&mut stats, 400, plain) && stats.is_uncongested());
+        assert!(!queueing(&mut stats, 64, |i| if i % 20 == 0 { 3e6 } else { plain(i) }), "slow requests");
+        assert!(queueing(&mut stats, 64, |i| plain(i) + 150e3), "a queue");
+        assert!(!queueing(&mut stats, 64, plain) && stats.is_uncongested(), "the queue is gone");
     }
 
     #[test]
-    fn quick_answers_mixed_in_are_no_least_time() {
-        let mut times = Times::new(1_000_000, 0);
-        // Of those sent together the quick kind is answered first.
+    fn the_baseline_is_not_that_of_quick_answers_mixed_in() {
+        let mut stats = LatencyStats::new(1_000_000, 0);
+        // Of attempts sent together the quick kind is answered first.
         let mixed = |i: usize| if i > 20 && i.is_multiple_of(10) { 100e3 } else { 2e3 };
-        queued(&mut times, 3_000, mixed);
-        assert!(!queued(&mut times, 1_000, mixed), "{:?}", times);
+        queueing(&mut stats, 3_000, mixed);
+        assert!(!queueing(&mut stats, 1_000, mixed), "{:?}", stats);
     }
 
     #[test]
-    fn beyond_the_patience_is_a_queue_unless_that_was_accepted() {
-        let mut times = Times::new(100_000, 0);
-        assert!(queued(&mut times, 64, |_| 300e3));
-        times.accept();
-        assert!(!queued(&mut times, 64, |_| 300e3));
+    fn beyond_max_latency_is_a_queue_unless_accepted() {
+        let mut stats = LatencyStats::new(100_000, 0);
+        assert!(queueing(&mut stats, 64, |_| 300e3));
+        stats.accept_as_baseline();
+        assert!(!queueing(&mut stats, 64, |_| 300e3));
     }
 }
--- a/crates/limits/src/adaptive_limit/mod.rs
+++ b/crates/limits/src/adaptive_limit/mod.rs
@@ -1,312 +1,328 @@
-//! A limit on attempts in flight at a place, which follows what comes back from it.
+//! An adaptive concurrency limit: how many attempts may be in flight at a backend, by the latency of its
+//! answers.
 //!
-//! The place may be a server, an origin shared with nodes that are not seen, or this node itself: nothing is known
-//! of it but how the attempts end. Three things look alike and are told apart:
+//! The backend may be a server, an origin shared with nodes that are not seen, or this node itself: nothing
+//! is known of it but how the attempts end. Three causes of slow or missing answers are distinguished:
 //!
-//! - *Queueing* (or crowding) makes nearly all answers slower. The mean time of answers is held against the
-//!   least mean seen, as in TCP Vegas (Brakmo, O'Malley and Peterson, SIGCOMM 1994); by Little's law that is the
-//!   same as asking whether more in flight brought more answers. The limit is cut, at most once for each round.
-//! - *Loss* takes single attempts, and answers go on. An attempt that got no answer, though one sent after it was
-//!   answered meanwhile, was lost on the way (as in RACK, RFC 8985) or is a slow draw. It changes nothing.
-//! - *Slow draws* are the tail of the work itself. Times count up to a bound only, and the mean has to exceed what
-//!   chance explains, by the spread that was seen.
+//! - *Queueing* (or congestion) makes nearly all answers slower. The mean latency is compared with the lowest
+//!   mean seen, as in TCP Vegas (Brakmo, O'Malley and Peterson, SIGCOMM 1994); by Little's law that is the
+//!   same as asking whether more attempts in flight brought more answers. The limit is cut, at most once in
+//!   each round.
+//! - *Loss* affects single attempts, and answers go on. An attempt without an answer, though one sent after
+//!   it has been answered, was lost on the way (as in RACK, RFC 8985) or takes unusually long. It does not
+//!   change the limit.
+//! - *Slow requests* are the tail of the work itself. Their latency counts only up to a bound, and the mean
+//!   has to exceed what chance explains, given the spread that was seen.
 //!
-//! A place that answers *nothing* is told by a run of losses that the usual share of them would hardly bring; it
-//! is probed by one attempt at a time until it answers.
+//! A backend that answers *nothing* is recognised by a run of losses that the usual loss rate would hardly
+//! produce. It is probed by one attempt at a time until it answers.
 //!
-//! Where a slower place is no queue of ours, less in flight does not make it faster. So cuts that bring no gain
-//! show that the least time seen is out of date (what BBR finds by PROBE_RTT, Cardwell and others, ACM Queue 2016;
-//! but nodes that cannot see each other would not probe together, and take each other's queue for the place).
+//! Where a backend is slower for another reason than a queue of ours, fewer attempts in flight do not make it
+//! faster. So cuts that bring no gain show that the lowest latency seen is out of date. (BBR finds that out
+//! by PROBE_RTT, Cardwell and others, ACM Queue 2016; but nodes that cannot see each other would not probe at
+//! the same time, and would take each other's queue for the backend's own latency.)
 //!
 //! ```
-//! use lapisrudder_limits::follow::{End, Follow, Settings};
+//! use lapisrudder_limits::adaptive_limit::{AdaptiveLimit, End, Settings};
 //!
-//! let mut follow = Follow::new(Settings { start: 2.0, ..Settings::default() }, 0);
-//! let first = follow.sent(0);
-//! let second = follow.sent(0);
-//! assert!(!follow.room(0));
-//! follow.ended(100_000, first, End::Answered { took: 100_000 });
-//! follow.ended(100_000, second, End::Lost);
-//! assert!(follow.room(100_000));
-//! println!("{}", follow.explain());
+//! let mut limit = AdaptiveLimit::new(Settings { start: 2.0, ..Settings::default() }, 0);
+//! let first = limit.sent(0);
+//! let second = limit.sent(0);
+//! assert!(!limit.can_send(0));
+//! limit.ended(100_000, first, End::Answered { took: 100_000 });
+//! limit.ended(100_000, second, End::Lost);
+//! assert!(limit.can_send(100_000));
+//! println!("{}", limit.explain());
 //! ```
 
 mod decide;
+mod latency;
 mod sample;
-mod silence;
 mod state;
-mod times;
+mod stop_detector;
 
 use crate::Micros;
 use decide::{CUT, Trial};
-use silence::Silence;
+use latency::LatencyStats;
 pub use state::{Phase, State};
 use std::collections::BTreeMap;
-use times::Times;
+use stop_detector::StopDetector;
 
-/// An attempt without an answer shows a queue if so many were sent after it and none of them was answered.
-const LATER: u64 = 3;
-/// However little may be in flight, something goes this often. Guards against a place that nobody looks at again.
-const PAUSE_MOST: Micros = 120_000_000;
-/// Where turns run out, one lasts this part of the time that an attempt takes. What waits goes when one begins, so
-/// only the sum over nodes grows with it: this much over their limits.
-const TURN: f64 = 0.25;
+/// A timed-out attempt is a sign of a queue if at least this many were sent after it and none of them was
+/// answered.
+const LATER_SENDS: u64 = 3;
+/// Longest pause between two attempts, however low the limit is, so that a backend that has recovered is
+/// noticed.
+const MAX_PAUSE: Micros = 120_000_000;
+/// With a limit below one and [`Settings::phase`], an unused send window ends after this part of the typical
+/// latency. Waiting attempts go when a window begins, so its length does not delay them; but all nodes
+/// together can exceed the sum of their limits by this part.
+const SEND_WINDOW: f64 = 0.25;
 
-/// What a [`Follow`] is told at its start.
+/// Settings of an [`AdaptiveLimit`].
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Attempts in flight to begin with; under one where many nodes share a place. Growth follows its scale.
+    /// Initial limit; below one where many nodes share a backend. Growth scales with it.
     pub start: f64,
-    /// The least and the most that the limit may be. The least is over zero, so that some attempts always go.
-    pub least: f64,
-    /// See `least`.
-    pub most: f64,
-    /// Mean time of answers beyond which they are of little use: a queue that long is one whatever the least
-    /// time seen. Guards nodes that have never seen the place without a queue.
-    pub patience: Micros,
-    /// Where nodes that share the place must keep to it together from the first moment on: the part of its pause, in
-    /// [0, 1), after which a node with a start under one sends first. It should differ between nodes. Then turns
-    /// under one also run out when they are not used, and another comes with the next pause.
+    /// Minimum of the limit; above zero, so that some attempts always go.
+    pub min: f64,
+    /// Maximum of the limit.
+    pub max: f64,
+    /// Mean latency beyond which answers are of little use. More than this counts as a queue whatever the
+    /// lowest latency seen, for nodes that have only ever seen the backend with a queue.
+    pub max_latency: Micros,
+    /// For nodes that share a backend and must keep to it together from the first moment on: the part of its
+    /// pause, in [0, 1), after which a node with an initial limit below one sends first. It should differ
+    /// between nodes. With it a send window also ends when it is not used, and another comes with the next
+    /// pause.
     pub phase: Option<f64>,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Settings { start: 20.0, least: 0.01, most: 10_000.0, patience: 500_000, phase: None }
+        Settings { start: 20.0, min: 0.01, max: 10_000.0, max_latency: 500_000, phase: None }
     }
 }
 
-/// An attempt that is in flight; given back to [`Follow::ended`].
+/// An attempt in flight; given back to [`AdaptiveLimit::ended`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub struct Sent {
     number: u64,
-    /// The limit held this attempt back, or nearly.
-    used: bool,
+    /// The limit was used up, or nearly, when this attempt was sent.
+    limited: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// Answered after this time, be it with an error that took work.
+    /// Answered, possibly with an error that took work.
     Answered {
         /// Time from sending to the answer.
         took: Micros,
     },
     /// The connection broke or was refused.
     Lost,
-    /// No answer in the time there was, or given up after more than usual answers take.
+    /// No answer before the deadline, or given up after more than the usual latency.
     TimedOut {
         /// Time from sending to giving up.
         took: Micros,
     },
-    /// The place said that it has no room.
-    TurnedAway,
-    /// Called off, or ended in a way that says nothing of the place.
-    Untold,
-    /// It turned out to be no work for the place, or never came there; the next need not wait for it.
-    Elsewhere,
+    /// The backend rejected the attempt because it was overloaded.
+    Rejected,
+    /// Cancelled, or ended in a way that says nothing about the backend.
+    Ignored,
+    /// The attempt was no work for the backend or never reached it; the next one need not wait for it.
+    NoWork,
 }
 
-/// How many attempts may be in flight at a place, by what comes back. No clock and no draws: the same history
-/// gives the same limit.
+/// How many attempts may be in flight at a backend, by the way they end. No clock and no randomness: the same
+/// history gives the same limit.
 #[derive(Clone, Debug)]
-pub struct Follow {
+pub struct AdaptiveLimit {
     settings: Settings,
     limit: f64,
-    /// A limit that was good: growth is faster below it.
-    good: f64,
-    /// The limit under which the place stopped; it is forgotten by and by.
-    pushed: f64,
-    looked: Micros,
+    /// A limit that is known to be good: growth is faster below it.
+    good_limit: f64,
+    /// The limit at which the backend stopped; it rises with time, so that it is forgotten.
+    stop_limit: f64,
+    /// When the limit was last decided on.
+    decided: Micros,
     /// Attempts in flight by number, with the time they were sent.
-    out: BTreeMap<u64, Micros>,
+    in_flight: BTreeMap<u64, Micros>,
+    /// Number of the next attempt.
     next: u64,
-    /// Those of them that were presumed lost when the round began.
-    dead: f64,
-    /// The newest attempt that was answered, by number.
-    newest: Option<u64>,
+    /// How many of those in flight were presumed lost when the round began.
+    presumed_lost: f64,
+    /// The highest number of an attempt that was answered.
+    newest_answered: Option<u64>,
     /// Attempts from this number on were sent under the present limit.
     round: u64,
-    times: Times,
-    /// Answers in a row with nothing against the limit.
-    free: f64,
+    latency: LatencyStats,
+    /// Answers in a row without congestion.
+    uncongested: f64,
     trial: Option<Trial>,
-    /// A search for the least time goes on: the mean before its last step. The next not before the other.
+    /// During a search for the minimum latency: the mean before its last step.
     search: Option<f64>,
-    search_at: Micros,
-    /// Under one in flight: the next attempt waits until then.
-    paced: Micros,
-    silence: Silence,
+    /// No search begins before this time.
+    next_search: Micros,
+    /// With a limit below one: the next attempt waits until then.
+    paced_until: Micros,
+    stop_detector: StopDetector,
 }
 
-impl Follow {
-    /// A limit of `settings.start` that has seen nothing.
+impl AdaptiveLimit {
+    /// A limit of `settings.start`, without any history.
     pub fn new(settings: Settings, now: Micros) -> Self {
-        let most = settings.most.max(0.001);
-        let least = settings.least.clamp(0.001, most);
-        let settings = Settings { least, most, patience: settings.patience.max(1), ..settings };
-        let start = settings.start.clamp(least, most);
-        let mut follow = Follow {
+        let max = settings.max.max(0.001);
+        let min = settings.min.clamp(0.001, max);
+        let settings = Settings { min, max, max_latency: settings.max_latency.max(1), ..settings };
+        let start = settings.start.clamp(min, max);
+        let mut limit = AdaptiveLimit {
             settings: Settings { start, ..settings },
             limit: start,
-            good: most,
-            pushed: f64::MAX,
-            looked: now,
-            out: BTreeMap::new(),
+            good_limit: max,
+            stop_limit: f64::MAX,
+            decided: now,
+            in_flight: BTreeMap::new(),
             next: 0,
-            dead: 0.0,
-            newest: None,
+            presumed_lost: 0.0,
+            newest_answered: None,
             round: 0,
-            times: Times::new(settings.patience, now),
-            free: 0.0,
+            latency: LatencyStats::new(settings.max_latency, now),
+            uncongested: 0.0,
             trial: None,
             search: None,
-            search_at: now,
-            paced: now,
-            silence: Silence::new(now),
+            next_search: now,
+            paced_until: now,
+            stop_detector: StopDetector::new(now),
         };
-        let wait = settings.phase.unwrap_or(0.0).clamp(0.0, 1.0) * follow.pause(follow.times.usual()) as f64;
-        follow.paced = now.saturating_add(wait as Micros);
-        follow
+        let wait =
+            settings.phase.unwrap_or(0.0).clamp(0.0, 1.0) * limit.pause(limit.latency.typical()) as f64;
+        limit.paced_until = now.saturating_add(wait as Micros);
+        limit
     }
 
-    /// Attempts that may be in flight; under one it means one at a time with pauses between.
+    /// Attempts that may be in flight; below one it means one at a time with pauses between them.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Nothing was sent so far.
+    /// Whether nothing was sent so far.
     pub fn is_new(&self) -> bool {
         self.next == 0
     }
 
     /// Attempts in flight.
-    pub fn out(&self) -> usize {
-        self.out.len()
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.len()
     }
 
-    /// Another attempt may go out now.
-    pub fn room(&self, now: Micros) -> bool {
-        self.when_room(now).is_some_and(|at| at <= now)
+    /// Whether another attempt may be sent now.
+    pub fn can_send(&self, now: Micros) -> bool {
+        self.next_send_at(now).is_some_and(|at| at <= now)
     }
 
-    /// When another attempt may go out if nothing ends meanwhile; nothing if only an end makes room.
-    pub fn when_room(&self, now: Micros) -> Option<Micros> {
-        if let Some(stop) = self.silence.stop {
-            return stop.probe_at().map(|at| at.max(now));
+    /// When another attempt may be sent if none ends before; `None` if one has to end first.
+    pub fn next_send_at(&self, now: Micros) -> Option<Micros> {
+        if let Some(stop) = self.stop_detector.stop {
+            return stop.next_probe_at().map(|at| at.max(now));
         }
-        ((self.out.len() as f64) < self.limit.floor().max(1.0)).then_some(self.turn(now))
+        ((self.in_flight.len() as f64) < self.limit.floor().max(1.0)).then_some(self.next_window(now))
     }
 
-    /// When the next attempt may go under a limit below one: in the first part of each pause, a quarter as long as
-    /// an attempt takes. Danger: a turn that is kept until it is used comes at once from all nodes that were idle.
-    fn turn(&self, now: Micros) -> Micros {
-        let usual = self.times.usual();
-        let (pause, late) = (self.pause(usual), now.saturating_sub(self.paced));
+    /// When the next attempt may be sent with a limit below one: in the first part of each pause, a quarter
+    /// of the typical latency long. If a window stayed open until it is used, all nodes that were idle would
+    /// send at once.
+    fn next_window(&self, now: Micros) -> Micros {
+        let typical = self.latency.typical();
+        let (pause, late) = (self.pause(typical), now.saturating_sub(self.paced_until));
         if late <= 0 || pause <= 0 || self.settings.phase.is_none() {
-            return self.paced.max(now);
+            return self.paced_until.max(now);
         }
         let into = late % pause;
-        if (into as f64) < TURN * usual { now } else { now.saturating_add(pause - into) }
+        if (into as f64) < SEND_WINDOW * typical { now } else { now.saturating_add(pause - into) }
     }
 
-    /// Books an attempt that goes out. It may go past the limit, if the caller sees a need.
+    /// Records an attempt that is sent. The caller may exceed the limit where it has to.
     pub fn sent(&mut self, now: Micros) -> Sent {
         let number = self.next;
         self.next += 1;
-        self.out.insert(number, now);
-        // A run without an answer doubles pauses, as TCP's timer does: what comes through a jam is the quickest,
-        // and tells too short a time.
-        let pause = self.pause(self.times.usual() * self.silence.backoff());
-        // Danger: an idle node would grow a limit that it never used, and a burst would use it. Under one it is
-        // used by an attempt that goes soon after its pause.
-        let soon = now <= self.paced.saturating_add(pause);
-        let used = if self.limit < 1.0 { soon } else { self.out.len() as f64 >= CUT * self.limit.floor() };
-        self.paced = now.saturating_add(pause);
-        self.silence.sent(now, self.limit);
-        Sent { number, used }
+        self.in_flight.insert(number, now);
+        // Losses in a row double the pause, as with TCP's retransmission timer: the answers that still come
+        // from an overloaded backend are the quickest, and give too short a latency.
+        let pause = self.pause(self.latency.typical() * self.stop_detector.backoff());
+        // Only a limit that is used may grow: an idle node would otherwise raise it, and a burst would then
+        // use it. A limit below one is used by an attempt that is sent soon after its pause.
+        let soon = now <= self.paced_until.saturating_add(pause);
+        let limited =
+            if self.limit < 1.0 { soon } else { self.in_flight.len() as f64 >= CUT * self.limit.floor() };
+        self.paced_until = now.saturating_add(pause);
+        self.stop_detector.sent(now, self.limit);
+        Sent { number, limited }
     }
 
-    /// Books how an attempt ended.
+    /// Records how an attempt ended.
     pub fn ended(&mut self, now: Micros, sent: Sent, end: End) {
-        self.out.remove(&sent.number);
-        self.silence.ended(sent.number);
+        self.in_flight.remove(&sent.number);
+        self.stop_detector.ended(sent.number);
         match end {
-            End::Answered { took } => self.answered(now, sent, took.max(1) as f64),
-            End::Lost => self.lost(now, 0.0),
-            End::TimedOut { took } => self.timed_out(now, sent, took.max(1) as f64),
-            End::TurnedAway => self.turned_away(),
-            End::Untold => {}
-            End::Elsewhere => self.paced = self.paced.min(now),
+            End::Answered { took } => self.on_answered(now, sent, took.max(1) as f64),
+            End::Lost => self.on_lost(now, 0.0),
+            End::TimedOut { took } => self.on_timed_out(now, sent, took.max(1) as f64),
+            End::Rejected => self.on_rejected(),
+            End::Ignored => {}
+            End::NoWork => self.paced_until = self.paced_until.min(now),
         }
     }
 
-    /// The pause between two attempts that take so long each, where the limit is under one.
+    /// The pause between two attempts that take this long each, where the limit is below one.
     fn pause(&self, took: f64) -> Micros {
-        if self.limit < 1.0 { ((took / self.limit) as Micros).min(PAUSE_MOST) } else { 0 }
+        if self.limit < 1.0 { ((took / self.limit) as Micros).min(MAX_PAUSE) } else { 0 }
     }
 
-    /// What the limit goes by.
+    /// The state behind the limit, for logs.
     pub fn explain(&self) -> State {
-        let phase = match self.times.least() {
-            _ if self.silence.stop.is_some() => Phase::Stopped,
+        let phase = match self.latency.lowest_mean() {
+            _ if self.stop_detector.stop.is_some() => Phase::Stopped,
             _ if self.search.is_some() => Phase::Searching,
             _ if self.trial.is_some() => Phase::Cut,
             None => Phase::Learning,
-            Some(_) if self.times.free() => Phase::Free,
+            Some(_) if self.latency.is_uncongested() => Phase::Growing,
             Some(_) => Phase::Steady,
         };
         State {
             limit: self.limit,
-            out: self.out.len(),
-            mean: self.times.mean(),
-            least: self.times.least().unwrap_or(0.0),
-            queue_from: self.times.queue_from(),
-            lost: self.silence.usual,
+            in_flight: self.in_flight.len(),
+            mean: self.latency.mean(),
+            lowest_mean: self.latency.lowest_mean().unwrap_or(0.0),
+            queue_threshold: self.latency.queue_threshold(),
+            loss_rate: self.stop_detector.loss_rate,
             phase,
         }
     }
 
-    fn answered(&mut self, now: Micros, sent: Sent, took: f64) {
-        self.newest = self.newest.max(Some(sent.number));
-        if let Some(stop) = self.silence.answered(now) {
-            self.started_again(now, stop.since);
+    fn on_answered(&mut self, now: Micros, sent: Sent, took: f64) {
+        self.newest_answered = self.newest_answered.max(Some(sent.number));
+        if let Some(stop) = self.stop_detector.answered(now) {
+            self.on_restart(now, stop.since);
         }
         self.sample(sent, took);
-        self.times.keep(now, took, self.live());
-        self.decide(now, sent.used);
+        self.latency.add_any_round(now, took, self.live());
+        self.decide(now, sent.limited);
     }
 
-    /// Guards against a second cut for the same queue: only what was sent since the last one counts.
+    /// Adds a latency to the present round. Attempts sent before the last cut are left out, or the same queue
+    /// would cause a second cut.
     fn sample(&mut self, sent: Sent, took: f64) {
         if sent.number >= self.round {
-            self.times.add(took, self.live());
+            self.latency.add(took, self.live());
         }
     }
 
-    fn lost(&mut self, now: Micros, took: f64) {
-        self.times.none_in(took);
-        // Where many share a place, its probes wait as long as it took to miss the first.
-        let pause = if self.limit < 1.0 { self.times.usual().max(took) } else { self.times.usual() };
-        if self.silence.lost(now, self.next, pause as Micros) {
+    fn on_lost(&mut self, now: Micros, took: f64) {
+        self.latency.no_answer_within(took);
+        // Where many nodes share a backend, its probes wait as long as it took to notice the first loss.
+        let pause = if self.limit < 1.0 { self.latency.typical().max(took) } else { self.latency.typical() };
+        if self.stop_detector.lost(now, self.next, pause as Micros) {
             self.cut(now, CUT);
-            // Danger: nodes with little of a place each notice late, one loss after the other, while it fills.
-            self.paced = self.paced.max(now.saturating_add(self.pause(pause)));
+            // Nodes with a small part of a backend each notice an overload late, one loss after the other,
+            // while its queue fills.
+            self.paced_until = self.paced_until.max(now.saturating_add(self.pause(pause)));
         }
     }
 
-    fn timed_out(&mut self, now: Micros, sent: Sent, took: f64) {
-        if self.newest.is_some_and(|newest| newest > sent.number) {
-            return self.silence.overtaken(); // Lost on the way, or a slow draw.
+    fn on_timed_out(&mut self, now: Micros, sent: Sent, took: f64) {
+        if self.newest_answered.is_some_and(|newest| newest > sent.number) {
+            return self.stop_detector.overtaken(); // Lost on the way, or unusually slow.
         }
-        self.lost(now, took);
-        // It would have taken longer yet: only more than the mean says anything.
-        let more = took > self.times.mean();
-        if more && self.next - sent.number > LATER && self.silence.stop.is_none() {
+        self.on_lost(now, took);
+        // The answer would have taken longer still, so the time counts only if it is above the mean.
+        let more = took > self.latency.mean();
+        if more && self.next - sent.number > LATER_SENDS && self.stop_detector.stop.is_none() {
             self.sample(sent, took);
-            if self.search.is_none() && self.times.queued(self.live()) {
-                self.queued(now);
+            if self.search.is_none() && self.latency.is_queueing(self.live()) {
+                self.on_queueing(now);
             }
         }
     }
--- a/crates/limits/src/adaptive_limit/sample.rs
+++ b/crates/limits/src/adaptive_limit/sample.rs
@@ -1,12 +1,12 @@
-//! A running mean of times and of their spread.
+//! A running mean and variance of latencies.
 
-/// Mean and variance: plain ones of the first samples, then exponentially weighted ones in which the last `memory`
-/// count (West, "Updating Mean and Variance Estimates", CACM 1979).
+/// Mean and variance: plain ones of the first samples, then exponentially weighted ones with a window of
+/// `memory` samples (West, "Updating Mean and Variance Estimates", CACM 1979).
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Sample {
     pub(super) mean: f64,
     variance: f64,
-    /// Samples that it rests on, at most `memory`.
+    /// Number of samples that count, at most `memory`.
     pub(super) count: f64,
     memory: f64,
 }
@@ -23,17 +23,17 @@
         self.variance = (1.0 - weight) * (self.variance + weight * off * off);
     }
 
-    /// Lets the last `memory` samples count from now on.
-    pub(super) fn remember(&mut self, memory: f64) {
+    /// Sets the window, from the next sample on.
+    pub(super) fn set_memory(&mut self, memory: f64) {
         self.memory = memory;
     }
 
-    /// The same mean with another memory, as if it rested on `count` samples.
-    pub(super) fn afresh(&self, memory: f64, count: f64) -> Self {
+    /// The same mean and variance with another window, as if they were of `count` samples.
+    pub(super) fn restarted(&self, memory: f64, count: f64) -> Self {
         Sample { count, memory, ..*self }
     }
 
-    /// All times multiplied.
+    /// All samples multiplied by a factor.
     pub(super) fn scaled(&self, by: f64) -> Self {
         Sample { mean: by * self.mean, variance: by * by * self.variance, ..*self }
     }
@@ -42,9 +42,9 @@
         self.variance.sqrt()
     }
 
-    /// The variance over the square of the mean: 1 for exponential times. A mean that is good to some part of
-    /// itself takes so many times as many samples.
-    pub(super) fn spread(&self) -> f64 {
+    /// The squared coefficient of variation: 1 for exponentially distributed times. For the same relative
+    /// error a mean needs this many times as many samples.
+    pub(super) fn cv_squared(&self) -> f64 {
         self.variance / (self.mean * self.mean).max(1.0)
     }
 }
@@ -54,7 +54,7 @@
     use super::*;
 
     #[test]
-    fn the_mean_is_plain_at_first_and_follows_later() {
+    fn the_mean_is_plain_first_and_exponentially_weighted_later() {
         let mut sample = Sample::new(8.0);
         [1.0, 2.0, 3.0].into_iter().for_each(|x| sample.add(x));
         assert!((sample.mean - 2.0).abs() < 1e-9 && (sample.variance - 2.0 / 3.0).abs() < 1e-9);
--- a/crates/limits/src/adaptive_limit/state.rs
+++ b/crates/limits/src/adaptive_limit/state.rs
@@ -1,39 +1,39 @@
-//! What a limit goes by, in words for logs.
+//! The state behind the limit, as text for logs.
 
 use std::fmt;
 
 /// Why the limit is what it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Too few answers to tell.
+    /// Too few answers for a decision.
     Learning,
     /// Answers are as fast as ever: the limit grows while it is used.
-    Free,
-    /// Answers are slower, not by enough for a cut.
+    Growing,
+    /// Answers are slower, but not by enough for a cut.
     Steady,
-    /// Answers show a queue: the limit was cut and waits for what that brings.
+    /// Answers showed a queue: the limit was cut, and the effect is awaited.
     Cut,
-    /// Less is sent, to see how fast the place is without a queue.
+    /// The limit is lowered to find the latency of the backend without a queue.
     Searching,
-    /// Nothing is answered; one probe at a time.
+    /// Nothing is answered; one probe at a time is sent.
     Stopped,
 }
 
-/// What a [`Follow`] goes by, for logs.
+/// The state behind an [`AdaptiveLimit`](super::AdaptiveLimit), for logs.
 #[derive(Clone, Copy, Debug)]
 pub struct State {
     /// Attempts that may be in flight.
     pub limit: f64,
     /// Attempts in flight.
-    pub out: usize,
-    /// Mean time of answers of late, in microseconds; 0 if there is none.
+    pub in_flight: usize,
+    /// Recent mean latency, in microseconds; 0 if there is none.
     pub mean: f64,
-    /// The least mean time seen, in microseconds; 0 if there is none.
-    pub least: f64,
-    /// Mean time that would show a queue, in microseconds.
-    pub queue_from: f64,
+    /// The lowest mean latency seen, in microseconds; 0 if there is none.
+    pub lowest_mean: f64,
+    /// Mean latency above which answers show a queue, in microseconds.
+    pub queue_threshold: f64,
     /// Share of attempts that are lost while others are answered.
-    pub lost: f64,
+    pub loss_rate: f64,
     /// Why the limit is what it is.
     pub phase: Phase,
 }
@@ -43,14 +43,14 @@
         let ms = |micros: f64| micros / 1_000.0;
         write!(
             f,
-            "limit {:.2}, {} in flight, {:?}: mean {:.1} ms, least {:.1} ms, a queue from {:.1} ms, {:.1}% lost",
+            "limit {:.2}, {} in flight, {:?}: mean {:.1} ms, lowest {:.1} ms, queueing above {:.1} ms, {:.1}% lost",
             self.limit,
-            self.out,
+            self.in_flight,
             self.phase,
             ms(self.mean),
-            ms(self.least),
-            ms(self.queue_from),
-            100.0 * self.lost
+            ms(self.lowest_mean),
+            ms(self.queue_threshold),
+            100.0 * self.loss_rate
         )
     }
 }
