--- a/crates/limits/examples/follow_cost.rs
+++ b/crates/limits/examples/follow_cost.rs
@@ -1,8 +1,8 @@
-//! Nanoseconds a decision of `Follow` and `Held`: `cargo run --release -p lapisrudder-limits --example follow_cost`. Median
-//! of seven runs; run it with nothing else on the machine.
+//! Measures the time per decision of `AdaptiveLimit` and `CoalescingQueue`, as the median of seven runs. Run
+//! it on an idle machine: `cargo run --release -p lapisrudder-limits --example follow_cost`.
 
-use lapisrudder_limits::follow::{End, Follow, Settings};
-use lapisrudder_limits::held::Held;
+use lapisrudder_limits::adaptive_limit::{AdaptiveLimit, End, Settings};
+use lapisrudder_limits::coalescing_queue::CoalescingQueue;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::VecDeque;
 use std::hint::black_box;
@@ -24,39 +24,39 @@
 
 fn main() {
     for out in [1, 100, 10_000] {
-        let settings = Settings { start: out as f64, most: 1e6, ..Settings::default() };
-        let (mut follow, mut now) = (Follow::new(settings, 0), 0);
+        let settings = Settings { start: out as f64, max: 1e6, ..Settings::default() };
+        let (mut limit, mut now) = (AdaptiveLimit::new(settings, 0), 0);
         let mut rng = SmallRng::seed_from_u64(1);
-        let mut flying: VecDeque<_> = (0..out).map(|_| follow.sent(0)).collect();
-        report("follow: room, sent and ended, so many out", out, || {
+        let mut in_flight: VecDeque<_> = (0..out).map(|_| limit.sent(0)).collect();
+        report("limit: can_send, sent and ended, in flight:", out, || {
             now += 100;
-            let sent = flying.pop_front().expect("one is out");
-            // A tenth is lost.
+            let sent = in_flight.pop_front().expect("an attempt in flight");
+            // A tenth of the attempts is lost.
             let took = rng.random_range(50_000..150_000);
             let end = if took < 60_000 { End::TimedOut { took: 2_000_000 } } else { End::Answered { took } };
-            follow.ended(now, sent, end);
-            black_box(follow.room(now));
-            flying.push_back(follow.sent(now));
+            limit.ended(now, sent, end);
+            black_box(limit.can_send(now));
+            in_flight.push_back(limit.sent(now));
         });
     }
     for size in [10u64, 10_000, 500_000] {
         let mut rng = SmallRng::seed_from_u64(1);
-        let (mut held, mut next) = (Held::new(size as usize), 0);
-        // Two wait for a key on average.
-        let mut hold = |held: &mut Held<u64, u64>| {
+        let (mut queue, mut next) = (CoalescingQueue::new(size as usize), 0);
+        // Two requests wait for each key on average.
+        let mut hold = |queue: &mut CoalescingQueue<u64, u64>| {
             next += 1;
-            black_box(held.hold(rng.random_range(0..size / 2), next));
+            black_box(queue.hold(rng.random_range(0..size / 2), next));
             next
         };
-        (0..size).for_each(|_| _ = hold(&mut held));
-        report("held: hold and release, so many held", size as usize, || {
-            let id = hold(&mut held);
-            held.release(id.saturating_sub(size / 3));
+        (0..size).for_each(|_| _ = hold(&mut queue));
+        report("queue: hold and release, requests held:", size as usize, || {
+            let id = hold(&mut queue);
+            queue.release(id.saturating_sub(size / 3));
         });
-        report("held: hold one more than there is place for", size as usize, || _ = hold(&mut held));
-        report("held: pop a key and hold as many again", size as usize, || {
-            let popped = held.pop().map_or(0, |(_, ids)| ids.len());
-            (0..popped).for_each(|_| _ = hold(&mut held));
+        report("queue: hold one more when it is full", size as usize, || _ = hold(&mut queue));
+        report("queue: pop a key and hold as many again", size as usize, || {
+            let popped = queue.pop().map_or(0, |(_, ids)| ids.len());
+            (0..popped).for_each(|_| _ = hold(&mut queue));
         });
     }
 }
--- a/crates/limits/tests/simulated_backend/node.rs
+++ b/crates/limits/tests/simulated_backend/node.rs
@@ -1,76 +1,80 @@
-//! A node of the harness, and the rules that say what may be in flight at it.
+//! A simulated node, and the rules that limit its attempts in flight.
 
 use super::*;
-use lapisrudder_limits::follow::{End, Follow, Sent, Settings};
-use lapisrudder_limits::held::Held;
+use lapisrudder_limits::adaptive_limit::{AdaptiveLimit, End, Sent, Settings};
+use lapisrudder_limits::coalescing_queue::CoalescingQueue;
 use std::collections::HashMap;
 
-/// The rule before this one: `note_fetch` of the decision module at 42857a0, where answers are told from hits.
-pub struct Late {
+/// The earlier rule: `note_fetch` of the decision module at 42857a0, which knows cache hits from answers of
+/// the backend.
+pub struct LateShare {
     limit: f64,
-    least: f64,
-    best: f64,
-    late: Option<f64>,
+    min: f64,
+    lowest_latency: f64,
+    late_share: Option<f64>,
     cut_at: Micros,
 }
 
-impl Late {
+impl LateShare {
     pub fn ended(&mut self, now: Micros, took: f64, served: bool) {
         if served {
-            self.best = match self.best {
+            self.lowest_latency = match self.lowest_latency {
                 0.0 => took,
-                best if took < best => 0.9 * best + 0.1 * took,
-                best => best * 1.01,
+                lowest if took < lowest => 0.9 * lowest + 0.1 * took,
+                lowest => lowest * 1.01,
             };
         }
-        let prompt = served && took < (4.0 * self.best).max(AIM as f64 / 2.0);
-        let late = self.late.get_or_insert(if prompt { 0.0 } else { 1.0 });
-        *late += 0.08 * (if prompt { 0.0 } else { 1.0 } - *late);
-        if prompt {
+        let on_time = served && took < (4.0 * self.lowest_latency).max(LATENCY_TARGET as f64 / 2.0);
+        let late = self.late_share.get_or_insert(if on_time { 0.0 } else { 1.0 });
+        *late += 0.08 * (if on_time { 0.0 } else { 1.0 } - *late);
+        if on_time {
             self.limit += (1.0 / self.limit).min(self.limit);
         } else if *late > 0.12 && (now - self.cut_at) as f64 > took {
-            (self.limit, self.cut_at) = ((self.limit * 0.7).max(self.least), now);
+            (self.limit, self.cut_at) = ((self.limit * 0.7).max(self.min), now);
         }
     }
 }
 
 pub enum Limiter {
     Fixed(f64),
-    Late(Late),
-    Follow(Box<Follow>),
+    LateShare(LateShare),
+    Adaptive(Box<AdaptiveLimit>),
 }
 
 pub struct Node {
     pub limiter: Limiter,
-    pub out: f64,
-    pub paced: Micros,
-    pub held: Held<u64, usize>,
-    /// Keys of which an attempt is out, with those that wait for it.
+    /// Attempts in flight.
+    pub in_flight: f64,
+    /// With a limit below one: the next attempt waits until then.
+    pub paced_until: Micros,
+    pub held: CoalescingQueue<u64, usize>,
+    /// Keys with an attempt in flight, and the requests that wait for it.
     pub joined: HashMap<u64, Vec<usize>>,
-    /// Keys stored, until when.
+    /// Cached keys, with the time of expiry.
     pub stored: HashMap<u64, Micros>,
+    /// The earliest wake-up that is scheduled.
     pub wake: Micros,
 }
 
 impl Node {
-    pub fn new(day: &Day) -> Self {
-        let siblings = day.nodes as f64;
-        let limiter = match day.rule {
+    pub fn new(scenario: &Scenario) -> Self {
+        let siblings = scenario.nodes as f64;
+        let limiter = match scenario.rule {
             Rule::Fixed(all) => Limiter::Fixed(all / siblings),
-            Rule::Late => Limiter::Late(Late {
+            Rule::LateShare => Limiter::LateShare(LateShare {
                 limit: 20f64.min(60.0 / siblings).max(1.0),
-                least: (4.0 / siblings).min(1.0),
-                best: 0.0,
-                late: None,
+                min: (4.0 / siblings).min(1.0),
+                lowest_latency: 0.0,
+                late_share: None,
                 cut_at: 0,
             }),
-            Rule::Follow => Limiter::Follow(Box::new(Follow::new(settings(day.nodes), 0))),
+            Rule::Adaptive => Limiter::Adaptive(Box::new(AdaptiveLimit::new(settings(scenario.nodes), 0))),
         };
         Node {
             limiter,
-            out: 0.0,
-            paced: 0,
-            held: Held::new(1_000),
+            in_flight: 0.0,
+            paced_until: 0,
+            held: CoalescingQueue::new(1_000),
             joined: HashMap::new(),
             stored: HashMap::new(),
             wake: Micros::MAX,
@@ -80,42 +84,51 @@
     pub fn limit(&self) -> f64 {
         match &self.limiter {
             Limiter::Fixed(limit) => *limit,
-            Limiter::Late(late) => late.limit,
-            Limiter::Follow(follow) => follow.limit(),
+            Limiter::LateShare(late) => late.limit,
+            Limiter::Adaptive(limit) => limit.limit(),
         }
     }
 
-    pub fn when_room(&self, now: Micros) -> Option<Micros> {
+    pub fn next_send_at(&self, now: Micros) -> Option<Micros> {
         match &self.limiter {
-            Limiter::Follow(follow) => follow.when_room(now),
-            _ => (self.out < self.limit().floor().max(1.0)).then_some(self.paced.max(now)),
+            Limiter::Adaptive(limit) => limit.next_send_at(now),
+            _ => (self.in_flight < self.limit().floor().max(1.0)).then_some(self.paced_until.max(now)),
         }
     }
 
     pub fn sent(&mut self, now: Micros) -> Option<Sent> {
-        self.out += 1.0;
+        self.in_flight += 1.0;
         match &mut self.limiter {
-            Limiter::Follow(follow) => return Some(follow.sent(now)),
-            Limiter::Fixed(limit) if *limit < 1.0 => self.paced = now + (WORK / *limit) as Micros,
-            Limiter::Late(late) if late.limit < 1.0 => self.paced = now + (late.best / late.limit) as Micros,
+            Limiter::Adaptive(limit) => return Some(limit.sent(now)),
+            Limiter::Fixed(limit) if *limit < 1.0 => self.paced_until = now + (WORK / *limit) as Micros,
+            Limiter::LateShare(late) if late.limit < 1.0 => {
+                self.paced_until = now + (late.lowest_latency / late.limit) as Micros
+            }
             _ => {}
         }
         None
     }
 
     pub fn ended(&mut self, now: Micros, sent: Option<Sent>, end: End) {
-        self.out -= 1.0;
+        self.in_flight -= 1.0;
         match (&mut self.limiter, end) {
-            (Limiter::Follow(follow), end) => follow.ended(now, sent.expect("a token"), end),
-            (Limiter::Late(late), End::Answered { took }) => late.ended(now, took as f64, true),
-            (Limiter::Late(late), End::TimedOut { took }) => late.ended(now, took as f64, false),
+            (Limiter::Adaptive(limit), end) => {
+                limit.ended(now, sent.expect("an attempt of the adaptive limit has a token"), end)
+            }
+            (Limiter::LateShare(late), End::Answered { took }) => late.ended(now, took as f64, true),
+            (Limiter::LateShare(late), End::TimedOut { took }) => late.ended(now, took as f64, false),
             _ => {}
         }
     }
 }
 
-/// What the decision module tells each of so many nodes.
+/// The settings that the decision module uses for each of this many nodes.
 fn settings(nodes: usize) -> Settings {
     let start = 20f64.min(60.0 / nodes as f64);
-    Settings { start, least: (4.0 / nodes as f64).min(1.0), patience: AIM / 2, ..Settings::default() }
+    Settings {
+        start,
+        min: (4.0 / nodes as f64).min(1.0),
+        max_latency: LATENCY_TARGET / 2,
+        ..Settings::default()
+    }
 }
--- a/crates/limits/tests/simulated_backend/world.rs
+++ b/crates/limits/tests/simulated_backend/world.rs
@@ -1,8 +1,8 @@
-//! What happens in a day of the harness, event by event.
+//! The discrete-event simulation of a scenario.
 
 use super::node::{Limiter, Node};
 use super::*;
-use lapisrudder_limits::follow::{End, Sent};
+use lapisrudder_limits::adaptive_limit::{End, Sent};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
 use std::cmp::Reverse;
@@ -14,6 +14,7 @@
     key: u64,
     arrived: Micros,
     tries: u32,
+    /// Answered or given up.
     over: bool,
 }
 
@@ -22,51 +23,60 @@
     request: usize,
     sent: Micros,
     token: Option<Sent>,
+    /// Ended; later events of the attempt are ignored.
     over: bool,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
+enum Event {
     Arrive,
-    Again(usize),
-    /// The work of an attempt is done, unless the place has stopped since.
+    Retry(usize),
+    /// The work of an attempt is done, unless the backend has stopped since (its count of stops differs).
     Done(usize, u32),
-    /// An answer that came from elsewhere.
+    /// An answer of the cache in front of the backend.
     Answer(usize),
-    Break(usize),
+    /// The connection of a lost attempt is reset.
+    Reset(usize),
     GiveUp(usize),
+    /// A node may send a held request.
     Wake(usize),
     Flush,
+    /// The end of a second, for the report.
     Second,
 }
 
 struct World {
-    day: Day,
+    scenario: Scenario,
     rng: SmallRng,
     now: Micros,
-    agenda: BinaryHeap<Reverse<(Micros, u64, Happening)>>,
+    events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
+    /// Number of events scheduled so far: events at the same time happen in this order.
     count: u64,
     nodes: Vec<Node>,
     requests: Vec<Request>,
     attempts: Vec<Attempt>,
+    /// The backend's queue of attempts.
     queue: VecDeque<usize>,
+    /// Servers of the backend at work.
     busy: usize,
+    /// How many times the backend has stopped.
     stops: u32,
-    stopped: Micros,
-    crowded: Option<Micros>,
+    stopped_until: Micros,
+    overloaded_since: Option<Micros>,
     second: Second,
-    /// What the chances of keys are over.
-    harmonic: f64,
-    played: Played,
+    /// Normalisation of the Zipf distribution of keys.
+    zipf_norm: f64,
+    report: Report,
 }
 
-impl Day {
-    pub fn play(self) -> Played {
-        let played = Played { seconds: Vec::new(), by_node: vec![0.0; self.nodes], explained: String::new() };
+impl Scenario {
+    pub fn run(self) -> Report {
+        let report =
+            Report { seconds: Vec::new(), by_node: vec![0.0; self.nodes], explanation: String::new() };
         let mut world = World {
             rng: SmallRng::seed_from_u64(self.seed),
             now: 0,
-            agenda: BinaryHeap::new(),
+            events: BinaryHeap::new(),
             count: 0,
             nodes: (0..self.nodes).map(|_| Node::new(&self)).collect(),
             requests: Vec::new(),
@@ -74,153 +84,160 @@
             queue: VecDeque::new(),
             busy: 0,
             stops: 0,
-            stopped: 0,
-            crowded: None,
+            stopped_until: 0,
+            overloaded_since: None,
             second: Second::default(),
-            harmonic: self.cache.map_or(1.0, |c| (1..=c.keys as u64).map(|k| (k as f64).powf(-c.skew)).sum()),
-            played,
-            day: self,
+            zipf_norm: self
+                .cache
+                .map_or(1.0, |c| (1..=c.keys as u64).map(|k| (k as f64).powf(-c.skew)).sum()),
+            report,
+            scenario: self,
         };
         world.run();
-        world.played
+        world.report
     }
 }
 
 impl World {
-    fn at(&mut self, at: Micros, what: Happening) {
+    fn schedule(&mut self, at: Micros, event: Event) {
         self.count += 1;
-        self.agenda.push(Reverse((at.max(self.now), self.count, what)));
+        self.events.push(Reverse((at.max(self.now), self.count, event)));
     }
 
     fn run(&mut self) {
-        self.at(0, Happening::Arrive);
-        self.at(S, Happening::Second);
-        if let Some(at) = self.day.cache.and_then(|c| c.flush) {
-            self.at(at, Happening::Flush);
+        self.schedule(0, Event::Arrive);
+        self.schedule(S, Event::Second);
+        if let Some(at) = self.scenario.cache.and_then(|c| c.flush) {
+            self.schedule(at, Event::Flush);
         }
-        while let Some(Reverse((at, _, what))) = self.agenda.pop() {
-            if at > self.day.length {
+        while let Some(Reverse((at, _, event))) = self.events.pop() {
+            if at > self.scenario.length {
                 break;
             }
             self.now = at;
-            self.happens(what);
+            self.handle(event);
         }
-        if let Limiter::Follow(follow) = &self.nodes[0].limiter {
-            self.played.explained = follow.explain().to_string();
+        if let Limiter::Adaptive(limit) = &self.nodes[0].limiter {
+            self.report.explanation = limit.explain().to_string();
         }
     }
 
-    fn happens(&mut self, what: Happening) {
-        match what {
-            Happening::Arrive => self.arrive(),
-            Happening::Again(request) => self.ask(request),
-            Happening::Done(attempt, stops) => self.done(attempt, stops),
-            Happening::Answer(attempt) => self.answer(attempt),
-            Happening::Break(attempt) => self.fail(attempt, End::Lost),
-            Happening::GiveUp(attempt) => {
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Arrive => self.arrive(),
+            Event::Retry(request) => self.serve(request),
+            Event::Done(attempt, stops) => self.finish_work(attempt, stops),
+            Event::Answer(attempt) => self.answer(attempt),
+            Event::Reset(attempt) => self.fail(attempt, End::Lost),
+            Event::GiveUp(attempt) => {
                 let took = self.now - self.attempts[attempt].sent;
                 self.fail(attempt, End::TimedOut { took });
             }
-            Happening::Wake(node) => {
+            Event::Wake(node) => {
                 self.nodes[node].wake = Micros::MAX;
-                self.drain(node);
+                self.send_held(node);
             }
-            Happening::Flush => {
+            Event::Flush => {
                 self.nodes.iter_mut().for_each(|n| n.stored.values_mut().for_each(|until| *until = 0))
             }
-            Happening::Second => {
+            Event::Second => {
                 self.second.limit = self.nodes.iter().map(Node::limit).sum();
-                self.played.seconds.push(std::mem::take(&mut self.second));
-                self.at(self.now + S, Happening::Second);
+                self.report.seconds.push(std::mem::take(&mut self.second));
+                self.schedule(self.now + S, Event::Second);
             }
         }
     }
 
-    // Clients.
+    // ---- Clients --------------------------------------------------------------------------------------
 
     fn arrive(&mut self) {
-        let gap = Exp::new((self.day.rate)(self.now)).expect("a rate").sample(&mut self.rng);
-        self.at(self.now + (gap * 1e6) as Micros, Happening::Arrive);
-        let node = self.rng.random_range(0..self.day.nodes);
-        let key = match self.day.cache {
-            Some(c) => Zipf::new(c.keys, c.skew).expect("a skew").sample(&mut self.rng) as u64,
+        let gap = Exp::new((self.scenario.rate)(self.now)).expect("a valid rate").sample(&mut self.rng);
+        self.schedule(self.now + (gap * 1e6) as Micros, Event::Arrive);
+        let node = self.rng.random_range(0..self.scenario.nodes);
+        let key = match self.scenario.cache {
+            Some(c) => Zipf::new(c.keys, c.skew).expect("a valid exponent").sample(&mut self.rng) as u64,
             None => self.requests.len() as u64,
         };
-        self.second.asked += 1.0;
+        self.second.requests += 1.0;
         self.requests.push(Request { node, key, arrived: self.now, tries: 0, over: false });
-        self.ask(self.requests.len() - 1);
+        self.serve(self.requests.len() - 1);
     }
 
-    fn ask(&mut self, request: usize) {
+    /// Looks a request up in the cache of its node, and holds it on a miss.
+    fn serve(&mut self, request: usize) {
         let r = &mut self.requests[request];
         (r.arrived, r.tries, r.over) = (self.now, r.tries + 1, false);
         let r = *r;
-        let residual = self.day.cache.and_then(|c| self.stored_at_start(c, r.key));
+        let residual = self.scenario.cache.and_then(|c| self.stored_at_start(c, r.key));
         let node = &mut self.nodes[r.node];
         if let Some(until) = residual {
             node.stored.entry(r.key).or_insert(until);
         }
         if node.stored.get(&r.key).is_some_and(|until| *until > self.now) {
-            return self.served(request);
+            return self.complete(request);
         }
         self.second.missed += 1.0;
         match node.joined.get_mut(&r.key) {
             Some(waiting) => waiting.push(request),
-            // The rule before held each read by itself, newest first.
+            // The earlier rule held each request by itself, the newest first.
             None => {
-                _ = node
-                    .held
-                    .hold(if self.day.rule.by_key() { r.key } else { u64::MAX - request as u64 }, request)
+                _ = node.held.hold(
+                    if self.scenario.rule.holds_by_key() { r.key } else { u64::MAX - request as u64 },
+                    request,
+                )
             }
         }
-        self.drain(r.node);
+        self.send_held(r.node);
     }
 
-    /// Until when a node had a key at the start: by how often it is asked for, if nothing was in the way.
+    /// The time to which a node has a key cached initially, in the steady state of the key's request rate; 0
+    /// if it has not cached it.
     fn stored_at_start(&mut self, c: Cache, key: u64) -> Option<Micros> {
-        let asked = (self.day.rate)(0) / self.day.nodes as f64 * (key as f64).powf(-c.skew) / self.harmonic;
-        let kept = asked * c.kept / 1e6;
+        let per_s = (self.scenario.rate)(0) / self.scenario.nodes as f64 * (key as f64).powf(-c.skew)
+            / self.zipf_norm;
+        let per_ttl = per_s * c.ttl / 1e6;
         if c.flush.is_some_and(|at| self.now >= at) {
             return None;
         }
-        let there = self.rng.random::<f64>() < kept / (1.0 + kept);
-        let left = Exp::new(1.0 / c.kept).expect("a time").sample(&mut self.rng) as Micros;
-        Some(if there { left } else { 0 })
+        let cached = self.rng.random::<f64>() < per_ttl / (1.0 + per_ttl);
+        let left = Exp::new(1.0 / c.ttl).expect("a valid rate").sample(&mut self.rng) as Micros;
+        Some(if cached { left } else { 0 })
     }
 
-    fn served(&mut self, request: usize) {
+    fn complete(&mut self, request: usize) {
         let r = &mut self.requests[request];
         if !r.over {
             r.over = true;
-            if self.now - r.arrived <= AIM {
-                self.second.good += 1.0;
-                self.played.by_node[r.node] += 1.0;
+            if self.now - r.arrived <= LATENCY_TARGET {
+                self.second.on_time += 1.0;
+                self.report.by_node[r.node] += 1.0;
             }
         }
     }
 
-    /// A request that was given up; its client may come back.
-    fn refused(&mut self, request: usize) {
+    /// Gives a request up; its client may retry.
+    fn give_up(&mut self, request: usize) {
         let r = &mut self.requests[request];
         if !std::mem::replace(&mut r.over, true)
-            && let Some(c) = self.day.cache.filter(|c| r.tries <= c.retries)
+            && let Some(c) = self.scenario.cache.filter(|c| r.tries <= c.retries)
         {
             let pause = self.rng.random_range(c.pause / 4..c.pause);
-            self.at(self.now + pause, Happening::Again(request));
+            self.schedule(self.now + pause, Event::Retry(request));
         }
     }
 
-    // Nodes.
+    // ---- Nodes ----------------------------------------------------------------------------------------
 
-    fn drain(&mut self, node: usize) {
-        while let Some(at) = self.nodes[node].when_room(self.now) {
+    /// Sends held requests as far as the node's limit allows.
+    fn send_held(&mut self, node: usize) {
+        while let Some(at) = self.nodes[node].next_send_at(self.now) {
             if self.nodes[node].held.is_empty() {
                 return;
             }
             if at > self.now {
                 if at < self.nodes[node].wake {
                     self.nodes[node].wake = at;
-                    self.at(at, Happening::Wake(node));
+                    self.schedule(at, Event::Wake(node));
                 }
                 return;
             }
@@ -232,13 +249,13 @@
                 continue;
             }
             if self.nodes[node].stored.get(&key).is_some_and(|until| *until > now) {
-                waiting.into_iter().for_each(|r| self.served(r));
+                waiting.into_iter().for_each(|r| self.complete(r));
                 continue;
             }
-            // A request is worth holding for half of its aim.
+            // A request is held for at most half of its latency target.
             let (fresh, old): (Vec<usize>, Vec<usize>) =
-                waiting.into_iter().partition(|r| now - self.requests[*r].arrived < AIM / 2);
-            old.into_iter().for_each(|r| self.refused(r));
+                waiting.into_iter().partition(|r| now - self.requests[*r].arrived < LATENCY_TARGET / 2);
+            old.into_iter().for_each(|r| self.give_up(r));
             if let Some((first, rest)) = fresh.split_first() {
                 self.nodes[node].joined.insert(key, rest.to_vec());
                 self.send(*first);
@@ -247,22 +264,22 @@
     }
 
     fn send(&mut self, request: usize) {
-        let (now, place) = (self.now, self.day.place);
+        let (now, backend) = (self.now, self.scenario.backend);
         let r = self.requests[request];
         let token = self.nodes[r.node].sent(now);
         self.second.sent += 1.0;
         let attempt = self.attempts.len();
         self.attempts.push(Attempt { request, sent: now, token, over: false });
-        self.at(r.arrived + GIVE_UP, Happening::GiveUp(attempt));
-        if self.rng.random::<f64>() < (place.loses)(now) {
-            if place.breaks {
-                self.at(now + (WORK / 2.0) as Micros, Happening::Break(attempt));
+        self.schedule(r.arrived + ATTEMPT_TIMEOUT, Event::GiveUp(attempt));
+        if self.rng.random::<f64>() < (backend.loss_rate)(now) {
+            if backend.resets {
+                self.schedule(now + (WORK / 2.0) as Micros, Event::Reset(attempt));
             }
-        } else if self.rng.random::<f64>() < place.hits {
-            self.at(now + 2 * MS, Happening::Answer(attempt));
-        } else if now >= self.stopped {
+        } else if self.rng.random::<f64>() < backend.cached_share {
+            self.schedule(now + 2 * MS, Event::Answer(attempt));
+        } else if now >= self.stopped_until {
             self.queue.push_back(attempt);
-            self.work();
+            self.start_work();
         }
     }
 
@@ -274,14 +291,14 @@
         let (a, r) = (*a, self.requests[a.request]);
         let took = self.now - a.sent;
         self.nodes[r.node].ended(self.now, a.token, End::Answered { took });
-        if let Some(c) = self.day.cache {
-            let kept = Exp::new(1.0 / c.kept).expect("a time").sample(&mut self.rng);
-            self.nodes[r.node].stored.insert(r.key, self.now + kept as Micros);
+        if let Some(c) = self.scenario.cache {
+            let ttl = Exp::new(1.0 / c.ttl).expect("a valid rate").sample(&mut self.rng);
+            self.nodes[r.node].stored.insert(r.key, self.now + ttl as Micros);
         }
-        self.served(a.request);
+        self.complete(a.request);
         let waiting = self.nodes[r.node].joined.remove(&r.key).unwrap_or_default();
-        waiting.into_iter().for_each(|r| self.served(r));
-        self.drain(r.node);
+        waiting.into_iter().for_each(|r| self.complete(r));
+        self.send_held(r.node);
     }
 
     fn fail(&mut self, attempt: usize, end: End) {
@@ -291,48 +308,49 @@
         }
         let (a, r) = (*a, self.requests[a.request]);
         self.nodes[r.node].ended(self.now, a.token, end);
-        self.refused(a.request);
+        self.give_up(a.request);
         for waiting in self.nodes[r.node].joined.remove(&r.key).unwrap_or_default() {
-            let key = if self.day.rule.by_key() { r.key } else { u64::MAX - waiting as u64 };
+            let key = if self.scenario.rule.holds_by_key() { r.key } else { u64::MAX - waiting as u64 };
             self.nodes[r.node].held.hold(key, waiting);
         }
-        self.drain(r.node);
+        self.send_held(r.node);
     }
 
-    // The place.
+    // ---- The backend ----------------------------------------------------------------------------------
 
-    fn work(&mut self) {
-        let place = self.day.place;
-        let in_hand = (self.busy + self.queue.len()) as f64 / place.servers as f64;
-        if in_hand <= place.stops_over {
-            self.crowded = None;
-        } else if self.now - *self.crowded.get_or_insert(self.now) > 300 * MS {
+    /// Starts work on queued attempts, or stops the backend after too long an overload.
+    fn start_work(&mut self) {
+        let backend = self.scenario.backend;
+        let load = (self.busy + self.queue.len()) as f64 / backend.servers as f64;
+        if load <= backend.stops_above {
+            self.overloaded_since = None;
+        } else if self.now - *self.overloaded_since.get_or_insert(self.now) > 300 * MS {
             self.queue.clear();
-            (self.busy, self.crowded, self.stopped) = (0, None, self.now + 3 * S);
+            (self.busy, self.overloaded_since, self.stopped_until) = (0, None, self.now + 3 * S);
             self.stops += 1;
         }
-        while self.busy < place.servers
+        while self.busy < backend.servers
             && let Some(attempt) = self.queue.pop_front()
         {
             self.busy += 1;
-            let slower = 1.0 + place.crowding * (in_hand - 1.0).max(0.0);
-            let took = match place.work {
-                Work::Exponential => Exp::new(1.0).expect("a rate").sample(&mut self.rng),
-                Work::Tail(sigma) => {
-                    LogNormal::new(-sigma * sigma / 2.0, sigma).expect("a sigma").sample(&mut self.rng)
+            let slower = 1.0 + backend.slowdown * (load - 1.0).max(0.0);
+            let took = match backend.work {
+                Work::Exponential => Exp::new(1.0).expect("a valid rate").sample(&mut self.rng),
+                Work::HeavyTail(sigma) => {
+                    LogNormal::new(-sigma * sigma / 2.0, sigma).expect("a valid sigma").sample(&mut self.rng)
                 }
             };
-            let took = WORK * took * slower / (place.speed)(self.now);
-            self.at(self.now + took as Micros, Happening::Done(attempt, self.stops));
+            let took = WORK * took * slower / (backend.speed)(self.now);
+            self.schedule(self.now + took as Micros, Event::Done(attempt, self.stops));
         }
     }
 
-    /// The place works on what nobody waits for, too.
-    fn done(&mut self, attempt: usize, stops: u32) {
+    /// Work done, also for an attempt that was given up.
+    fn finish_work(&mut self, attempt: usize, stops: u32) {
         if stops == self.stops {
             self.busy -= 1;
             self.answer(attempt);
-            self.work();
+            self.start_work();
         }
     }
 }
