--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Who gets in and who keeps room, on real sockets. What decides is tested in `crates/limits`.
+//! Admission of connections and requests by a node with real sockets. The decisions are tested in
+//! `crates/limits`.
 
 #[allow(dead_code)]
 mod harness;
@@ -14,10 +15,11 @@
 
 const FLOODER: [u8; 4] = [127, 0, 0, 66];
 
-/// Reads of one usual client after another, each on a new connection from an address of its own that it keeps open.
-/// Gives the times that they took; a connection that was closed before its answer is made once more, as clients do, up
-/// to ten times: then the client was kept out, and has no time.
-fn usual(node: &Node, run: u8, count: u8) -> Vec<Duration> {
+/// Reads of `count` ordinary clients, one after another, each from an address of its own on a new connection
+/// that stays open. Returns how long each read took. A client whose connection is closed before the answer
+/// connects again, up to ten times in total; without an answer after that it was kept out, and its time is
+/// missing.
+fn reads_of_ordinary_clients(node: &Node, run: u8, count: u8) -> Vec<Duration> {
     let mut kept = Vec::new();
     let read = |n: u8, kept: &mut Vec<Client>| {
         let began = Instant::now();
@@ -29,14 +31,15 @@
                     kept.push(client);
                     return Some(began.elapsed());
                 }
-                // Told when to come again, it does so: ten tries within a millisecond say nothing of the node.
+                // The client waits as long as the `busy` answer says: ten tries within a millisecond would
+                // say nothing about the node.
                 Ok(answer) => {
-                    let told = answer.strip_prefix("SERVER_ERROR busy").map(str::trim);
-                    assert!(answer.is_empty() || told.is_some(), "{answer}");
-                    let wait = told.and_then(|ms| ms.parse().ok()).unwrap_or(0);
+                    let retry_ms = answer.strip_prefix("SERVER_ERROR busy").map(str::trim);
+                    assert!(answer.is_empty() || retry_ms.is_some(), "{answer}");
+                    let wait = retry_ms.and_then(|ms| ms.parse().ok()).unwrap_or(0);
                     std::thread::sleep(Duration::from_millis(wait));
                 }
-                Err(e) => assert_ne!(e.kind(), ErrorKind::WouldBlock, "no answer"),
+                Err(e) => assert_ne!(e.kind(), ErrorKind::WouldBlock, "no answer in time"),
             }
         }
         None
@@ -49,37 +52,39 @@
     times[times.len() / 2]
 }
 
-/// Ends the flood when its scope is left, also by a failed test: its threads would run on, and the node with them.
-struct Over<'a>(&'a AtomicBool);
+/// Ends the flood when its scope is left, also by a failed assertion: otherwise its threads and the node
+/// would run on.
+struct StopOnDrop<'a>(&'a AtomicBool);
 
-impl Drop for Over<'_> {
+impl Drop for StopOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Ordering::SeqCst);
     }
 }
 
-/// What usual clients see before and in a flood from one address, and what becomes of the flood.
-struct Flooded {
-    calm: Vec<Duration>,
-    flooded: Vec<Duration>,
-    /// Connections that the flood opened, and those of its reads that were served.
+/// Times of ordinary clients' reads before and during a flood from one address, and what the flood achieved.
+struct FloodReport {
+    before: Vec<Duration>,
+    during: Vec<Duration>,
+    /// Connections that the flood opened.
     connects: usize,
+    /// Reads of the flood that were served.
     served: usize,
     lasted: Duration,
 }
 
-/// So many usual clients come before the flood, and as many in it.
-fn flooded(operators: Option<&str>, usual_clients: u8) -> Flooded {
+/// Runs a flood, with `ordinary_clients` clients before it and as many during it.
+fn run_flood(operators: Option<&str>, ordinary_clients: u8) -> FloodReport {
     let holder = Scripted::answering(|asked| Some(format!("VA 4 O{} h1\r\nhere\r\n", asked.id))).unwrap();
     let mut spec = spec(&[]);
     spec.discovery.plan.members = vec![member("c", &holder.address().to_string(), "cache", "z")];
     let world = world(spec, ids(0));
     let node = Node::under(world.addresses().discovery(0).unwrap(), 160, operators);
     node.until_ready();
-    let calm = usual(&node, 1, usual_clients);
+    let before = reads_of_ordinary_clients(&node, 1, ordinary_clients);
     let over = AtomicBool::new(false);
     let (connects, served) = (AtomicUsize::new(0), AtomicUsize::new(0));
-    // Opens connections as fast as it can and keeps them; every eighth asks.
+    // Opens connections as fast as possible and keeps them; every eighth sends a read.
     let flood = |thread: usize| {
         let mut kept = VecDeque::new();
         for n in (0..).take_while(|_| !over.load(Ordering::SeqCst)) {
@@ -96,53 +101,55 @@
         }
     };
     let began = Instant::now();
-    let flooded = thread::scope(|scope| {
-        let _over = Over(&over);
+    let during = thread::scope(|scope| {
+        let _stop = StopOnDrop(&over);
         let flood = &flood;
         (0..4).for_each(|thread| _ = scope.spawn(move || flood(thread)));
         while connects.load(Ordering::SeqCst) < 400 {
             thread::yield_now();
         }
-        usual(&node, 2, usual_clients)
+        reads_of_ordinary_clients(&node, 2, ordinary_clients)
     });
     let (connects, served) = (connects.into_inner(), served.into_inner());
-    Flooded { calm, flooded, connects, served, lasted: began.elapsed() }
+    FloodReport { before, during, connects, served, lasted: began.elapsed() }
 }
 
 #[test]
-fn a_flood_from_one_address_keeps_nobody_else_out_and_gets_what_is_left() {
-    let seen = flooded(None, 60);
-    assert_eq!((seen.calm.len(), seen.flooded.len()), (60, 60), "nobody was kept out");
-    let (calm, flooded) = (median(seen.calm), median(seen.flooded));
-    assert!(flooded < calm * 50 + Duration::from_millis(200), "{flooded:?}, calm {calm:?}");
-    assert!(seen.served > 20, "the flooder is served where there is room");
+fn a_flood_from_one_address_keeps_no_other_client_out_and_gets_the_rest() {
+    let report = run_flood(None, 60);
+    assert_eq!((report.before.len(), report.during.len()), (60, 60), "no client was kept out");
+    let (before, during) = (median(report.before), median(report.during));
+    assert!(during < before * 50 + Duration::from_millis(200), "{during:?}, before {before:?}");
+    assert!(report.served > 20, "the flood is served out of free capacity");
 }
 
-/// The measurement in docs/design/limits.md: learnt closes against the fixed times, by turns in one run.
+/// The measurement in docs/design/limits.md: learned early closes against fixed times, alternating in one
+/// run.
 #[test]
-#[ignore = "a measurement; it takes a while and wants the machine for itself"]
-fn measure_a_flood_with_learnt_closes_on_and_off() {
+#[ignore = "a measurement that takes long and needs an idle machine"]
+fn measure_a_flood_with_learned_closes_on_and_off() {
     let off = "[limits.keep]\nsilent_earliest_ms = 100\nearliest_ms = 2000\nearly_ms = 2000\n";
     for run in 0..3 {
         for (name, operators) in [("on", None), ("off", Some(off))] {
-            let mut seen = flooded(operators, 100);
-            seen.flooded.sort();
-            let (last, calm) = (seen.flooded[seen.flooded.len() * 99 / 100], median(seen.calm));
+            let mut report = run_flood(operators, 100);
+            report.during.sort();
+            let (p99, before) = (report.during[report.during.len() * 99 / 100], median(report.before));
             println!(
-                "{run} {name}: {} of 100 usual clients served, median {:.1} and 99th percentile {:.1} times the calm \
-                 median of {calm:?}; {:.0} connects and {:.0} served reads of the flood a second",
-                seen.flooded.len(),
-                median(seen.flooded).as_secs_f64() / calm.as_secs_f64(),
-                last.as_secs_f64() / calm.as_secs_f64(),
-                seen.connects as f64 / seen.lasted.as_secs_f64(),
-                seen.served as f64 / seen.lasted.as_secs_f64(),
+                "{run} {name}: {} of 100 ordinary clients served, median {:.1} and 99th percentile {:.1} times \
+                 the median before the flood, {before:?}; {:.0} connects and {:.0} served reads per second \
+                 of the flood",
+                report.during.len(),
+                median(report.during).as_secs_f64() / before.as_secs_f64(),
+                p99.as_secs_f64() / before.as_secs_f64(),
+                report.connects as f64 / report.lasted.as_secs_f64(),
+                report.served as f64 / report.lasted.as_secs_f64(),
             );
         }
     }
 }
 
 #[test]
-fn all_in_flight_are_answered_though_descriptors_run_out_and_all_is_well_afterwards() {
+fn requests_in_flight_are_answered_while_descriptors_run_out_and_the_node_recovers() {
     let held = (0..20).flat_map(|c| (0..8).map(move |n| format!("{c}x{n}")));
     let world = world(spec(&["c"]), held.chain(ids(40)));
     let (c, control) = (no(&world, "c"), world.control());
@@ -155,7 +162,7 @@
             .send((0..8).map(|n| format!("mg k{c}x{n} v O{c}x{n} Pc=read,d=60000\r\n")).collect::<String>());
     }
     until(|| asked(&world, "c") > 0);
-    // Far more connects than there are descriptors; those that get in or are told so are usual too.
+    // Far more connections than descriptors; some are accepted, others are answered `busy`.
     let mut crowd: Vec<Client> =
         (0..300).filter_map(|n| node.client_from([127, 0, 3, n as u8]).ok()).collect();
     crowd.iter_mut().for_each(|c| _ = c.try_send("mn\r\n"));
@@ -163,23 +170,23 @@
     for (c, client) in clients.iter_mut().enumerate() {
         for n in 0..8 {
             let answer = client.answer();
-            let whole = answer == by("c", &format!("{c}x{n}")) || answer.starts_with("SERVER_ERROR ");
-            assert!(whole, "{c} {n}: {answer:?}");
+            let expected = answer == by("c", &format!("{c}x{n}")) || answer.starts_with("SERVER_ERROR ");
+            assert!(expected, "{c} {n}: {answer:?}");
         }
     }
     drop(crowd);
-    assert!(usual(&node, 4, 40).len() == 40, "back to normal");
+    assert!(reads_of_ordinary_clients(&node, 4, 40).len() == 40, "the node serves all clients again");
 }
 
 #[test]
-fn a_flow_finds_a_descriptor_though_the_machine_gave_fewer_than_it_said() {
+fn an_attempt_gets_a_descriptor_although_the_limit_was_lowered_at_run_time() {
     let world = world(spec(&["c"]), ids(40));
     let node = Node::limited(&world, 200);
     let pid = node.child.id().to_string();
     let lowered = Command::new("prlimit").args(["--nofile=40:40", "--pid", &pid]).status();
     assert!(lowered.expect("prlimit").success());
-    // More silent connections than there are descriptors; the member has none yet.
+    // More silent connections than descriptors, before the node has a connection to its server.
     let crowd: Vec<_> = (0..80).filter_map(|n| node.client_from([127, 0, 6, n]).ok()).collect();
-    let served = usual(&node, 4, 40).len();
+    let served = reads_of_ordinary_clients(&node, 4, 40).len();
     assert!(crowd.len() >= 40 && served == 40, "{served} of 40");
 }
--- a/tests/rules_hold.rs
+++ b/tests/rules_hold.rs
@@ -1,4 +1,4 @@
-//! Random event orders at a balancer; the four rules are checked from outside.
+//! Random sequences of events at a balancer; the four rules are checked on the actions that it returns.
 
 mod common;
 use common::*;
@@ -42,45 +42,53 @@
     Outcome::Miss,
 ];
 
-struct Try {
+struct Attempt {
     server: ServerId,
     at: Micros,
     until: Micros,
     end: Option<Outcome>,
-    /// Something was sent after it while it might have run: the window counts from it, whatever comes of it later.
+    /// Another attempt was sent while this one might have run: the repeat window begins with this one,
+    /// however it ends.
     repeated: bool,
 }
 
-struct Seen {
+/// A request as the test has seen it.
+struct Request {
     class: usize,
     due: Micros,
+    /// Answered finally, or its client has left.
     over: bool,
-    tries: Vec<Try>,
-    /// Sends paid by misses, and those that count against the budget.
-    beyond: usize,
+    attempts: Vec<Attempt>,
+    /// Retries that a miss allows, which are free.
+    after_miss: usize,
+    /// Retries that count against the budget.
     counted: usize,
 }
 
-impl Try {
-    /// Running, or ended without proof that it never ran.
+impl Attempt {
+    /// Whether it is in flight, or ended without proof that it never ran.
     fn may_run(&self) -> bool {
         use Outcome::*;
         !matches!(self.end, Some(Full | ConnectFailed | NeverSent | Miss))
     }
 }
 
-/// The world outside the balancer: it plays the steps and holds the rules against each action.
+/// The environment of the balancer: it executes the steps and checks each action against the rules.
 struct World {
     desk: Desk,
     settings: Settings,
+    /// Whether each server may be sent new attempts.
     live: BTreeMap<u64, bool>,
+    /// When attempts were sent to each cold server.
     cold: BTreeMap<u64, Vec<Micros>>,
-    seen: BTreeMap<u64, Seen>,
+    requests: BTreeMap<u64, Request>,
     wakes: Vec<Micros>,
-    warm_served: usize,
-    /// Times of requests taken and of sends after a request's first, for the budget.
+    /// Requests served so far.
+    served: usize,
+    /// Times of new requests, for the budget.
     taken: Vec<Micros>,
-    further: Vec<Micros>,
+    /// Times of retries, for the budget.
+    retries: Vec<Micros>,
 }
 
 impl World {
@@ -94,11 +102,11 @@
             settings,
             live,
             cold: BTreeMap::new(),
-            seen: BTreeMap::new(),
+            requests: BTreeMap::new(),
             wakes: Vec::new(),
-            warm_served: 0,
+            served: 0,
             taken: Vec::new(),
-            further: Vec::new(),
+            retries: Vec::new(),
         }
     }
 
@@ -107,43 +115,47 @@
         for action in actions {
             match action {
                 Action::Send { request, server, until, .. } => {
-                    assert_eq!(self.live.get(&server.0), Some(&true), "sent to {server:?}, not live");
-                    let seen = self.seen.get_mut(&request.0).expect("a known request");
-                    assert!(!seen.over, "sent after the end");
-                    assert!((seen.tries.len() as u32) < self.settings.max_attempts);
-                    let out = seen.tries.iter().any(|t| t.end.is_none());
-                    assert!(self.settings.second_copies || !out, "two copies");
-                    let effect = self.settings.classes.get(seen.class).map(|c| c.effect);
-                    let may_run = seen.tries.iter().any(Try::may_run);
-                    seen.tries.iter_mut().for_each(|t| t.repeated |= t.may_run());
-                    for t in seen.tries.iter().filter(|t| may_run && t.repeated) {
+                    assert_eq!(
+                        self.live.get(&server.0),
+                        Some(&true),
+                        "sent to {server:?}, which is not live"
+                    );
+                    let record = self.requests.get_mut(&request.0).expect("a known request");
+                    assert!(!record.over, "sent after the final answer");
+                    assert!((record.attempts.len() as u32) < self.settings.max_attempts);
+                    let out = record.attempts.iter().any(|t| t.end.is_none());
+                    assert!(self.settings.second_copies || !out, "two attempts in flight at a time");
+                    let effect = self.settings.classes.get(record.class).map(|c| c.effect);
+                    let may_run = record.attempts.iter().any(Attempt::may_run);
+                    record.attempts.iter_mut().for_each(|t| t.repeated |= t.may_run());
+                    for t in record.attempts.iter().filter(|t| may_run && t.repeated) {
                         match effect {
                             Some(Effect::Safe) => {}
                             Some(Effect::Keyed) => {
-                                assert!(now - t.at <= self.settings.classes[seen.class].repeat_window);
+                                assert!(now - t.at <= self.settings.classes[record.class].repeat_window);
                             }
-                            _ => panic!("an unsafe request went out twice"),
+                            _ => panic!("an unsafe request was sent twice"),
                         }
                     }
-                    let misses = seen.tries.iter().filter(|t| t.end == Some(Outcome::Miss)).count();
-                    if !seen.tries.is_empty() {
-                        seen.beyond += 1;
-                        if seen.beyond > misses {
-                            seen.beyond -= 1;
-                            seen.counted += 1;
+                    let misses = record.attempts.iter().filter(|t| t.end == Some(Outcome::Miss)).count();
+                    if !record.attempts.is_empty() {
+                        record.after_miss += 1;
+                        if record.after_miss > misses {
+                            record.after_miss -= 1;
+                            record.counted += 1;
                         }
                     }
-                    if let Some(b) = self.settings.budget.filter(|_| seen.counted > 0) {
-                        self.further.extend((0..seen.counted).map(|_| now));
-                        seen.counted = 0;
+                    if let Some(b) = self.settings.budget.filter(|_| record.counted > 0) {
+                        self.retries.extend((0..record.counted).map(|_| now));
+                        record.counted = 0;
                         let inside = |times: &[Micros]| times.iter().filter(|t| now - **t < b.span).count();
                         let most = b.free + b.share * inside(&self.taken) as f64;
-                        assert!(inside(&self.further) as f64 <= most, "over the budget");
+                        assert!(inside(&self.retries) as f64 <= most, "more retries than the budget allows");
                     }
-                    seen.tries.push(Try {
+                    record.attempts.push(Attempt {
                         server,
                         at: now,
-                        until: until.min(seen.due),
+                        until: until.min(record.due),
                         end: None,
                         repeated: false,
                     });
@@ -152,43 +164,46 @@
                     }
                 }
                 Action::Refuse { request, .. } => {
-                    let seen = self.seen.get_mut(&request.0).expect("a known request");
-                    assert!(!std::mem::replace(&mut seen.over, true), "two final answers");
-                    let effect = self.settings.classes.get(seen.class).map(|c| c.effect);
-                    let may_run = seen.tries.iter().any(Try::may_run);
-                    assert!(!may_run || matches!(effect, Some(Effect::Safe)), "refused what may have run");
+                    let record = self.requests.get_mut(&request.0).expect("a known request");
+                    assert!(!std::mem::replace(&mut record.over, true), "two final answers");
+                    let effect = self.settings.classes.get(record.class).map(|c| c.effect);
+                    let may_run = record.attempts.iter().any(Attempt::may_run);
+                    assert!(
+                        !may_run || matches!(effect, Some(Effect::Safe)),
+                        "refused a request that may have run"
+                    );
                 }
                 Action::Fail { request } => {
-                    let seen = self.seen.get_mut(&request.0).expect("a known request");
-                    assert!(!std::mem::replace(&mut seen.over, true), "two final answers");
+                    let record = self.requests.get_mut(&request.0).expect("a known request");
+                    assert!(!std::mem::replace(&mut record.over, true), "two final answers");
                 }
                 Action::Wake { after } => self.wakes.push(now + after),
                 Action::Cancel { .. } | Action::Watch => {}
             }
         }
-        self.counts();
+        self.check_in_flight();
     }
 
-    /// Each server's count in flight is that of the attempts out there: raised once and lowered once for each, whatever
-    /// ends it and whatever the list says of the server meanwhile.
-    fn counts(&self) {
+    /// The balancer's count of attempts in flight at each server is right: each attempt raises it once and
+    /// lowers it once, however it ends and whatever the list says about the server meanwhile.
+    fn check_in_flight(&self) {
         let mut out: BTreeMap<ServerId, f64> = (1..=8).map(|s| (ServerId(s), 0.0)).collect();
-        for t in self.seen.values().flat_map(|s| &s.tries).filter(|t| t.end.is_none()) {
+        for t in self.requests.values().flat_map(|s| &s.attempts).filter(|t| t.end.is_none()) {
             *out.entry(t.server).or_default() += 1.0;
         }
         for (server, out) in out {
             let counted = self.desk.balancer.in_flight(server);
-            assert_eq!(counted, out, "{server:?}: {out} are out, and {counted} are counted");
+            assert_eq!(counted, out, "{server:?}: {out} in flight, but {counted} counted");
         }
     }
 
     fn end(&mut self, request: u64, attempt: usize, outcome: Outcome) {
-        let seen = self.seen.get_mut(&request).expect("known");
-        seen.tries[attempt].end = Some(outcome);
-        seen.over |= outcome == Outcome::Served;
-        let (server, finished) = (seen.tries[attempt].server, seen.over);
-        self.warm_served += usize::from(outcome == Outcome::Served);
-        let took = (self.desk.now - seen.tries[attempt].at).max(0);
+        let record = self.requests.get_mut(&request).expect("known");
+        record.attempts[attempt].end = Some(outcome);
+        record.over |= outcome == Outcome::Served;
+        let (server, finished) = (record.attempts[attempt].server, record.over);
+        self.served += usize::from(outcome == Outcome::Served);
+        let took = (self.desk.now - record.attempts[attempt].at).max(0);
         let actions = self.desk.event(Event::Ended(Ended {
             request: RequestId(request),
             attempt: attempt as u32,
@@ -202,8 +217,9 @@
         self.check(actions);
     }
 
-    /// Lets time pass as the caller would: wake-ups, time-outs, and an answer owed by each deadline.
-    fn pass(&mut self, to: Micros) {
+    /// Advances time as the caller would, with wake-ups and time-outs, and checks that each request has its
+    /// final answer by its deadline.
+    fn advance(&mut self, to: Micros) {
         while self.desk.now < to {
             self.desk.now = (self.desk.now + 5 * MS).min(to);
             let now = self.desk.now;
@@ -213,35 +229,38 @@
                 self.check(actions);
             }
             let expired: Vec<(u64, usize)> = self
-                .seen
+                .requests
                 .iter()
-                .flat_map(|(id, s)| s.tries.iter().enumerate().map(move |(n, t)| (*id, n, t)))
+                .flat_map(|(id, s)| s.attempts.iter().enumerate().map(move |(n, t)| (*id, n, t)))
                 .filter(|(_, _, t)| t.end.is_none() && t.until <= now)
                 .map(|(id, n, _)| (id, n))
                 .collect();
             for (id, n) in expired {
                 self.end(id, n, Outcome::TimedOut);
             }
-            let owed = self.seen.iter().find(|(_, s)| !s.over && now > s.due + 10 * MS);
-            assert!(owed.is_none(), "no final answer for request {:?}", owed.map(|(id, _)| id));
+            let unanswered = self.requests.iter().find(|(_, s)| !s.over && now > s.due + 10 * MS);
+            assert!(unanswered.is_none(), "no final answer for request {:?}", unanswered.map(|(id, _)| id));
         }
     }
 
-    fn play(&mut self, step: Step) {
+    fn execute(&mut self, step: Step) {
         match step {
             Step::Request { key, class, write } => {
                 let due = self.desk.now + 2 * S;
                 let id = self.desk.next + 1;
-                self.seen.insert(id, Seen { class, due, over: false, tries: vec![], beyond: 0, counted: 0 });
+                self.requests.insert(
+                    id,
+                    Request { class, due, over: false, attempts: vec![], after_miss: 0, counted: 0 },
+                );
                 self.taken.push(self.desk.now);
                 let (_, actions) = self.desk.request(key, class, write);
                 self.check(actions);
             }
             Step::End { pick, outcome } => {
                 let out: Vec<(u64, usize)> = self
-                    .seen
+                    .requests
                     .iter()
-                    .flat_map(|(id, s)| s.tries.iter().enumerate().map(move |(n, t)| (*id, n, t.end)))
+                    .flat_map(|(id, s)| s.attempts.iter().enumerate().map(move |(n, t)| (*id, n, t.end)))
                     .filter(|(_, _, end)| end.is_none())
                     .map(|(id, n, _)| (id, n))
                     .collect();
@@ -251,22 +270,23 @@
                 }
             }
             Step::Leave { pick } => {
-                let open: Vec<u64> = self.seen.iter().filter(|(_, s)| !s.over).map(|(id, _)| *id).collect();
+                let open: Vec<u64> =
+                    self.requests.iter().filter(|(_, s)| !s.over).map(|(id, _)| *id).collect();
                 if !open.is_empty() {
                     let id = open[pick % open.len()];
-                    self.seen.get_mut(&id).expect("known").over = true;
+                    self.requests.get_mut(&id).expect("known").over = true;
                     let actions = self.desk.event(Event::ClientLeft { request: RequestId(id) });
                     self.check(actions);
                 }
             }
-            Step::Wait { ms } => self.pass(self.desk.now + ms * MS),
+            Step::Wait { ms } => self.advance(self.desk.now + ms * MS),
             Step::List { server, stage, restarts } => {
                 let stage = [Stage::Live, Stage::Draining, Stage::Gone][stage];
                 let since = (restarts && stage == Stage::Live).then_some(self.desk.now);
                 match since {
                     Some(_) => self.cold.insert(server, vec![]),
                     None if self.settings.gone_is_advice => None,
-                    None => self.cold.remove(&server), // listed as warm, or not to be sent to at all
+                    None => self.cold.remove(&server), // listed as warm, or not to be used at all
                 };
                 let was = self.live.get(&server).copied();
                 let may = match (self.settings.gone_is_advice, stage) {
@@ -292,18 +312,22 @@
         }
     }
 
-    /// A cold server gets no more than a warm one could have carried, and two to begin with.
+    /// A cold server gets no more attempts in an overload window than a warm server could have served,
+    /// bounded here by all requests served so far plus four.
     fn check_cold(&self) {
         for (server, sends) in &self.cold {
             for (n, at) in sends.iter().enumerate() {
                 let window = sends[..=n].iter().filter(|t| at - **t < self.settings.tip_window).count();
-                assert!(window <= self.warm_served + 4, "server {server} was pushed: {window} in a window");
+                assert!(
+                    window <= self.served + 4,
+                    "cold server {server} was overloaded: {window} attempts in a window"
+                );
             }
         }
     }
 }
 
-fn hold(change: impl Fn(&mut Settings)) {
+fn check_rules(change: impl Fn(&mut Settings)) {
     let mut settings = settings();
     settings.must_ask = true;
     change(&mut settings);
@@ -314,8 +338,8 @@
     runner
         .run(&steps, |steps| {
             let mut world = World::new(settings.clone());
-            steps.into_iter().for_each(|s| world.play(s));
-            world.pass(world.desk.now + 3 * S);
+            steps.into_iter().for_each(|s| world.execute(s));
+            world.advance(world.desk.now + 3 * S);
             world.check_cold();
             Ok(())
         })
@@ -323,29 +347,29 @@
 }
 
 #[test]
-fn through() {
-    hold(|_| {});
+fn rules_hold_in_through_mode() {
+    check_rules(|_| {});
 }
 
 #[test]
-fn aside() {
-    hold(|s| (s.mode, s.origin_kind) = (Mode::Aside, Some(1)));
+fn rules_hold_in_aside_mode() {
+    check_rules(|s| (s.mode, s.origin_kind) = (Mode::Aside, Some(1)));
 }
 
 #[test]
-fn without_second_copies() {
-    hold(|s| s.second_copies = false);
+fn rules_hold_without_hedged_attempts() {
+    check_rules(|s| s.second_copies = false);
 }
 
 #[test]
-fn with_a_budget_and_doubted_servers() {
+fn rules_hold_with_a_retry_budget_where_gone_is_advice() {
     for free in [0.0, 2.0] {
-        hold(|s| {
+        check_rules(|s| {
             s.budget = Some(Budget { free, share: 0.1, span: 700 * MS });
             s.gone_is_advice = true;
             (s.mode, s.origin_kind) = (Mode::Aside, Some(1));
         });
-        hold(|s| {
+        check_rules(|s| {
             s.budget = Some(Budget { free, share: 0.3, span: 2 * S });
             s.gone_is_advice = true;
         });
