--- a/tests/rules_hold.rs
+++ b/tests/rules_hold.rs
@@ -7,6 +7,9 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
 
+/// A random event. `End`: an attempt in flight ends. `Leave`: a client leaves before its final answer. `List`:
+/// discovery reports a server. `Lost`: the subscription to discovery breaks. `Unknown`: an attempt of a request
+/// that the balancer does not know ends.
 #[derive(Clone, Debug)]
 enum Step {
     Request { key: u64, class: usize, write: bool },
