--- a/crates/engine/src/connection.rs
+++ b/crates/engine/src/connection.rs
@@ -73,7 +73,7 @@
     /// Whether it may begin.
     fn permit(&self, now: Micros, server_open: bool) -> Result<(), Denial> {
         let Flow { call, until, begin_by, .. } = &self.flow;
-        Begin { now, owed: !call.answered(), until: *until, begin_by: *begin_by, server_open }.check()
+        Begin { now, pending: !call.answered(), until: *until, begin_by: *begin_by, server_open }.check()
     }
 }
 
@@ -292,7 +292,7 @@
             let taken = bytes.min(place.bytes.len() - place.written);
             if place.written == 0 && taken > 0 {
                 let permitted = place.permit(checks.now, checks.server_open);
-                checks.violations.note(permitted);
+                checks.violations.record(permitted);
                 checks.begun.push((place.flow.id, permitted));
             }
             place.written += taken;
--- a/crates/engine/tests/crossings.rs
+++ b/crates/engine/tests/crossings.rs
@@ -64,7 +64,7 @@
 
 impl Host {
     fn new(may_cancel: bool) -> Host {
-        let class = Class { aim: 20 * MS, worth: 1.0, ..Class::default() };
+        let class = Class { latency_target: 20 * MS, worth: 1.0, ..Class::default() };
         let settings = Settings {
             classes: vec![class],
             mode: Mode::Aside,
@@ -201,12 +201,12 @@
                 let before = host.written;
                 assert_eq!(before == 0, matches!(state, State::Connecting | State::Unwritten), "{case}");
                 assert!(host.engine.is_open(RequestId(1)), "{case}");
-                assert!(host.engine.left(host.now, RequestId(1)), "{case}");
+                assert!(host.engine.client_left(host.now, RequestId(1)), "{case}");
                 (host.ended, host.room, host.connects) = (true, usize::MAX, true);
                 host.turn();
                 host.comes(later);
                 assert_eq!(host.written, before, "{case}");
-                assert_eq!((host.engine.open(), host.engine.denied()), (0, 0), "{case}");
+                assert_eq!((host.engine.open_count(), host.engine.denied()), (0, 0), "{case}");
             }
         }
     }
--- a/crates/engine/tests/large.rs
+++ b/crates/engine/tests/large.rs
@@ -51,7 +51,7 @@
 
 #[test]
 fn the_end_of_another_copy_does_not_call_off_the_one_that_is_passed_on() {
-    let class = Class { aim: 400_000, worth: 1.0, ..Class::default() };
+    let class = Class { latency_target: 400_000, worth: 1.0, ..Class::default() };
     let settings = Settings {
         classes: vec![class],
         max_attempts: 3,
@@ -85,5 +85,5 @@
     assert!(engine.received(9_500_000, second, b"\r\n", &mut passed));
     turn(&mut engine, 9_500_000);
     assert!((passed.bytes, passed.ended) == (100_000, true), "{}", passed.bytes);
-    assert_eq!((engine.open(), engine.flows()), (0, 0));
+    assert_eq!((engine.open_count(), engine.flows()), (0, 0));
 }
--- a/crates/engine/tests/turn.rs
+++ b/crates/engine/tests/turn.rs
@@ -5,7 +5,7 @@
 use lapisrudder_engine::{Answer, Config, Engine, Final, Limits, Member, Order, Request, TakeError};
 
 fn engine() -> Engine {
-    let class = Class { aim: 750_000, worth: 1.0, ..Class::default() };
+    let class = Class { latency_target: 750_000, worth: 1.0, ..Class::default() };
     let settings = Settings {
         classes: vec![class],
         mode: Mode::Aside,
@@ -48,10 +48,10 @@
     assert_eq!(engine.take(0, RequestId(2), request("a", false)), Err(TakeError::IdInUse));
     assert_eq!(engine.take(0, RequestId(2), other_class), Err(TakeError::UnknownClass));
     assert_eq!(engine.take(0, RequestId(1), request("b", false)), Err(TakeError::NumberInUse));
-    assert_eq!(engine.open(), 1);
-    assert!(engine.left(0, RequestId(1)) && !engine.left(0, RequestId(1)) && !engine.left(0, RequestId(9)));
+    assert_eq!(engine.open_count(), 1);
+    assert!(engine.client_left(0, RequestId(1)) && !engine.client_left(0, RequestId(1)) && !engine.client_left(0, RequestId(9)));
     while engine.poll_order(0).is_some() {}
-    assert!(!engine.is_named(b"a") && engine.open() == 0);
+    assert!(!engine.is_id_in_use(b"a") && engine.open_count() == 0);
 }
 
 #[test]
@@ -69,7 +69,7 @@
     engine.take(0, RequestId(1), request("a", false)).unwrap();
     let Some(Order::Connect { conn, .. }) = engine.poll_order(0) else { panic!() };
     assert!(!engine.received(0, conn, b"VA 1 Oa\r\nv\r\n", &mut none));
-    assert_eq!((engine.poll_order(0), engine.open(), engine.connections()), (None, 1, 1));
+    assert_eq!((engine.poll_order(0), engine.open_count(), engine.connections()), (None, 1, 1));
 }
 
 /// Danger: the second copy of an answer, some milliseconds late, cost who asked next its connection, and counted as a break.
@@ -110,7 +110,7 @@
 /// Danger: a large value that its host does not want was read past, and counted as ended: another attempt went out beside it.
 #[test]
 fn what_is_not_wanted_is_not_out_any_more_when_the_next_attempt_goes() {
-    let class = Class { aim: 750_000, worth: 1.0, ..Class::default() };
+    let class = Class { latency_target: 750_000, worth: 1.0, ..Class::default() };
     let settings = Settings { classes: vec![class], max_attempts: 3, siblings: 1, ..Settings::default() };
     let limits = Limits { per_member: 1, multiplex: 4, in_all: 9, ..Limits::default() };
     let mut engine = Engine::new(Config { settings, limits, ..Config::default() }, 0);
@@ -177,7 +177,7 @@
 /// same connection or the settings allow no cancel, and ran.
 #[test]
 fn what_is_half_written_when_its_request_ends_is_broken_off() {
-    let class = Class { aim: 750_000, worth: 1.0, ..Class::default() };
+    let class = Class { latency_target: 750_000, worth: 1.0, ..Class::default() };
     let settings = Settings { classes: vec![class], max_attempts: 1, siblings: 1, ..Settings::default() };
     let limits = Limits { per_member: 1, multiplex: 4, in_all: 9, ..Limits::default() };
     let mut engine = Engine::new(Config { settings, limits, ..Config::default() }, 0);
@@ -196,7 +196,7 @@
     let conn = on.unwrap();
     let bytes: Vec<u8> = engine.transmit(conn).flatten().copied().collect();
     let first = if String::from_utf8_lossy(&bytes).contains("Oa ") { RequestId(1) } else { RequestId(2) };
-    assert!(engine.left(1, first));
+    assert!(engine.client_left(1, first));
     assert_eq!(engine.poll_order(1), Some(Order::Close { conn }), "the rest of it never goes out");
     assert!(engine.poll_order(1).is_some(), "the other goes on elsewhere");
 }
--- a/src/net/requests.rs
+++ b/src/net/requests.rs
@@ -92,7 +92,7 @@
     /// Ends a request: its client is answered, the limits are told, and its attempts are called off.
     pub fn close(&mut self, id: RequestId, ending: Ending<'_>, parties: Parties<'_>) {
         let Parties { server, engine, deadlines, now } = parties;
-        engine.left(now, id);
+        engine.client_left(now, id);
         let reason = match &ending {
             Ending::Answer(_, reason) => *reason,
             Ending::ClientLeft => EndReason::ClientLeft,
@@ -122,14 +122,14 @@
     /// Counts an answer that is given later than it may be.
     fn note_answer(&mut self, id: RequestId, time: &RequestTime, server: &mut VirtualServer, now: Micros) {
         if time.is_missed(now) {
-            server.violations.note(Err(Denial::AnsweredLate));
+            server.violations.record(Err(Denial::AnsweredLate));
             self.recorder.note(now, id, None, Step::Violated(Denial::AnsweredLate));
         }
     }
 
     /// Requests about which this record and the engine's differ. Nothing may be on its way between the two.
     pub fn differences(&self, engine: &Engine) -> Vec<Difference> {
-        if self.open.len() - self.streaming == engine.open() {
+        if self.open.len() - self.streaming == engine.open_count() {
             return Vec::new();
         }
         let here = self.open.iter().filter(|(id, request)| !request.streams && !engine.is_open(**id));
@@ -140,8 +140,8 @@
 
     /// Counts a request about which the records differed.
     pub fn note_difference(&mut self, difference: Difference, server: &mut VirtualServer, now: Micros) {
-        server.violations.note(Err(Denial::BooksDiffer));
-        self.recorder.note(now, difference.request, None, Step::Violated(Denial::BooksDiffer));
+        server.violations.record(Err(Denial::AccountingMismatch));
+        self.recorder.note(now, difference.request, None, Step::Violated(Denial::AccountingMismatch));
     }
 }
 
--- a/tests/answered.rs
+++ b/tests/answered.rs
@@ -66,7 +66,7 @@
         let settings = SETTINGS.replace(r#""give-up-s":2.5"#, r#""give-up-s":0.3"#);
         let settings = settings.replace(r#""give-up-s":5.0"#, r#""give-up-s":0.3"#);
         let node = Node::set(self.world.addresses().discovery(0).expect("discovery"), &settings);
-        node.until_ready();
+        node.wait_ready();
         node
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,16 +6,16 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 /// An answer after a third of the aim: neither quick enough to show that its server bears more, nor late.
-pub const TELLS_NOTHING: Micros = 170 * MS;
+pub const NEUTRAL_LATENCY: Micros = 170 * MS;
 
-pub struct Desk {
+pub struct TestBalancer {
     pub balancer: Balancer,
     pub now: Micros,
     pub next: u64,
 }
 
 pub fn class(effect: Effect) -> Class {
-    Class { aim: 500 * MS, worth: 1.0, effect, repeat_window: S, ..Class::default() }
+    Class { latency_target: 500 * MS, worth: 1.0, effect, repeat_window: S, ..Class::default() }
 }
 
 /// Classes 0, 1, 2 are safe, keyed, unsafe.
@@ -41,15 +41,15 @@
     Listed { server: ServerId(server), weight: 1.0, ..Listed::default() }
 }
 
-impl Desk {
-    pub fn new(settings: Settings, list: Vec<Listed>) -> Desk {
-        let mut desk = Desk { balancer: Balancer::new(7, settings, 0), now: S, next: 0 };
-        desk.event(Event::Servers { scope: Scope::Remembered, list });
-        desk
+impl TestBalancer {
+    pub fn new(settings: Settings, list: Vec<Listed>) -> TestBalancer {
+        let mut lb = TestBalancer { balancer: Balancer::new(7, settings, 0), now: S, next: 0 };
+        lb.event(Event::Servers { scope: Scope::Remembered, list });
+        lb
     }
 
-    pub fn of(servers: u64) -> Desk {
-        Desk::new(settings(), (1..=servers).map(listed).collect())
+    pub fn of(servers: u64) -> TestBalancer {
+        TestBalancer::new(settings(), (1..=servers).map(listed).collect())
     }
 
     pub fn event(&mut self, event: Event) -> Vec<Action> {
@@ -86,11 +86,11 @@
     }
 
     pub fn ended(&mut self, id: RequestId, attempt: u32, server: ServerId, outcome: Outcome) -> Vec<Action> {
-        self.ended_noted(id, attempt, server, outcome, Some(CacheNote::Hit))
+        self.end_attempt_with_note(id, attempt, server, outcome, Some(CacheNote::Hit))
     }
 
     /// The first attempt has ended so long after it was sent.
-    pub fn ended_after(
+    pub fn end_first_attempt_after(
         &mut self,
         request: RequestId,
         server: ServerId,
@@ -102,7 +102,7 @@
         self.event(Event::Ended(end))
     }
 
-    pub fn ended_noted(
+    pub fn end_attempt_with_note(
         &mut self,
         request: RequestId,
         attempt: u32,
@@ -120,7 +120,7 @@
     pub fn hit(&mut self, key: u64) -> ServerId {
         let (id, server) = self.read(key);
         let server = server.expect("sent");
-        self.ended(id, 0, server, Outcome::Served);
+        self.end_attempt(id, 0, server, Outcome::Served);
         server
     }
 
@@ -128,11 +128,11 @@
     pub fn hit_after(&mut self, key: u64, took: Micros) -> ServerId {
         let (id, server) = self.read(key);
         let server = server.expect("sent");
-        self.ended_after(id, server, Outcome::Served, took);
+        self.end_first_attempt_after(id, server, Outcome::Served, took);
         server
     }
 
-    pub fn wake_after(&mut self, after: Micros) -> Vec<Action> {
+    pub fn advance_and_wake(&mut self, after: Micros) -> Vec<Action> {
         self.now += after;
         self.event(Event::Wake)
     }
--- a/tests/drained.rs
+++ b/tests/drained.rs
@@ -123,7 +123,7 @@
 fn silence(world: &World<Books>, silent: bool) {
     let micros = if silent { 60_000_000 } else { 0 };
     let servers = ["a", "b"].into_iter();
-    servers.for_each(|uid| world.control().pause(no(world, uid), micros).expect("paused"));
+    servers.for_each(|uid| world.control().pause(server_no(world, uid), micros).expect("paused"));
 }
 
 fn warm() -> World<Books> {
@@ -186,12 +186,12 @@
     // What is owed stays with the old process.
     silence(&world, true);
     let ends = crowd(&node, Habit { clients: 12, outstanding: 1, rest: Duration::from_millis(300) });
-    until(|| asked(&world, "a") + asked(&world, "b") == 12);
+    wait_until(|| requests_received(&world, "a") + requests_received(&world, "b") == 12);
     let told = drain(&node);
     let new = Node::beside_unready(&node);
-    until(|| node.call("status\n") == "fail replaced by another process\n");
+    wait_until(|| node.call("status\n") == "fail replaced by another process\n");
     drop(new);
-    until(|| node.call("status\n") == "fail draining\n");
+    wait_until(|| node.call("status\n") == "fail draining\n");
     silence(&world, false);
     let held = held_when_over("a replacement dies", &node, told);
     drop(node);
@@ -220,7 +220,7 @@
     let world = warm();
     let mut control = table(1);
     let node = start(world.addresses().discovery(0).expect("discovery"), &control);
-    node.until_ready();
+    node.wait_ready();
     let ends = crowd(&node, Habit::busy(12, 64));
     control.add(Rule::always(Call::Accept, EMFILE).on(&[Descriptor::Management])).expect("a rule");
     let told = Instant::now();
@@ -307,7 +307,7 @@
     let old = Node::replaceable(&world, 384);
     drain(&old);
     let new = Node::beside_unready(&old);
-    until(|| new.call("status\n") == "fail draining\n");
+    wait_until(|| new.call("status\n") == "fail draining\n");
     assert_eq!(
         new.client().ask("mn\r\n"),
         "SERVER_ERROR draining\r\n",
@@ -315,12 +315,12 @@
     );
     assert_eq!(new.call("active\n"), "ok serving\n");
     drop(new);
-    until(|| old.call("status\n") == "ok ready\n");
-    assert_eq!(old.client().read("1", 60_000).len(), by("a", "1").len());
+    wait_until(|| old.call("status\n") == "ok ready\n");
+    assert_eq!(old.client().read("1", 60_000).len(), value_from("a", "1").len());
     let new = Node::beside(&old);
     assert_eq!(new.call("standby\n"), "ok draining\n");
     drop(new);
-    until(|| old.call("status\n") == "fail draining\n");
+    wait_until(|| old.call("status\n") == "fail draining\n");
 }
 
 /// Guards against: a request that crossed the close of its connection had that reset as soon as its first bytes were read, or
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -45,7 +45,7 @@
     fn note(&mut self, answer: std::io::Result<String>, id: &str, took: Duration) {
         self.asked += 1;
         match answer {
-            Ok(line) if line == by("a", id) || line == by("b", id) => self.served += 1,
+            Ok(line) if line == value_from("a", id) || line == value_from("b", id) => self.served += 1,
             Ok(line) if line.starts_with("SERVER_ERROR busy") => self.refused += 1,
             Ok(line) if line.is_empty() => self.closed += 1,
             Err(e) if e.kind() == ErrorKind::ConnectionReset => self.reset += 1,
@@ -108,7 +108,7 @@
     let world = world(spec(&["a", "b"]), ids(CLIENTS * REQUESTS));
     let mut control = table(1);
     let node = start(world.addresses().discovery(0).expect("discovery"), &control);
-    node.until_ready();
+    node.wait_ready();
     rules.iter().for_each(|rule| control.add(*rule).expect("a rule"));
     let until = Instant::now() + PLAY;
     let node = &node;
@@ -204,7 +204,7 @@
     let world = world(spec(&["a", "b"]), ids(NEW));
     let mut control = table(1);
     let node = start(world.addresses().discovery(0).expect("discovery"), &control);
-    node.until_ready();
+    node.wait_ready();
     let mut kept: Vec<Client> = (0..40).map(|_| node.client()).collect();
     kept.iter_mut().for_each(|client| assert_eq!(client.ask("mn\r\n"), "MN\r\n"));
     control.add(Rule::often(Call::Accept, EMFILE, 0.8).on(&[Descriptor::Listener])).expect("a rule");
@@ -233,7 +233,7 @@
         let mut unserved = Vec::new();
         for (n, client) in new.iter_mut().enumerate() {
             let (line, id) = (client.answer_by(told + OVER).unwrap_or_default(), n.to_string());
-            if line != by("a", &id) && line != by("b", &id) {
+            if line != value_from("a", &id) && line != value_from("b", &id) {
                 unserved.push((n, line));
             }
         }
@@ -251,7 +251,7 @@
     rules.iter().for_each(|rule| control.add(*rule).expect("a rule"));
     let discovery = world.addresses().discovery(0).expect("discovery");
     let mut node = start(discovery, &control);
-    node.until_ready();
+    node.wait_ready();
     let (mut kept, mut wrong) = (node.client(), Vec::new());
     for id in (first_id..first_id + 4).map(|id| id.to_string()) {
         for answer in [kept.read(&id, WAIT_MS), node.client().read(&format!("{id}x"), WAIT_MS)] {
@@ -357,7 +357,7 @@
         let discovery = world.addresses().discovery(0).expect("discovery");
         control.set(faults::DISCOVERY_PORT, discovery.port().into()).expect("set");
         let mut node = Node::replaceable_under(discovery, 384, Some(control.path()));
-        until(|| node.call("status\n") == "ok ready\n");
+        wait_until(|| node.call("status\n") == "ok ready\n");
         rules.iter().for_each(|rule| control.add(*rule).expect("a rule"));
         let (address, over) = (node.address, AtomicBool::new(false));
         let tally = thread::scope(|scope| {
@@ -390,7 +390,7 @@
     let world = world(spec(&["a", "b"]), ids(1));
     let mut control = table(1);
     let node = start(world.addresses().discovery(0).expect("discovery"), &control);
-    node.until_ready();
+    node.wait_ready();
     for rule in [
         often(Call::Accept, EMFILE),
         often(Call::EpollCtl, ENOMEM),
@@ -410,7 +410,7 @@
     // Longer than one reading of the file tries again.
     control.add(Rule { most: 40, ..Rule::always(Call::Open, EIO) }).expect("a rule");
     node.reload(|text| text.replace(r#""name":"put""#, r#""name":"book""#));
-    until(|| {
+    wait_until(|| {
         let answer = node.client().ask("mg k0 v O0 Pc=book,d=1000\r\n");
         answer != "CLIENT_ERROR unknown class\r\n"
     });
@@ -428,7 +428,7 @@
     let world = world(spec(&["a", "b"]), ids(ROUNDS * (KEPT + 1)));
     let mut control = table(1);
     let node = start(world.addresses().discovery(0).expect("discovery"), &control);
-    node.until_ready();
+    node.wait_ready();
     let mut kept: Vec<Client> = (0..KEPT).map(|_| node.client()).collect();
     control.add(Rule::often(Call::Accept, ENFILE, 0.7).on(&[Descriptor::Listener])).expect("a rule");
     for round in 0..ROUNDS {
@@ -451,7 +451,7 @@
     let world = world(spec(&["a", "b"]), ids(400));
     let mut control = table(1);
     let node = start(world.addresses().discovery(0).expect("discovery"), &control);
-    node.until_ready();
+    node.wait_ready();
     let mut kept = node.client();
     assert!(kept.read("0", WAIT_MS).starts_with("value of"));
     for (round, call) in [Call::TimerfdSettime, Call::EpollWait].into_iter().enumerate() {
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -32,7 +32,7 @@
 
 impl Side {
     fn new(stream: UnixStream) -> Side {
-        stream.set_read_timeout(Some(WIDE)).expect("set");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         Side { stream, input: Vec::new() }
     }
 
@@ -137,10 +137,10 @@
     });
     let new = Node::beside(&before);
     let (_silent, client) = old.join().expect("the old one's part");
-    assert_eq!(new.client().read("1", 60_000), by("a", "1"));
+    assert_eq!(new.client().read("1", 60_000), value_from("a", "1"));
     if let Some(mut client) = client {
         client.send("ad,d=60000\r\n");
-        assert_eq!(client.answer(), by("a", "2"), "on the connection that was handed over");
+        assert_eq!(client.answer(), value_from("a", "2"), "on the connection that was handed over");
     }
 }
 
@@ -235,7 +235,7 @@
     }
     let mut old = Node::replaceable(world, 384);
     let mut idle = old.client();
-    assert_eq!(idle.read("1", 60_000), by("a", "1"));
+    assert_eq!(idle.read("1", 60_000), value_from("a", "1"));
     let mut new = Side::new(UnixStream::connect(old.meeting_place()).expect("the old process"));
     let hello = encode(&Message::Hello { name: "n".into() });
     match step {
@@ -248,21 +248,21 @@
     }
     if serves {
         new.say(&Message::Ready, None);
-        until(|| old.call("status\n") == "fail replaced by another process\n");
+        wait_until(|| old.call("status\n") == "fail replaced by another process\n");
     }
     if matches!(step, New::HearsOfAClient) {
         new.hear_until(|m| matches!(m, Message::Client { .. }));
     }
     let mut silent = matches!(then, Then::FallsSilent).then_some(new);
-    until(|| old.call("status\n") == "ok ready\n");
-    assert_eq!(old.client().read("2", 60_000), by("a", "2"), "new connections are the old one's");
+    wait_until(|| old.call("status\n") == "ok ready\n");
+    assert_eq!(old.client().read("2", 60_000), value_from("a", "2"), "new connections are the old one's");
     if !serves {
         // Nobody was given away.
-        assert_eq!(idle.read("3", 60_000), by("a", "3"));
+        assert_eq!(idle.read("3", 60_000), value_from("a", "3"));
     }
     let third = old.replace();
     assert!(old.child.wait().expect("its end").success());
     silent.take_if(|_| killed);
     // The kernel leads each by chance to one of the listeners that there are.
-    (4..10).for_each(|id| assert_eq!(third.client().read(&id.to_string(), 60_000), by("a", &id.to_string())));
+    (4..10).for_each(|id| assert_eq!(third.client().read(&id.to_string(), 60_000), value_from("a", &id.to_string())));
 }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 /// Longer than anything here takes, on any machine.
-pub const WIDE: Duration = Duration::from_secs(60);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub const SETTINGS: &str = r#"{"az":0,"zones":["z"],"host-types":["cache","origin"],"siblings":1,
 "discovery":"subscribe","family-info":{"mode":"aside","origin-kind":1},"bounds":{"attempts-cap":3,"cancel":true,
@@ -45,7 +45,7 @@
     let world = World::start(spec, Clock::default(), Books::default(), 1).expect("a world");
     let keys: Vec<Key> = ids.map(|id| Key::of(format!("k{id}").as_bytes())).collect();
     for server in servers {
-        world.control().fill(no(&world, &server), keys.clone()).expect("filled");
+        world.control().fill(server_no(&world, &server), keys.clone()).expect("filled");
     }
     world
 }
@@ -67,22 +67,22 @@
     (0..count).map(|id| id.to_string())
 }
 
-pub fn no(world: &World<Books>, uid: &str) -> ServerNo {
+pub fn server_no(world: &World<Books>, uid: &str) -> ServerNo {
     world.server(uid).expect("a server of that name")
 }
 
 /// How many requests have come to a server.
 pub fn asked(world: &World<Books>, uid: &str) -> usize {
-    let no = no(world, uid);
+    let no = server_no(world, uid);
     let came = |e: &ServerEvent| matches!(e, ServerEvent::LastByte { server, .. } if *server == no);
     world.look(|books| books.servers.records().iter().filter(|r| came(&r.event)).count()).expect("books")
 }
 
 /// Waits for what comes to pass.
-pub fn until(mut holds: impl FnMut() -> bool) {
+pub fn wait_until(mut holds: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < WIDE, "it does not come to pass");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "it does not come to pass");
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -143,7 +143,7 @@
 
     /// Waits until a call waits for more than what was told.
     pub fn until_asked(&self) {
-        until(|| {
+        wait_until(|| {
             let texts = self.shared.lock().expect("a lock");
             texts.next.is_none() && texts.waits.is_some()
         });
@@ -255,7 +255,7 @@
 impl Node {
     /// Starts a node in a world.
     pub fn start(world: &World<Books>) -> Node {
-        Node::limited(world, 1024)
+        Node::with_descriptor_limit(world, 1024)
     }
 
     pub fn limited(world: &World<Books>, sockets: u32) -> Node {
@@ -264,14 +264,14 @@
 
     /// Starts a node that asks for its list there.
     pub fn told_by(discovery: SocketAddr, sockets: u32) -> Node {
-        let node = Node::begin(discovery, sockets);
-        node.until_ready();
+        let node = Node::spawn(discovery, sockets);
+        node.wait_ready();
         node
     }
 
     /// The same, though it may have no list yet.
     pub fn begin(discovery: SocketAddr, sockets: u32) -> Node {
-        Node::under(discovery, sockets, None)
+        Node::with_operator_config(discovery, sockets, None)
     }
 
     /// The same, under settings of the operators'.
@@ -283,7 +283,7 @@
     pub fn managed(world: &World<Books>, sockets: u32) -> Node {
         let discovery = world.addresses().discovery(0).expect("discovery");
         let node = Node::run(discovery, sockets, None, true);
-        node.until_ready();
+        node.wait_ready();
         node
     }
 
@@ -366,7 +366,7 @@
     }
 
     fn once_ready(self) -> Node {
-        until(|| self.call("status\n") == "ok ready\n");
+        wait_until(|| self.call("status\n") == "ok ready\n");
         self
     }
 
@@ -387,14 +387,14 @@
     /// The same, but the answer is not waited for.
     pub fn caller(&self, said: &str) -> Client {
         let stream = TcpStream::connect(self.management()).expect("a connection");
-        stream.set_read_timeout(Some(WIDE)).expect("set");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         let mut caller = Client(BufReader::new(stream));
         caller.send(said);
         caller
     }
 
     /// Waits until it may be put to use.
-    pub fn until_ready(&self) {
+    pub fn wait_ready(&self) {
         assert_eq!(self.client().ask("mn\r\n"), "MN\r\n");
     }
 
@@ -409,7 +409,7 @@
     pub fn stand_still(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        until(|| std::fs::read_to_string(&stat).is_ok_and(|s| s.contains(") T ")));
+        wait_until(|| std::fs::read_to_string(&stat).is_ok_and(|s| s.contains(") T ")));
     }
 
     pub fn signal(&self, signal: &str) {
@@ -427,7 +427,7 @@
         socket.bind(&SocketAddr::from((ip, 0)).into())?;
         socket.connect(&self.address.into())?;
         let stream = TcpStream::from(socket);
-        stream.set_read_timeout(Some(WIDE))?;
+        stream.set_read_timeout(Some(TEST_TIMEOUT))?;
         Ok(Client(BufReader::new(stream)))
     }
 }
@@ -444,7 +444,7 @@
 impl Client {
     pub fn at(address: SocketAddr) -> std::io::Result<Client> {
         let stream = TcpStream::connect(address)?;
-        stream.set_read_timeout(Some(WIDE))?;
+        stream.set_read_timeout(Some(TEST_TIMEOUT))?;
         Ok(Client(BufReader::new(stream)))
     }
 
@@ -509,7 +509,7 @@
             self.0.read_exact(&mut value)?;
             let id = line.split_whitespace().find_map(|w| w.strip_prefix('O')).unwrap_or_default();
             match maker(&value[..length], id) {
-                Some(uid) => return Ok(by(uid, id)),
+                Some(uid) => return Ok(value_from(uid, id)),
                 None => line.push_str(&String::from_utf8_lossy(&value)),
             }
         }
@@ -561,7 +561,7 @@
 }
 
 /// The answer that a server of that name made for a read of that id.
-pub fn by(uid: &str, id: &str) -> String {
+pub fn value_from(uid: &str, id: &str) -> String {
     format!("value of {uid} for {id}")
 }
 
--- a/tests/held_up.rs
+++ b/tests/held_up.rs
@@ -23,7 +23,7 @@
 fn at_a_silent_server() -> (World<Books>, Node) {
     let world = world(spec(&["a"]), ids(1));
     let node = Node::start(&world);
-    world.control().pause(no(&world, "a"), 60_000_000).expect("paused");
+    world.control().pause(server_no(&world, "a"), 60_000_000).expect("paused");
     (world, node)
 }
 
@@ -105,16 +105,16 @@
     /// What is still owed so long after the longest deadline fails: a hold-up more, and the node is killed.
     const LAST_CALL: Duration = Duration::from_millis(450);
     let world = world(spec(&["a"]), ids(1));
-    world.control().pause(no(&world, "a"), 60_000_000).expect("paused");
+    world.control().pause(server_no(&world, "a"), 60_000_000).expect("paused");
     let discovery = world.addresses().discovery(0).expect("discovery");
     let settings = SETTINGS.replace(r#""give-up-s":2.5"#, r#""give-up-s":0.3"#);
     let settings = settings.replace(r#""give-up-s":5.0"#, r#""give-up-s":0.3"#);
     let took = took(|n| {
         let node = Node::set(discovery, &settings);
-        node.until_ready();
+        node.wait_ready();
         let mut client = node.client();
         client.begin_read(&format!("stop{n}"), 60_000);
-        until(|| asked(&world, "a") > n);
+        wait_until(|| requests_received(&world, "a") > n);
         let (held, told) = hold_up(&node, || {
             let told = Instant::now();
             node.signal("-TERM");
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -150,7 +150,7 @@
     for n in 0..READERS {
         let mut client = node.client();
         ask(&mut client, &n.to_string(), 60_000);
-        let (id, reply) = asked.recv_timeout(WIDE).unwrap();
+        let (id, reply) = asked.recv_timeout(TEST_TIMEOUT).unwrap();
         reply.send(whole(MOST, &id));
         slow.push(client);
     }
@@ -199,7 +199,7 @@
             })
         })
         .collect();
-    let mut got: Vec<(String, usize)> = (0..20).map(|_| asked.recv_timeout(WIDE).unwrap()).collect();
+    let mut got: Vec<(String, usize)> = (0..20).map(|_| asked.recv_timeout(TEST_TIMEOUT).unwrap()).collect();
     got.sort();
     got.dedup();
     assert!(got.len() == 20 && got.iter().all(|(_, length)| *length == MOST), "{got:?}");
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -65,7 +65,7 @@
     }
 
     fn until_states(&self, node: u8, states: &[&str]) {
-        until(|| {
+        wait_until(|| {
             thread::sleep(Duration::from_millis(50));
             self.states(node) == states
         });
@@ -117,7 +117,7 @@
     fleet.until_states(0, &["m0 alive", "m1 alive"]);
     fleet.key_file = None;
     let _stranger = fleet.start(2, &world, "");
-    until(|| fleet.own(0, "refused").as_u64() > Some(0));
+    wait_until(|| fleet.own(0, "refused").as_u64() > Some(0));
     for keys in [&[&old[..], &new][..], &[&new, &old], &[&new]] {
         write(keys);
         nodes.iter().for_each(|node| node.signal("-HUP"));
@@ -142,12 +142,12 @@
     let a = fleet.start(0, &world, "expected = 2\nhold_s = 1\n");
     assert_eq!(fleet.own(0, "counted"), 2);
     let (_b, c) = (fleet.start(1, &world, ""), fleet.start(2, &world, ""));
-    until(|| fleet.own(0, "counted") == 3);
+    wait_until(|| fleet.own(0, "counted") == 3);
     c.signal("-TERM");
-    until(|| fleet.own(0, "counted") == 2);
+    wait_until(|| fleet.own(0, "counted") == 2);
     // What is expected may change while it runs.
     a.operate(&fleet.operators(0, "expected = 7\nhold_s = 1\n"));
-    until(|| fleet.own(0, "counted") == 7);
+    wait_until(|| fleet.own(0, "counted") == 7);
     // A bad file changes nothing.
     a.operate(&fleet.operators(0, "expected = 0\n"));
     thread::sleep(Duration::from_millis(300));
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -18,9 +18,9 @@
     client.send(
         "mg k1 v O1 Pc=read,d=2000\r\nget k\r\nmg k2 v O2 Pc=read,d=2000\r\nmg k v O3 Pc=x,d=9\r\nmg k v O3 Pc=read,d=9s\r\nmn\r\n",
     );
-    assert_eq!(client.answer(), by("a", "1"));
+    assert_eq!(client.answer(), value_from("a", "1"));
     assert_eq!(client.answer(), "CLIENT_ERROR unknown command\r\n");
-    assert_eq!(client.answer(), by("a", "2"));
+    assert_eq!(client.answer(), value_from("a", "2"));
     assert_eq!(client.answer(), "CLIENT_ERROR unknown class\r\n");
     assert_eq!(client.answer(), "CLIENT_ERROR bad time to wait\r\n");
     assert_eq!(client.answer(), "MN\r\n");
@@ -32,7 +32,7 @@
 fn clients_that_do_not_get_on_are_told_or_closed() {
     let world = world(spec(&["a"]), ids(2));
     let node = Node::start(&world);
-    let whole = by("a", "1");
+    let whole = value_from("a", "1");
     let cases = [
         ("", ""),
         ("mg k v O1 Pc=re", "CLIENT_ERROR command not finished in time\r\n"),
@@ -58,7 +58,7 @@
     let mut client = node.client();
     client.flood(&"mg k v O1 Pc=none,d=9\r\n".repeat(100_000));
     (0..16).for_each(|_| assert_eq!(client.answer(), "CLIENT_ERROR unknown class\r\n"));
-    assert_eq!(node.client().read("2", 60_000), by("a", "2"));
+    assert_eq!(node.client().read("2", 60_000), value_from("a", "2"));
 }
 
 #[test]
@@ -91,27 +91,27 @@
 #[test]
 fn idle_clients_make_room_when_descriptors_are_short() {
     let world = world(spec(&["a"]), ids(2));
-    let node = Node::limited(&world, 64);
+    let node = Node::with_descriptor_limit(&world, 64);
     let mut clients: Vec<Client> = (0..100).map(|_| node.client()).collect();
     let last = clients.last_mut().unwrap();
-    assert_eq!(last.read("1", 60_000), by("a", "1"));
+    assert_eq!(last.read("1", 60_000), value_from("a", "1"));
     assert_eq!(clients[0].answer(), "", "the one idle for longest was closed");
 }
 
 #[test]
 fn a_node_told_to_stop_answers_what_it_took_and_ends() {
     let world = world(spec(&["a"]), ids(3));
-    let (a, control) = (no(&world, "a"), world.control());
+    let (a, control) = (server_no(&world, "a"), world.control());
     let mut node = Node::start(&world);
     let mut client = node.client();
     control.pause(a, 60_000_000).unwrap();
     client.send("mg k1 v O1 Pc=read,d=60000\r\n");
-    until(|| asked(&world, "a") == 1);
+    wait_until(|| requests_received(&world, "a") == 1);
     node.signal("-TERM");
     control.pause(a, 0).unwrap();
-    assert_eq!(client.answer(), by("a", "1"));
+    assert_eq!(client.answer(), value_from("a", "1"));
     thread::sleep(Duration::from_millis(700));
-    assert_eq!(client.read("2", 60_000), by("a", "2"), "it serves on until it must end");
+    assert_eq!(client.read("2", 60_000), value_from("a", "2"), "it serves on until it must end");
     assert_eq!(client.answer(), "", "connections close between requests");
     assert!(node.child.wait().unwrap().success());
 }
@@ -123,7 +123,7 @@
     let mut client = node.client();
     let old = std::cell::RefCell::new(String::new());
     node.reload(|text| old.replace(text.into()) + "{");
-    assert_eq!(client.read("1", 2000), by("a", "1"));
+    assert_eq!(client.read("1", 2000), value_from("a", "1"));
     let discovery = there.addresses().discovery(0).unwrap();
     node.reload(|_| {
         old.borrow().replace("\"discovery\":\"127", &format!("\"discovery\":\"{discovery}\",\"was\":\"127"))
@@ -131,7 +131,7 @@
     let served = (2..2000).map(|id| id.to_string()).find(|id| {
         let answer = client.read(id, 2000);
         thread::sleep(Duration::from_millis(5));
-        answer == by("b", id)
+        answer == value_from("b", id)
     });
     served.expect("the new list is told, though EDGE_DISCOVERY names the old address");
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -58,16 +58,16 @@
     let mut read = || {
         let id = ids.next().expect("an id");
         let answer = client.read(&id, 60_000);
-        (answer == by("a", &id), answer == by("b", &id))
+        (answer == value_from("a", &id), answer == value_from("b", &id))
     };
-    until(|| read().0);
+    wait_until(|| read().0);
     assert_eq!(node.call("maint-on a\n"), "ok out\n");
     assert_eq!(node.call("maint-on a\n"), "ok out\n");
-    let before = asked(&world, "a");
+    let before = requests_received(&world, "a");
     (0..200).for_each(|_| assert_eq!(read(), (false, true)));
-    assert_eq!(asked(&world, "a"), before);
+    assert_eq!(requests_received(&world, "a"), before);
     assert_eq!(node.call("maint-off a\n"), "ok may serve\n");
-    until(|| {
+    wait_until(|| {
         thread::sleep(Duration::from_millis(2));
         read().0
     });
@@ -76,20 +76,20 @@
 #[test]
 fn a_drained_node_lets_its_clients_go_between_requests_and_comes_back() {
     let world = world(spec(&["a"]), ids(4000));
-    let (a, control) = (no(&world, "a"), world.control());
+    let (a, control) = (server_no(&world, "a"), world.control());
     let node = Node::managed(&world, 1024);
     let (mut idle, mut busy) = (node.client(), node.client());
     assert_eq!(idle.ask("mn\r\n"), "MN\r\n");
     control.pause(a, 60_000_000).unwrap();
     busy.send("mg k1 v O1 Pc=read,d=60000\r\n");
-    until(|| asked(&world, "a") == 1);
+    wait_until(|| requests_received(&world, "a") == 1);
     assert_eq!(node.call("standby\n"), "ok draining\n");
     assert_eq!(node.call("standby\n"), "ok draining\n");
     assert_eq!(node.call("status\n"), "fail draining\n");
     assert_eq!(node.client().ask("mn\r\n"), "SERVER_ERROR draining\r\n");
     assert_eq!(idle.answer(), "", "it is closed between requests");
     control.pause(a, 0).unwrap();
-    assert_eq!(busy.answer(), by("a", "1"), "what was asked is answered");
+    assert_eq!(busy.answer(), value_from("a", "1"), "what was asked is answered");
     assert_eq!(busy.answer(), "", "and then it is closed, too");
     assert_eq!(node.call("active\n"), "ok serving\n");
     assert_eq!(node.call("status\n"), "ok ready\n");
@@ -97,7 +97,7 @@
     assert_eq!(client.ask("mn\r\n"), "MN\r\n");
     // The server's silence may make the node turn some away for a while.
     let mut ids = ids(4000).skip(2);
-    until(|| ids.next().is_some_and(|id| client.read(&id, 60_000) == by("a", &id)));
+    wait_until(|| ids.next().is_some_and(|id| client.read(&id, 60_000) == value_from("a", &id)));
 }
 
 #[test]
@@ -142,7 +142,7 @@
     let clients: Vec<_> = (0..CLIENTS).map(|n| thread::spawn(asks(n))).collect();
     for _ in 0..20 {
         let before = served.load(SeqCst);
-        until(|| served.load(SeqCst) > before + 10 * CLIENTS);
+        wait_until(|| served.load(SeqCst) > before + 10 * CLIENTS);
         let new = node.replace();
         assert!(node.child.wait().unwrap().success());
         node = new;
@@ -160,23 +160,23 @@
     assert_eq!(old.call("maint-on a\n"), "ok out\n");
     let mut new = old.replace();
     assert!(old.child.wait().unwrap().success());
-    let before = asked(&world, "a");
+    let before = requests_received(&world, "a");
     let mut client = new.client();
-    (0..200).for_each(|id| assert_eq!(client.read(&id.to_string(), 60_000), by("b", &id.to_string())));
-    assert_eq!(asked(&world, "a"), before);
+    (0..200).for_each(|id| assert_eq!(client.read(&id.to_string(), 60_000), value_from("b", &id.to_string())));
+    assert_eq!(requests_received(&world, "a"), before);
     // The one that is on its way out is called, and the other one holds to it.
     let third = Node::beside(&new);
     assert_eq!(new.call("maint-off a\n"), "ok may serve\n");
     assert_eq!(new.call("standby\n"), "ok draining\n");
-    until(|| third.call("status\n") == "fail draining\n");
+    wait_until(|| third.call("status\n") == "fail draining\n");
     assert_eq!(third.call("active\n"), "ok serving\n");
     new.signal("-TERM");
     assert!(new.child.wait().unwrap().success());
     let mut client = third.client();
     let mut ids = ids(4000).skip(200);
-    until(|| {
+    wait_until(|| {
         thread::sleep(Duration::from_millis(2));
-        ids.next().is_some_and(|id| client.read(&id, 60_000) == by("a", &id))
+        ids.next().is_some_and(|id| client.read(&id, 60_000) == value_from("a", &id))
     });
 }
 
@@ -185,18 +185,18 @@
     let world = world(spec(&["a"]), ids(4000));
     let mut old = Node::replaceable(&world, 384);
     let mut client = old.client();
-    assert_eq!(client.read("1", 60_000), by("a", "1"));
+    assert_eq!(client.read("1", 60_000), value_from("a", "1"));
     let mut new = Node::beside(&old);
     // The client is the new one's by now, or will be.
-    until(|| old.call("status\n") == "fail replaced by another process\n");
+    wait_until(|| old.call("status\n") == "fail replaced by another process\n");
     new.child.kill().unwrap();
     new.child.wait().unwrap();
-    until(|| old.call("status\n") == "ok ready\n");
+    wait_until(|| old.call("status\n") == "ok ready\n");
     let mut client = old.client();
-    assert_eq!(client.read("2", 60_000), by("a", "2"));
+    assert_eq!(client.read("2", 60_000), value_from("a", "2"));
     let third = old.replace();
     assert!(old.child.wait().unwrap().success());
-    assert_eq!(client.read("3", 60_000), by("a", "3"), "the same connection, at the third process");
+    assert_eq!(client.read("3", 60_000), value_from("a", "3"), "the same connection, at the third process");
     assert_eq!(third.call("status\n"), "ok ready\n");
 }
 
@@ -204,23 +204,23 @@
 #[test]
 fn if_the_old_process_dies_before_the_new_one_is_ready_the_new_one_serves() {
     let world = world(spec(&["a"]), ids(10));
-    let empty = List::start(r#"{"rev":1,"all":true,"targets":[]}"#);
+    let empty = ScriptedDiscovery::start(r#"{"rev":1,"all":true,"targets":[]}"#);
     let mut old = Node::replaceable_told_by(empty.address(), 384);
     let new = Node::beside_unready(&old);
-    until(|| new.call("status\n") == "fail no member may be used yet\n");
+    wait_until(|| new.call("status\n") == "fail no member may be used yet\n");
     old.child.kill().unwrap();
     old.child.wait().unwrap();
-    let a = world.addresses().server(0, no(&world, "a")).expect("its address");
+    let a = world.addresses().server(0, server_no(&world, "a")).expect("its address");
     empty.tell(&format!(
         r#"{{"rev":2,"all":true,"targets":[{{"uid":"a","endpoint":"{a}","az":"z","model":"cache","state":"up"}}]}}"#
     ));
-    until(|| new.call("status\n") == "ok ready\n");
+    wait_until(|| new.call("status\n") == "ok ready\n");
     let mut client = new.client();
-    assert_eq!(client.read("1", 60_000), by("a", "1"));
+    assert_eq!(client.read("1", 60_000), value_from("a", "1"));
     // And the next one asks there.
     let third = Node::beside(&new);
-    until(|| new.call("status\n") == "fail replaced by another process\n");
-    assert_eq!(third.client().read("2", 60_000), by("a", "2"));
+    wait_until(|| new.call("status\n") == "fail replaced by another process\n");
+    assert_eq!(third.client().read("2", 60_000), value_from("a", "2"));
 }
 
 #[test]
@@ -249,14 +249,14 @@
             }
         }
         let new = Node::beside(&old);
-        assert_eq!(new.client().read("1", 60_000), by("a", "1"), "{left}");
+        assert_eq!(new.client().read("1", 60_000), value_from("a", "1"), "{left}");
     }
 }
 
 #[test]
 fn settings_change_whole_or_not_at_all() {
     let world = world(spec(&["a"]), ids(4000));
-    let (a, control) = (no(&world, "a"), world.control());
+    let (a, control) = (server_no(&world, "a"), world.control());
     let node = Node::managed(&world, 1024);
     let file = std::cell::RefCell::new(String::new());
     node.reload(|text| file.replace(text.into()) + "");
@@ -287,23 +287,23 @@
     node.reload(|_| added.clone());
     let mut ids = (10..4000).filter(|id| id % 7 == 0);
     let mut next = || ids.next().expect("an id");
-    until(|| {
+    wait_until(|| {
         let id = next();
-        asks(&mut node.client(), "more", id) == by("a", &id.to_string())
+        asks(&mut node.client(), "more", id) == value_from("a", &id.to_string())
     });
     // One that is open when its class goes is answered; the class is known for a while, and then no longer.
     control.pause(a, 60_000_000).unwrap();
     let mut open = node.client();
-    let before = asked(&world, "a");
+    let before = requests_received(&world, "a");
     open.send("mg k8 v O8 Pc=read,d=60000\r\n");
-    until(|| asked(&world, "a") == before + 1);
+    wait_until(|| requests_received(&world, "a") == before + 1);
     let dropped = added.replace(read, "\"name\":\"kept\"");
     assert_ne!(dropped, added);
     node.reload(|_| dropped.clone());
-    until(|| asks(&mut node.client(), "gone", next()) == "CLIENT_ERROR unknown class\r\n");
+    wait_until(|| asks(&mut node.client(), "gone", next()) == "CLIENT_ERROR unknown class\r\n");
     control.pause(a, 0).unwrap();
-    assert_eq!(open.answer(), by("a", "8"));
-    until(|| {
+    assert_eq!(open.answer(), value_from("a", "8"));
+    wait_until(|| {
         thread::sleep(Duration::from_millis(20));
         asks(&mut node.client(), "read", next()) == "CLIENT_ERROR unknown class\r\n"
     });
--- a/tests/rare.rs
+++ b/tests/rare.rs
@@ -31,16 +31,16 @@
 #[test]
 fn where_lists_are_pushed_the_node_asks_for_them_and_hears_of_a_drain() {
     let world = world(spec(&["a", "b"]), ids(40));
-    let at = |uid: &str| world.addresses().server(0, no(&world, uid)).expect("an address");
-    let told = List::start(&list(1, true, &[("a", at("a"), "up"), ("b", at("b"), "up")]));
+    let at = |uid: &str| world.addresses().server(0, server_no(&world, uid)).expect("an address");
+    let told = ScriptedDiscovery::start(&list(1, true, &[("a", at("a"), "up"), ("b", at("b"), "up")]));
     let node = Node::set(told.address(), &SETTINGS.replace("subscribe", "automatic"));
-    node.until_ready();
+    node.wait_ready();
     told.tell(&list(2, false, &[("a", at("a"), "draining")]));
     let mut client = node.client();
     for id in ids(40) {
-        assert_eq!(client.read(&id, 10_000), by("b", &id));
+        assert_eq!(client.read(&id, 10_000), value_from("b", &id));
     }
-    assert_eq!(asked(&world, "a"), 0);
+    assert_eq!(requests_received(&world, "a"), 0);
 }
 
 /// A world whose one cache server has nothing and counts who asks, and whose origin hands each request to the test: its id,
@@ -73,7 +73,7 @@
     fn node(&self) -> Node {
         let patient = SETTINGS.replace("\"slo-s\":0.75", "\"slo-s\":60.0");
         let node = Node::set(self.world.addresses().discovery(0).expect("discovery"), &patient);
-        node.until_ready();
+        node.wait_ready();
         node
     }
 
@@ -97,7 +97,7 @@
         ("quit behind its commands", joins(500, 2) + &read("own", 3) + "quit\r\n"),
     ];
     let fetched = |id: &str| {
-        let (asked, fetch) = aside.fetches.recv_timeout(WIDE).expect("a fetch");
+        let (asked, fetch) = aside.fetches.recv_timeout(TEST_TIMEOUT).expect("a fetch");
         assert_eq!(asked, id);
         fetch
     };
@@ -134,7 +134,7 @@
     let read = |key: &str, id: usize| format!("mg {key} v O{id} Pc=read,d=60000\r\n");
     let mut stays = node.client();
     stays.send(read("key", 1));
-    let (_, fetch) = aside.fetches.recv_timeout(WIDE).expect("a fetch");
+    let (_, fetch) = aside.fetches.recv_timeout(TEST_TIMEOUT).expect("a fetch");
     let leaves = node.client();
     leaves.flood(&(100..400_000).map(|id| read("key", id)).collect::<String>());
     thread::sleep(LEFT);
@@ -145,7 +145,7 @@
     assert_eq!(stays.answer(), "VA 1 O1\r\nv\r\n");
     stays.send(read("other", 2));
     // What was to be sent on would have been before this was.
-    until(|| aside.fetches.recv_timeout(WIDE).expect("a fetch").0 == "2");
+    wait_until(|| aside.fetches.recv_timeout(TEST_TIMEOUT).expect("a fetch").0 == "2");
     assert_eq!(aside.missed(), before + 1);
 }
 
@@ -157,7 +157,7 @@
     let short = SETTINGS.replace("\"give-up-s\":2.5", "\"give-up-s\":0.1");
     let short = short.replace("\"give-up-s\":5.0", "\"give-up-s\":0.1");
     let mut node = Node::set(world.addresses().discovery(0).expect("discovery"), &short);
-    node.until_ready();
+    node.wait_ready();
     let told = Instant::now();
     node.signal("-TERM");
     for id in ids(1000) {
@@ -166,7 +166,7 @@
         if told.elapsed() >= COME {
             break;
         }
-        assert_eq!(client.expect("it is taken").read(&id, 60_000), by("a", &id), "{:?}", told.elapsed());
+        assert_eq!(client.expect("it is taken").read(&id, 60_000), value_from("a", &id), "{:?}", told.elapsed());
     }
     assert!(node.child.wait().expect("its end").success());
 }
@@ -179,20 +179,20 @@
     let short = SETTINGS.replace("\"give-up-s\":2.5", "\"give-up-s\":0.5");
     let short = short.replace("\"give-up-s\":5.0", "\"give-up-s\":0.5");
     let mut node = Node::set(world.addresses().discovery(0).expect("discovery"), &short);
-    node.until_ready();
+    node.wait_ready();
     let read = |id: usize| format!("mg k{id} v O{id} Pc=read,d=60000\r\n");
     let (mut halved, mut busy, mut hangs, mut never) =
         (node.client(), node.client(), node.client(), node.client());
     halved.send("mg k1 v O1 Pc=re");
     never.send("mg k9 v O9 Pc=re");
-    assert_eq!(busy.read("2", 60_000), by("a", "2"));
+    assert_eq!(busy.read("2", 60_000), value_from("a", "2"));
     node.signal("-TERM");
     halved.send("ad,d=60000\r\n".to_string() + &read(3));
-    assert_eq!([halved.answer(), halved.answer()], [by("a", "1"), by("a", "3")]);
+    assert_eq!([halved.answer(), halved.answer()], [value_from("a", "1"), value_from("a", "3")]);
     for id in 100..150 {
-        assert_eq!(busy.ask(&read(id)), by("a", &id.to_string()));
+        assert_eq!(busy.ask(&read(id)), value_from("a", &id.to_string()));
     }
-    world.control().pause(no(&world, "a"), 60_000_000).expect("paused");
+    world.control().pause(server_no(&world, "a"), 60_000_000).expect("paused");
     let all: Vec<usize> = (10..50).collect();
     hangs.send(all.iter().map(|id| read(*id)).collect::<String>());
     assert_eq!(busy.answer(), "", "it closes between requests");
@@ -251,10 +251,10 @@
     ];
     for (at, (what, settings)) in odd.into_iter().enumerate() {
         let mut node = Node::set(discovery, &settings);
-        node.until_ready();
+        node.wait_ready();
         let mut client = node.client();
         for id in [at * 10, at * 10 + 1] {
-            assert_eq!(client.read(&id.to_string(), 60_000), by("a", &id.to_string()), "{what}");
+            assert_eq!(client.read(&id.to_string(), 60_000), value_from("a", &id.to_string()), "{what}");
         }
         drop(client);
         node.signal("-TERM");
@@ -273,12 +273,12 @@
     let begun = Instant::now();
     let (mut round, mut played) = (0, 0);
     while played < 5 {
-        assert!(begun.elapsed() < WIDE, "{played} of {round} rounds were quick enough to tell");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "{played} of {round} rounds were quick enough to tell");
         round += 1;
         let ask = |name: &str| format!("mg {name}{round} v O{name}{round} Pc=read,d=60000\r\n");
         let answered = |name: &str, value: &str| format!("VA {} O{name}{round}\r\n{value}\r\n", value.len());
         let fetched = |name: &str| {
-            let (id, fetch) = aside.fetches.recv_timeout(WIDE).expect("a fetch");
+            let (id, fetch) = aside.fetches.recv_timeout(TEST_TIMEOUT).expect("a fetch");
             assert_eq!(id, format!("{name}{round}"));
             fetch
         };
@@ -305,25 +305,25 @@
     let world = world(spec(&["a"]), ids(10));
     let mut old = Node::replaceable(&world, 384);
     let mut client = old.client();
-    assert_eq!(client.read("1", 60_000), by("a", "1"));
+    assert_eq!(client.read("1", 60_000), value_from("a", "1"));
     old.stand_still();
     client.begin_read("2", 60_000);
     let new = Node::beside(&old);
     old.signal("-CONT");
-    assert_eq!(client.answer(), by("a", "2"));
+    assert_eq!(client.answer(), value_from("a", "2"));
     old.signal("-TERM");
     drop(client);
     assert!(old.child.wait().expect("its end").success());
-    assert_eq!(new.client().read("3", 60_000), by("a", "3"));
+    assert_eq!(new.client().read("3", 60_000), value_from("a", "3"));
     assert_eq!(new.call("status\n"), "ok ready\n");
 }
 
 /// Where the member `a` is, a discovery that has told of it, and a ready process which another may take the place of.
 fn told_of_a(world: &World<Books>) -> (std::net::SocketAddr, List, Node) {
-    let at = world.addresses().server(0, no(world, "a")).expect("an address");
-    let told = List::start(&list(1, true, &[("a", at, "up")]));
+    let at = world.addresses().server(0, server_no(world, "a")).expect("an address");
+    let told = ScriptedDiscovery::start(&list(1, true, &[("a", at, "up")]));
     let old = Node::replaceable_told_by(told.address(), 384);
-    old.until_ready();
+    old.wait_ready();
     (at, told, old)
 }
 
@@ -333,29 +333,29 @@
     let world = world(spec(&["a"]), ids(10));
     let (_, _told, mut old) = told_of_a(&world);
     let (mut client, mut idle) = (old.client(), old.client());
-    assert_eq!(idle.read("1", 60_000), by("a", "1"));
-    world.control().pause(no(&world, "a"), 60_000_000).expect("paused");
+    assert_eq!(idle.read("1", 60_000), value_from("a", "1"));
+    world.control().pause(server_no(&world, "a"), 60_000_000).expect("paused");
     client.send("mg k2 v O2 Pc=read,d=60000\r\nmg k3 v O3 Pc=read,d=60000\r\n");
-    until(|| asked(&world, "a") == 3);
+    wait_until(|| requests_received(&world, "a") == 3);
     let new = Node::beside_unready(&old);
     old.signal("-TERM");
-    until(|| new.call("status\n") == "ok ready\n");
-    world.control().pause(no(&world, "a"), 0).expect("going on");
-    assert_eq!([client.answer(), client.answer()], [by("a", "2"), by("a", "3")]);
+    wait_until(|| new.call("status\n") == "ok ready\n");
+    world.control().pause(server_no(&world, "a"), 0).expect("going on");
+    assert_eq!([client.answer(), client.answer()], [value_from("a", "2"), value_from("a", "3")]);
     assert!(old.child.wait().expect("its end").success());
-    assert_eq!(client.read("4", 60_000), by("a", "4"), "the same connection, at the new process");
-    assert_eq!(idle.read("5", 60_000), by("a", "5"));
+    assert_eq!(client.read("4", 60_000), value_from("a", "4"), "the same connection, at the new process");
+    assert_eq!(idle.read("5", 60_000), value_from("a", "5"));
 }
 
 /// Danger: the new process did not know who had left, and took an old list's word for it.
 #[test]
 fn who_has_left_stays_closed_at_the_process_that_takes_over_though_an_old_list_names_it() {
     let world = world(spec(&["a", "b"]), ids(40));
-    let at = |uid: &str| world.addresses().server(0, no(&world, uid)).expect("an address");
+    let at = |uid: &str| world.addresses().server(0, server_no(&world, uid)).expect("an address");
     let old_list = list(1, true, &[("a", at("a"), "up"), ("b", at("b"), "up")]);
-    let told = List::start(&old_list);
+    let told = ScriptedDiscovery::start(&old_list);
     let mut old = Node::replaceable_told_by(told.address(), 384);
-    old.until_ready();
+    old.wait_ready();
     told.tell(&list(2, false, &[("a", at("a"), "removed")]));
     let new = Node::beside(&old);
     old.child.kill().expect("killed");
@@ -364,17 +364,17 @@
     (0..2).for_each(|_| told.tell(&old_list));
     let mut client = new.client();
     for id in ids(40) {
-        assert_eq!(client.read(&id, 10_000), by("b", &id));
+        assert_eq!(client.read(&id, 10_000), value_from("b", &id));
     }
-    assert_eq!(asked(&world, "a"), 0);
+    assert_eq!(requests_received(&world, "a"), 0);
 }
 
 /// Danger: what the old discovery had written lay unread as a reload moved to another one, and counts as told.
 #[test]
 fn what_a_discovery_has_told_holds_though_a_reload_moves_to_another_before_it_is_read() {
     let world = world(spec(&["a", "b"]), ids(40));
-    let at = |uid: &str| world.addresses().server(0, no(&world, uid)).expect("an address");
-    let told = List::start(&list(1, true, &[("a", at("a"), "up"), ("b", at("b"), "up")]));
+    let at = |uid: &str| world.addresses().server(0, server_no(&world, uid)).expect("an address");
+    let told = ScriptedDiscovery::start(&list(1, true, &[("a", at("a"), "up"), ("b", at("b"), "up")]));
     let node = Node::told_by(told.address(), 1024);
     let (tell, asks) = channel();
     // The other one takes calls, and answers none.
@@ -386,15 +386,15 @@
     told.until_asked();
     node.stand_still();
     told.say(&list(2, false, &[("a", at("a"), "draining")]));
-    until(|| lies_unread(told.address()));
+    wait_until(|| lies_unread(told.address()));
     node.reload(|text| text.replace(&told.address().to_string(), &silent.address().to_string()));
     node.signal("-CONT");
-    asks.recv_timeout(WIDE).expect("a call to the other one");
+    asks.recv_timeout(TEST_TIMEOUT).expect("a call to the other one");
     let mut client = node.client();
     for id in ids(40) {
-        assert_eq!(client.read(&id, 10_000), by("b", &id));
+        assert_eq!(client.read(&id, 10_000), value_from("b", &id));
     }
-    assert_eq!(asked(&world, "a"), 0);
+    assert_eq!(requests_received(&world, "a"), 0);
 }
 
 /// Danger: a client left while its connection waited to be accepted, or its request to be read, and that was sent on.
@@ -403,7 +403,7 @@
     let world = world(spec(&["a"]), ids(10));
     let node = Node::start(&world);
     let (mut spoke, mut silent) = (node.client(), node.client());
-    assert_eq!(spoke.read("1", 60_000), by("a", "1"));
+    assert_eq!(spoke.read("1", 60_000), value_from("a", "1"));
     node.stand_still();
     let mut waits = node.client();
     for (id, client) in [("2", &mut spoke), ("3", &mut silent), ("4", &mut waits)] {
@@ -413,16 +413,16 @@
     thread::sleep(LEFT);
     node.signal("-CONT");
     // Whoever came before has been seen to by the time that this is answered.
-    assert_eq!(node.client().read("5", 60_000), by("a", "5"));
-    assert_eq!(asked(&world, "a"), 2);
+    assert_eq!(node.client().read("5", 60_000), value_from("a", "5"));
+    assert_eq!(requests_received(&world, "a"), 2);
 }
 
 /// Danger: a connection that was told that there is no room closed over its unread request, and the reset may take the line along.
 #[test]
 fn who_is_told_that_there_is_no_room_reads_it_to_the_end() {
     let world = world(spec(&["a"]), ids(100));
-    let node = Node::limited(&world, 64);
-    world.control().pause(no(&world, "a"), 60_000_000).expect("paused");
+    let node = Node::with_descriptor_limit(&world, 64);
+    world.control().pause(server_no(&world, "a"), 60_000_000).expect("paused");
     // All places are held by clients that are owed an answer, and more wait behind them.
     let mut clients: Vec<Client> = (0..40).map(|id| asking(&node, id)).collect();
     let mut told = clients.split_off(30);
@@ -452,13 +452,13 @@
     half.send("mg k1 v O1 Pc=re");
     // Behind a whole command, whose answer tells that both were read.
     behind.send("mg k2 v O2 Pc=read,d=60000\r\nmg k3 v O3 Pc=re");
-    assert_eq!(behind.answer(), by("a", "2"));
+    assert_eq!(behind.answer(), value_from("a", "2"));
     let new = Node::beside(&old);
     old.signal("-TERM");
     assert!(old.child.wait().expect("its end").success());
     half.send("ad,d=60000\r\n");
     behind.send("ad,d=60000\r\n");
-    assert_eq!([half.answer(), behind.answer()], [by("a", "1"), by("a", "3")]);
+    assert_eq!([half.answer(), behind.answer()], [value_from("a", "1"), value_from("a", "3")]);
     assert_eq!(new.call("status\n"), "ok ready\n");
 }
 
@@ -473,19 +473,19 @@
     let mut new = Node::beside_unready(&old);
     new.stand_still();
     // Told until the old one has heard it: the new one may have asked before it stood still.
-    until(|| {
+    wait_until(|| {
         told.say(&list(3, false, &[("a", at, "up")]));
-        client.read("1", 60_000) == by("a", "1")
+        client.read("1", 60_000) == value_from("a", "1")
     });
-    assert_eq!(old.client().read("2", 60_000), by("a", "2"), "new connections are the old one's");
+    assert_eq!(old.client().read("2", 60_000), value_from("a", "2"), "new connections are the old one's");
     new.signal("-TERM");
     new.signal("-CONT");
     assert!(new.child.wait().expect("its end").success());
-    assert_eq!(client.read("3", 60_000), by("a", "3"));
+    assert_eq!(client.read("3", 60_000), value_from("a", "3"));
     // The next one takes over as if there had been none.
     let third = old.replace();
     assert!(old.child.wait().expect("its end").success());
-    assert_eq!(client.read("4", 60_000), by("a", "4"));
+    assert_eq!(client.read("4", 60_000), value_from("a", "4"));
     assert_eq!(third.call("status\n"), "ok ready\n");
 }
 
@@ -495,17 +495,17 @@
     let world = world(spec(&["a"]), ids(10));
     let mut old = Node::replaceable(&world, 384);
     let mut first = old.client();
-    assert_eq!(first.read("1", 60_000), by("a", "1"));
-    world.control().pause(no(&world, "a"), 60_000_000).expect("paused");
+    assert_eq!(first.read("1", 60_000), value_from("a", "1"));
+    world.control().pause(server_no(&world, "a"), 60_000_000).expect("paused");
     first.begin_read("2", 60_000);
-    until(|| asked(&world, "a") == 2);
+    wait_until(|| requests_received(&world, "a") == 2);
     let mut new = Node::beside(&old);
     let mut second = asking(&new, 3);
-    until(|| asked(&world, "a") == 3);
+    wait_until(|| requests_received(&world, "a") == 3);
     old.signal("-TERM");
     new.signal("-TERM");
-    world.control().pause(no(&world, "a"), 0).expect("going on");
-    assert_eq!([first.answer(), second.answer()], [by("a", "2"), by("a", "3")]);
+    world.control().pause(server_no(&world, "a"), 0).expect("going on");
+    assert_eq!([first.answer(), second.answer()], [value_from("a", "2"), value_from("a", "3")]);
     drop((first, second));
     assert!(old.child.wait().expect("its end").success() && new.child.wait().expect("its end").success());
 }
@@ -513,22 +513,22 @@
 /// Told to stop before it is ready, and told twice with a reload between: it ends once, with all that it took answered.
 #[test]
 fn a_node_told_to_stop_before_it_is_ready_or_twice_in_a_reload_ends_once() {
-    let empty = List::start(r#"{"rev":1,"all":true,"targets":[]}"#);
-    let mut unready = Node::begin(empty.address(), 1024);
+    let empty = ScriptedDiscovery::start(r#"{"rev":1,"all":true,"targets":[]}"#);
+    let mut unready = Node::spawn(empty.address(), 1024);
     let mut waits = unready.client();
     waits.send("mn\r\n");
     let world = world(spec(&["a"]), ids(10));
     let mut twice = Node::start(&world);
-    world.control().pause(no(&world, "a"), 60_000_000).expect("paused");
+    world.control().pause(server_no(&world, "a"), 60_000_000).expect("paused");
     let mut client = asking(&twice, 1);
-    until(|| asked(&world, "a") == 1);
+    wait_until(|| requests_received(&world, "a") == 1);
     unready.signal("-TERM");
     twice.signal("-TERM");
     twice.reload(|text| text.replace("\"siblings\":1", "\"siblings\":2"));
     twice.signal("-TERM");
-    world.control().pause(no(&world, "a"), 0).expect("going on");
-    assert_eq!(client.answer(), by("a", "1"));
-    assert_eq!(client.read("2", 60_000), by("a", "2"), "it serves on");
+    world.control().pause(server_no(&world, "a"), 0).expect("going on");
+    assert_eq!(client.answer(), value_from("a", "1"));
+    assert_eq!(client.read("2", 60_000), value_from("a", "2"), "it serves on");
     drop(client);
     assert_eq!(waits.answer(), "", "it never says that it is ready");
     for node in [&mut unready, &mut twice] {
@@ -542,8 +542,8 @@
 fn who_waits_to_be_accepted_is_answered_in_time() {
     const WAITS: Duration = Duration::from_millis(100);
     let world = world(spec(&["a"]), ids(4000));
-    let node = Node::limited(&world, 128);
-    world.control().pause(no(&world, "a"), 60_000_000).expect("paused");
+    let node = Node::with_descriptor_limit(&world, 128);
+    world.control().pause(server_no(&world, "a"), 60_000_000).expect("paused");
     let address = node.address;
     let asks = move |first: usize| {
         let mut worst = Duration::ZERO;
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -12,20 +12,20 @@
     (1..=servers).map(listed).collect()
 }
 
-fn desks(siblings: u32, servers: u64) -> Vec<Desk> {
+fn desks(siblings: u32, servers: u64) -> Vec<TestBalancer> {
     (0..siblings)
         .map(|n| {
             let balancer = Balancer::new(u64::from(n), at_scale(siblings), 0);
-            let mut desk = Desk { balancer, now: S, next: 0 };
-            desk.list(Scope::Full, fleet(servers));
-            desk
+            let mut lb = TestBalancer { balancer, now: S, next: 0 };
+            lb.update_servers(Scope::Full, fleet(servers));
+            lb
         })
         .collect()
 }
 
 /// An answer after `took`.
-fn answer(desk: &mut Desk, id: RequestId, server: ServerId, took: Micros, outcome: Outcome) -> Vec<Action> {
-    desk.event(Event::Ended(Ended {
+fn answer(lb: &mut TestBalancer, id: RequestId, server: ServerId, took: Micros, outcome: Outcome) -> Vec<Action> {
+    lb.event(Event::Ended(Ended {
         request: id,
         attempt: 0,
         server,
@@ -42,16 +42,16 @@
 fn first_retries_of_all_balancers_are_bounded() {
     for siblings in [1, 4, 64, 500] {
         let mut copies = 0;
-        for desk in &mut desks(siblings, 5) {
+        for lb in &mut desks(siblings, 5) {
             for key in 0..100 {
-                desk.hit(key);
+                lb.hit(key);
             }
             for key in 0..100 {
-                let (id, server) = desk.read(key);
-                let actions = answer(desk, id, server.expect("sent"), MS, Outcome::Full);
+                let (id, server) = lb.read(key);
+                let actions = answer(lb, id, server.expect("sent"), MS, Outcome::Full);
                 let Some(second) = sent_to(&actions) else { continue };
                 copies += 1;
-                desk.ended(id, 1, second, Outcome::Served);
+                lb.end_attempt(id, 1, second, Outcome::Served);
             }
         }
         // A hundred requests at each earn fifteen; beyond that sixty over all, or one at each.
@@ -67,13 +67,13 @@
         let mode = Settings { mode: Mode::Aside, origin_kind: Some(1), ..at_scale(siblings) };
         let mut list = fleet(3);
         list.push(Listed { kind: 1, ..listed(100) });
-        let mut desk = Desk::new(mode, list);
+        let mut lb = TestBalancer::new(mode, list);
         let (mut late, mut sent) = (0, 0);
         for key in 0..400 {
-            desk.now += 50 * MS;
-            let (id, server) = desk.read(key);
-            let actions = answer(&mut desk, id, server.expect("sent"), MS, Outcome::Miss);
-            let held = desk.event(Event::Wake);
+            lb.now += 50 * MS;
+            let (id, server) = lb.read(key);
+            let actions = answer(&mut lb, id, server.expect("sent"), MS, Outcome::Miss);
+            let held = lb.event(Event::Wake);
             // Also what is sent because another attempt has ended: an attempt that never ends holds its room.
             let mut actions: std::collections::VecDeque<Action> = actions.into_iter().chain(held).collect();
             while let Some(action) = actions.pop_front() {
@@ -92,7 +92,7 @@
                     finished: sent < 3,
                     report: vec![],
                 };
-                actions.extend(desk.event(Event::Ended(end)));
+                actions.extend(lb.event(Event::Ended(end)));
             }
         }
         // In the last ten seconds all together keep no more than a few in flight of 0.1 s each.
@@ -107,38 +107,38 @@
 fn a_run_of_requests_inside_a_share_is_not_taken_for_surplus() {
     let tenants = vec![Tenant { quota_per_s: 100.0 }];
     let limits = Settings { tenants, over_share_worth: 0.05, ..at_scale(200) };
-    let mut desk = Desk::new(limits, fleet(3));
+    let mut lb = TestBalancer::new(limits, fleet(3));
     let mut refusals = 0;
     for burst in 0..20 {
-        desk.now = S + burst * 10 * S;
+        lb.now = S + burst * 10 * S;
         for key in 0..4 {
-            let (id, actions) = desk.request(key, 0, false);
+            let (id, actions) = lb.request(key, 0, false);
             refusals += usize::from(refused(&actions));
             if let Some(server) = sent_to(&actions) {
-                answer(&mut desk, id, server, 400 * MS, Outcome::Served);
+                answer(&mut lb, id, server, 400 * MS, Outcome::Served);
             }
         }
     }
     assert_eq!(refusals, 0);
-    let more = (0..40).filter(|key| refused(&desk.request(*key, 0, false).1)).count();
+    let more = (0..40).filter(|key| refused(&lb.request(*key, 0, false).1)).count();
     assert!(more > 20, "{more}");
 }
 
 /// Danger: with under one request in flight the marks never fire, and a balancer clings to a jammed server.
 #[test]
 fn late_answers_move_keys_off_a_server_and_fade() {
-    let mut desk = Desk::of(8);
-    let home = desk.hit(1);
+    let mut lb = TestBalancer::with_servers(8);
+    let home = lb.hit(1);
     for key in 0..40 {
-        desk.hit(key);
+        lb.hit(key);
     }
-    desk.now += 60 * S;
-    let (id, server) = desk.read(1);
+    lb.now += 60 * S;
+    let (id, server) = lb.read(1);
     assert_eq!(server, Some(home));
-    answer(&mut desk, id, home, 450 * MS, Outcome::Served);
-    assert_ne!(desk.read(1).1, Some(home));
-    desk.now += 120 * S;
-    let back = (1_000..1_200).filter(|key| desk.hit(*key) == home).count();
+    answer(&mut lb, id, home, 450 * MS, Outcome::Served);
+    assert_ne!(lb.read(1).1, Some(home));
+    lb.now += 120 * S;
+    let back = (1_000..1_200).filter(|key| lb.hit(*key) == home).count();
     assert!(back > 5, "{back}");
 }
 
@@ -147,14 +147,14 @@
 fn a_slow_kind_gets_fewer_keys_and_balancers_agree_on_them() {
     let list: Vec<Listed> = (1..=40).map(|s| Listed { kind: (s % 2) as u32, ..listed(s) }).collect();
     let mut pair = desks(2, 0);
-    for desk in &mut pair {
-        desk.list(Scope::Full, list.clone());
+    for lb in &mut pair {
+        lb.update_servers(Scope::Full, list.clone());
         for key in 0..300 {
-            desk.now += 100 * MS;
-            let (id, server) = desk.read(key);
+            lb.now += 100 * MS;
+            let (id, server) = lb.read(key);
             let server = server.expect("sent");
             let took = if server.0 % 2 == 0 { 20 * MS } else { 45 * MS };
-            answer(desk, id, server, took, Outcome::Served);
+            answer(lb, id, server, took, Outcome::Served);
         }
     }
     let [one, two] = &mut pair[..] else { unreachable!() };
@@ -175,15 +175,15 @@
         let mut all = desks(siblings, 9);
         let started = 11 * S;
         let (mut cold, mut warm) = (0u32, 0u32);
-        for (n, desk) in all.iter_mut().enumerate() {
+        for (n, lb) in all.iter_mut().enumerate() {
             // One in eight carries six times what the others do.
             let each = if n % 8 == 0 { each * 6 } else { each };
             for turn in 0..2 * each {
-                desk.now = S + turn as Micros * 10 * S / each as Micros;
+                lb.now = S + turn as Micros * 10 * S / each as Micros;
                 if turn == each {
-                    desk.list(Scope::Changes, vec![Listed { since: Some(started), ..listed(10) }]);
+                    lb.update_servers(Scope::Changes, vec![Listed { since: Some(started), ..listed(10) }]);
                 }
-                let server = desk.hit_after(10_000 + turn as u64 * 7_919 + n as u64, TELLS_NOTHING);
+                let server = lb.hit_after(10_000 + turn as u64 * 7_919 + n as u64, NEUTRAL_LATENCY);
                 cold += u32::from(server == ServerId(10));
                 warm += u32::from(turn >= each && server != ServerId(10));
             }
@@ -201,19 +201,19 @@
     let mut cool = std::collections::BTreeSet::new();
     for seed in 0..60 {
         let list = fleet(40);
-        let mut desk = Desk { balancer: Balancer::new(seed, at_scale(60), 0), now: S, next: 0 };
-        desk.list(Scope::Remembered, list);
+        let mut lb = TestBalancer { balancer: Balancer::new(seed, at_scale(60), 0), now: S, next: 0 };
+        lb.update_servers(Scope::Remembered, list);
         for n in 0..120 {
-            desk.now += 50 * MS;
+            lb.now += 50 * MS;
             if n % 5 == 0 {
-                desk.hit(7);
+                lb.hit(7);
             }
-            desk.hit(1_000 + n % 60);
+            lb.hit(1_000 + n % 60);
         }
-        let home = desk.hit(7);
-        assert_eq!(desk.hit(7), home);
+        let home = lb.hit(7);
+        assert_eq!(lb.hit(7), home);
         homes.insert(home);
-        cool.insert(desk.hit(1_001));
+        cool.insert(lb.hit(1_001));
     }
     assert!((4..=14).contains(&homes.len()), "{} servers", homes.len());
     assert_eq!(cool.len(), 1);
