--- a/crates/limits/examples/follow_cost.rs
+++ b/crates/limits/examples/follow_cost.rs
@@ -1,8 +1,8 @@
-//! Nanoseconds a decision of `Follow` and `Held`: `cargo run --release -p lapisrudder-limits --example follow_cost`. Median
+//! Nanoseconds a decision of `AdaptiveLimit` and `CoalescingQueue`: `cargo run --release -p lapisrudder-limits --example follow_cost`. Median
 //! of seven runs; run it with nothing else on the machine.
 
-use lapisrudder_limits::follow::{End, Follow, Settings};
-use lapisrudder_limits::held::Held;
+use lapisrudder_limits::adaptive_limit::{AdaptiveLimit, End, Settings};
+use lapisrudder_limits::coalescing_queue::CoalescingQueue;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::VecDeque;
 use std::hint::black_box;
@@ -25,7 +25,7 @@
 fn main() {
     for out in [1, 100, 10_000] {
         let settings = Settings { start: out as f64, most: 1e6, ..Settings::default() };
-        let (mut follow, mut now) = (Follow::new(settings, 0), 0);
+        let (mut follow, mut now) = (AdaptiveLimit::new(settings, 0), 0);
         let mut rng = SmallRng::seed_from_u64(1);
         let mut flying: VecDeque<_> = (0..out).map(|_| follow.sent(0)).collect();
         report("follow: room, sent and ended, so many out", out, || {
@@ -35,15 +35,15 @@
             let took = rng.random_range(50_000..150_000);
             let end = if took < 60_000 { End::TimedOut { took: 2_000_000 } } else { End::Answered { took } };
             follow.ended(now, sent, end);
-            black_box(follow.room(now));
+            black_box(follow.can_send(now));
             flying.push_back(follow.sent(now));
         });
     }
     for size in [10u64, 10_000, 500_000] {
         let mut rng = SmallRng::seed_from_u64(1);
-        let (mut held, mut next) = (Held::new(size as usize), 0);
+        let (mut held, mut next) = (CoalescingQueue::new(size as usize), 0);
         // Two wait for a key on average.
-        let mut hold = |held: &mut Held<u64, u64>| {
+        let mut hold = |held: &mut CoalescingQueue<u64, u64>| {
             next += 1;
             black_box(held.hold(rng.random_range(0..size / 2), next));
             next
--- a/crates/limits/src/follow/decide.rs
+++ b/crates/limits/src/adaptive_limit/decide.rs
@@ -1,6 +1,6 @@
 //! When a limit grows, is cut, or is tried lower.
 
-use super::Follow;
+use super::AdaptiveLimit;
 use crate::Micros;
 
 /// What is left of the limit after a cut, and after one at far more than a queue.
@@ -52,7 +52,7 @@
     mean: f64,
 }
 
-impl Follow {
+impl AdaptiveLimit {
     /// In flight and not presumed lost, when the limit is used.
     pub(super) fn live(&self) -> f64 {
         self.limit - self.dead
@@ -121,7 +121,7 @@
         let overtaken = self.newest.unwrap_or(0).saturating_sub(self.out.len() as u64);
         let lost = |(number, at): &(&u64, &Micros)| **number < overtaken && **at < long_ago;
         self.dead = (self.out.iter().take_while(lost).count() as f64).min(self.limit);
-        self.limit = (self.dead + self.live() * left).max(self.settings.least);
+        self.limit = (self.dead + self.live() * left).max(self.settings.min);
         (self.round, self.free) = (self.next, 0.0);
         self.times.new_round();
     }
@@ -163,7 +163,7 @@
     /// Guards against a place that has no queue, and says so. No less than is in flight otherwise stays.
     pub(super) fn turned_away(&mut self) {
         let less = (self.limit - TURNED_AWAY * self.growth()).max(self.limit.min(self.out.len() as f64));
-        self.limit = less.max(self.settings.least);
+        self.limit = less.max(self.settings.min);
         self.good = self.good.min(self.limit);
     }
 }
--- a/crates/limits/src/follow/mod.rs
+++ b/crates/limits/src/adaptive_limit/mod.rs
@@ -19,7 +19,7 @@
 //! but nodes that cannot see each other would not probe together, and take each other's queue for the place).
 //!
 //! ```
-//! use lapisrudder_limits::follow::{End, Follow, Settings};
+//! use lapisrudder_limits::adaptive_limit::{End, Follow, Settings};
 //!
 //! let mut follow = Follow::new(Settings { start: 2.0, ..Settings::default() }, 0);
 //! let first = follow.sent(0);
@@ -52,18 +52,18 @@
 /// only the sum over nodes grows with it: this much over their limits.
 const TURN: f64 = 0.25;
 
-/// What a [`Follow`] is told at its start.
+/// What a [`AdaptiveLimit`] is told at its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// Attempts in flight to begin with; under one where many nodes share a place. Growth follows its scale.
     pub start: f64,
     /// The least and the most that the limit may be. The least is over zero, so that some attempts always go.
-    pub least: f64,
-    /// See `least`.
+    pub min: f64,
+    /// See `min`.
     pub most: f64,
     /// Mean time of answers beyond which they are of little use: a queue that long is one whatever the least
     /// time seen. Guards nodes that have never seen the place without a queue.
-    pub patience: Micros,
+    pub max_latency: Micros,
     /// Where nodes that share the place must keep to it together from the first moment on: the part of its pause, in
     /// [0, 1), after which a node with a start under one sends first. It should differ between nodes. Then turns
     /// under one also run out when they are not used, and another comes with the next pause.
@@ -72,11 +72,11 @@
 
 impl Default for Settings {
     fn default() -> Self {
-        Settings { start: 20.0, least: 0.01, most: 10_000.0, patience: 500_000, phase: None }
+        Settings { start: 20.0, min: 0.01, most: 10_000.0, max_latency: 500_000, phase: None }
     }
 }
 
-/// An attempt that is in flight; given back to [`Follow::ended`].
+/// An attempt that is in flight; given back to [`AdaptiveLimit::ended`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub struct Sent {
@@ -101,17 +101,17 @@
         took: Micros,
     },
     /// The place said that it has no room.
-    TurnedAway,
+    Rejected,
     /// Called off, or ended in a way that says nothing of the place.
-    Untold,
+    Ignored,
     /// It turned out to be no work for the place, or never came there; the next need not wait for it.
-    Elsewhere,
+    NoWork,
 }
 
 /// How many attempts may be in flight at a place, by what comes back. No clock and no draws: the same history
 /// gives the same limit.
 #[derive(Clone, Debug)]
-pub struct Follow {
+pub struct AdaptiveLimit {
     settings: Settings,
     limit: f64,
     /// A limit that was good: growth is faster below it.
@@ -140,14 +140,14 @@
     silence: Silence,
 }
 
-impl Follow {
+impl AdaptiveLimit {
     /// A limit of `settings.start` that has seen nothing.
     pub fn new(settings: Settings, now: Micros) -> Self {
         let most = settings.most.max(0.001);
-        let least = settings.least.clamp(0.001, most);
-        let settings = Settings { least, most, patience: settings.patience.max(1), ..settings };
-        let start = settings.start.clamp(least, most);
-        let mut follow = Follow {
+        let min = settings.min.clamp(0.001, most);
+        let settings = Settings { min, most, max_latency: settings.max_latency.max(1), ..settings };
+        let start = settings.start.clamp(min, most);
+        let mut follow = AdaptiveLimit {
             settings: Settings { start, ..settings },
             limit: start,
             good: most,
@@ -158,7 +158,7 @@
             dead: 0.0,
             newest: None,
             round: 0,
-            times: Times::new(settings.patience, now),
+            times: Times::new(settings.max_latency, now),
             free: 0.0,
             trial: None,
             search: None,
@@ -182,17 +182,17 @@
     }
 
     /// Attempts in flight.
-    pub fn out(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.out.len()
     }
 
     /// Another attempt may go out now.
-    pub fn room(&self, now: Micros) -> bool {
-        self.when_room(now).is_some_and(|at| at <= now)
+    pub fn can_send(&self, now: Micros) -> bool {
+        self.next_send_at(now).is_some_and(|at| at <= now)
     }
 
     /// When another attempt may go out if nothing ends meanwhile; nothing if only an end makes room.
-    pub fn when_room(&self, now: Micros) -> Option<Micros> {
+    pub fn next_send_at(&self, now: Micros) -> Option<Micros> {
         if let Some(stop) = self.silence.stop {
             return stop.probe_at().map(|at| at.max(now));
         }
@@ -236,9 +236,9 @@
             End::Answered { took } => self.answered(now, sent, took.max(1) as f64),
             End::Lost => self.lost(now, 0.0),
             End::TimedOut { took } => self.timed_out(now, sent, took.max(1) as f64),
-            End::TurnedAway => self.turned_away(),
-            End::Untold => {}
-            End::Elsewhere => self.paced = self.paced.min(now),
+            End::Rejected => self.turned_away(),
+            End::Ignored => {}
+            End::NoWork => self.paced = self.paced.min(now),
         }
     }
 
--- a/crates/limits/src/follow/times.rs
+++ b/crates/limits/src/adaptive_limit/times.rs
@@ -26,7 +26,7 @@
 /// The times of answers.
 #[derive(Clone, Debug)]
 pub(super) struct Times {
-    patience: f64,
+    max_latency: f64,
     /// Answers in this round.
     pub(super) answers: f64,
     /// Of this round.
@@ -45,16 +45,16 @@
 }
 
 impl Times {
-    pub(super) fn new(patience: Micros, now: Micros) -> Self {
+    pub(super) fn new(max_latency: Micros, now: Micros) -> Self {
         Times {
-            patience: patience as f64,
+            max_latency: max_latency as f64,
             answers: 0.0,
             short: Sample::new(SHORT),
             long: Sample::new(LONG),
             usually: Sample::new(USUALLY),
             least: None,
             accepted: false,
-            guess: patience as f64,
+            guess: max_latency as f64,
             aged: now,
         }
     }
@@ -98,7 +98,7 @@
     /// mixed in, a bound by those alone would hide all others; so what is well inside the patience counts whole.
     fn bounded(&self, took: f64, times: f64) -> f64 {
         let bound = |least: Sample| 4.0 * (least.mean + times * least.deviation());
-        self.least.map_or(took, |least| took.min(bound(least).max(self.patience / 2.0)))
+        self.least.map_or(took, |least| took.min(bound(least).max(self.max_latency / 2.0)))
     }
 
     /// How many times as many samples a mean takes here as where times are exponential.
@@ -148,7 +148,7 @@
 
     /// The mean time that shows a queue, with the answers in hand.
     pub(super) fn queue_from(&self) -> f64 {
-        let late = self.patience * (1.0 + 1.0 / self.short.count.max(1.0).sqrt());
+        let late = self.max_latency * (1.0 + 1.0 / self.short.count.max(1.0).sqrt());
         let Some(uncrowded) = self.uncrowded() else { return late };
         let doubt = uncrowded * self.doubt();
         let late = if self.accepted { late.max(FREE * uncrowded + doubt) } else { late };
@@ -162,17 +162,17 @@
 
     /// Answers come as fast as ever.
     pub(super) fn free(&self) -> bool {
-        self.short.mean < self.uncrowded().map_or(self.patience / 2.0, |t| FREE * t)
+        self.short.mean < self.uncrowded().map_or(self.max_latency / 2.0, |t| FREE * t)
     }
 
     /// The mean is beyond the patience.
     pub(super) fn late(&self) -> bool {
-        self.short.mean > self.patience
+        self.short.mean > self.max_latency
     }
 
     /// The least seen is so near the patience that it may itself be of a queue.
     pub(super) fn suspect(&self) -> bool {
-        self.uncrowded().is_some_and(|t| CROWDED * t > self.patience)
+        self.uncrowded().is_some_and(|t| CROWDED * t > self.max_latency)
     }
 
     /// Lets only this round count for the least.
@@ -183,7 +183,7 @@
     /// This round's mean is that of a place without a queue, or not far over it.
     pub(super) fn accept(&mut self) {
         let accepted = self.short.scaled(1.0 / ACCEPTED);
-        self.accepted = accepted.mean * CROWDED > self.patience;
+        self.accepted = accepted.mean * CROWDED > self.max_latency;
         self.least = Some(accepted.afresh(LONG, LONG));
         self.forget_rounds();
     }
--- a/crates/limits/src/room.rs
+++ b/crates/limits/src/exhaustion.rs
@@ -9,7 +9,7 @@
 //! process's limit), a ceiling on connections is learnt: a little below what was held, raised again step by step.
 
 use crate::Micros;
-use crate::keep::micros;
+use crate::keep_alive::micros;
 use crate::settings;
 
 /// What is left below the number held when descriptors ran out. Guards members, discovery and the origin, which
@@ -20,7 +20,7 @@
 
 /// Stages of running out, and what is learnt from failures.
 #[derive(Clone, Debug)]
-pub struct Stages {
+pub struct ExhaustionStages {
     settings: settings::Room,
     stage: u8,
     /// Since when the share has been low enough for a lower stage.
@@ -29,10 +29,10 @@
     changed: Micros,
 }
 
-impl Stages {
+impl ExhaustionStages {
     /// All is well.
-    pub fn new(settings: &settings::Room) -> Stages {
-        Stages {
+    pub fn new(settings: &settings::Room) -> ExhaustionStages {
+        ExhaustionStages {
             settings: settings.clone(),
             stage: 0,
             low_since: None,
@@ -61,7 +61,7 @@
     }
 
     /// The largest share in use of anything.
-    pub fn see(&mut self, now: Micros, share: f64) {
+    pub fn update(&mut self, now: Micros, share: f64) {
         let reached = (1..=3).rev().find(|s| share >= self.mark(*s)).unwrap_or(0);
         if reached >= self.stage {
             (self.stage, self.low_since) = (reached, None);
@@ -80,7 +80,7 @@
     }
 
     /// A descriptor could not be had while clients held so many connections.
-    pub fn ran_out(&mut self, now: Micros, held: usize) {
+    pub fn on_descriptor_shortage(&mut self, now: Micros, held: usize) {
         if now - self.changed >= ONE_FAILURE || self.ceiling.is_none() {
             self.ceiling = Some(held.saturating_sub(LEFT).max(1));
             self.changed = now;
@@ -88,7 +88,7 @@
     }
 
     /// The learnt ceiling on connections under what the host has; forgotten once it is above that.
-    pub fn connections(&mut self, most: usize) -> usize {
+    pub fn connection_limit(&mut self, most: usize) -> usize {
         match self.ceiling {
             Some(ceiling) if ceiling < most => ceiling,
             _ => {
@@ -103,8 +103,8 @@
 mod tests {
     use super::*;
 
-    fn stages() -> Stages {
-        Stages::new(&settings::Room::default())
+    fn stages() -> ExhaustionStages {
+        ExhaustionStages::new(&settings::Room::default())
     }
 
     #[test]
@@ -124,7 +124,7 @@
             (4700, 0.70, 1),
             (5700, 0.70, 0),
         ] {
-            room.see(ms * 1000, share);
+            room.update(ms * 1000, share);
             assert_eq!(room.stage(), stage, "at {ms} ms, {share}");
         }
     }
@@ -134,7 +134,7 @@
         let (mut room, mut changes) = (stages(), 0);
         for i in 0..1000 {
             let before = room.stage();
-            room.see(i * 10_000, if i % 2 == 0 { 0.92 } else { 0.94 });
+            room.update(i * 10_000, if i % 2 == 0 { 0.92 } else { 0.94 });
             changes += u32::from(before != room.stage());
         }
         assert!(changes <= 2, "{changes}");
@@ -143,14 +143,14 @@
     #[test]
     fn failures_teach_a_ceiling_that_rises_again() {
         let mut room = stages();
-        assert_eq!(room.connections(250), 250);
-        room.ran_out(0, 200);
-        room.ran_out(50_000, 190);
-        assert_eq!(room.connections(250), 196, "failures at a time are one");
+        assert_eq!(room.connection_limit(250), 250);
+        room.on_descriptor_shortage(0, 200);
+        room.on_descriptor_shortage(50_000, 190);
+        assert_eq!(room.connection_limit(250), 196, "failures at a time are one");
         let (mut now, mut steps) = (0, 0);
-        while room.connections(250) < 250 {
+        while room.connection_limit(250) < 250 {
             now += 500_000;
-            room.see(now, 0.1);
+            room.update(now, 0.1);
             steps += 1;
         }
         assert!((6..=16).contains(&steps), "{steps}");
--- a/crates/limits/src/settings.rs
+++ b/crates/limits/src/settings.rs
@@ -66,7 +66,7 @@
     /// What must never be exceeded.
     pub caps: Caps,
     /// Which connections are kept, and for how long.
-    pub keep: Keep,
+    pub keep: KeepAliveSettings,
     /// Clients with a reserve of their own.
     pub known: Known,
     /// What is done when something runs out.
@@ -135,7 +135,7 @@
 /// `[limits.keep]`: which connections are kept, and for how long.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Keep {
+pub struct KeepAliveSettings {
     /// A connection that never brought a request is closed after this many ms. Default 2200.
     pub silent_close_ms: u32,
     /// One that brought but a part of a command is closed, with an error, after this many ms. Default 2200.
@@ -266,9 +266,9 @@
     }
 }
 
-impl Default for Keep {
+impl Default for KeepAliveSettings {
     fn default() -> Self {
-        Keep {
+        KeepAliveSettings {
             silent_close_ms: 2200,
             unfinished_close_ms: 2200,
             idle_close_ms: 2050,
@@ -346,7 +346,7 @@
         let cells = caps.rate_cells;
         let sound = cells.is_power_of_two() && (256..=65_536).contains(&cells);
         ensure(sound, "caps.rate_cells", cells, "a power of two from 256 to 65536")?;
-        within("caps.connections", caps.connections, 0..=MOST_CONNECTIONS, "0 to 4000000")?;
+        within("caps.connections", caps.connections, 0..=MAX_CONNECTIONS, "0 to 4000000")?;
         for (key, ms) in [
             ("keep.silent_close_ms", keep.silent_close_ms),
             ("keep.unfinished_close_ms", keep.unfinished_close_ms),
@@ -410,7 +410,7 @@
 }
 
 /// Connections that the books can hold: a place is named by 32 bits, and a cap is what memory is stated for.
-pub(crate) const MOST_CONNECTIONS: usize = 4_000_000;
+pub(crate) const MAX_CONNECTIONS: usize = 4_000_000;
 
 fn ensure(
     sound: bool,
--- a/crates/limits/tests/places/node.rs
+++ b/crates/limits/tests/places/node.rs
@@ -1,8 +1,8 @@
 //! A node of the harness, and the rules that say what may be in flight at it.
 
 use super::*;
-use lapisrudder_limits::follow::{End, Follow, Sent, Settings};
-use lapisrudder_limits::held::Held;
+use lapisrudder_limits::adaptive_limit::{AdaptiveLimit, End, Sent, Settings};
+use lapisrudder_limits::coalescing_queue::CoalescingQueue;
 use std::collections::HashMap;
 
 /// The rule before this one: `note_fetch` of the decision module at 42857a0, where answers are told from hits.
@@ -37,14 +37,14 @@
 pub enum Limiter {
     Fixed(f64),
     Late(Late),
-    Follow(Box<Follow>),
+    AdaptiveLimit(Box<AdaptiveLimit>),
 }
 
 pub struct Node {
     pub limiter: Limiter,
     pub out: f64,
     pub paced: Micros,
-    pub held: Held<u64, usize>,
+    pub held: CoalescingQueue<u64, usize>,
     /// Keys of which an attempt is out, with those that wait for it.
     pub joined: HashMap<u64, Vec<usize>>,
     /// Keys stored, until when.
@@ -64,13 +64,15 @@
                 late: None,
                 cut_at: 0,
             }),
-            Rule::Follow => Limiter::Follow(Box::new(Follow::new(settings(day.nodes), 0))),
+            Rule::AdaptiveLimit => {
+                Limiter::AdaptiveLimit(Box::new(AdaptiveLimit::new(settings(day.nodes), 0)))
+            }
         };
         Node {
             limiter,
             out: 0.0,
             paced: 0,
-            held: Held::new(1_000),
+            held: CoalescingQueue::new(1_000),
             joined: HashMap::new(),
             stored: HashMap::new(),
             wake: Micros::MAX,
@@ -81,13 +83,13 @@
         match &self.limiter {
             Limiter::Fixed(limit) => *limit,
             Limiter::Late(late) => late.limit,
-            Limiter::Follow(follow) => follow.limit(),
+            Limiter::AdaptiveLimit(follow) => follow.limit(),
         }
     }
 
-    pub fn when_room(&self, now: Micros) -> Option<Micros> {
+    pub fn next_send_at(&self, now: Micros) -> Option<Micros> {
         match &self.limiter {
-            Limiter::Follow(follow) => follow.when_room(now),
+            Limiter::AdaptiveLimit(follow) => follow.next_send_at(now),
             _ => (self.out < self.limit().floor().max(1.0)).then_some(self.paced.max(now)),
         }
     }
@@ -95,7 +97,7 @@
     pub fn sent(&mut self, now: Micros) -> Option<Sent> {
         self.out += 1.0;
         match &mut self.limiter {
-            Limiter::Follow(follow) => return Some(follow.sent(now)),
+            Limiter::AdaptiveLimit(follow) => return Some(follow.sent(now)),
             Limiter::Fixed(limit) if *limit < 1.0 => self.paced = now + (WORK / *limit) as Micros,
             Limiter::Late(late) if late.limit < 1.0 => self.paced = now + (late.best / late.limit) as Micros,
             _ => {}
@@ -106,7 +108,7 @@
     pub fn ended(&mut self, now: Micros, sent: Option<Sent>, end: End) {
         self.out -= 1.0;
         match (&mut self.limiter, end) {
-            (Limiter::Follow(follow), end) => follow.ended(now, sent.expect("a token"), end),
+            (Limiter::AdaptiveLimit(follow), end) => follow.ended(now, sent.expect("a token"), end),
             (Limiter::Late(late), End::Answered { took }) => late.ended(now, took as f64, true),
             (Limiter::Late(late), End::TimedOut { took }) => late.ended(now, took as f64, false),
             _ => {}
@@ -117,5 +119,5 @@
 /// What the decision module tells each of so many nodes.
 fn settings(nodes: usize) -> Settings {
     let start = 20f64.min(60.0 / nodes as f64);
-    Settings { start, least: (4.0 / nodes as f64).min(1.0), patience: AIM / 2, ..Settings::default() }
+    Settings { start, min: (4.0 / nodes as f64).min(1.0), max_latency: AIM / 2, ..Settings::default() }
 }
