--- a/crates/client/src/thread.rs
+++ b/crates/client/src/thread.rs
@@ -11,8 +11,8 @@
 use lapisrudder_config::{Options, Target};
 use lapisrudder_decisions::{Micros, RequestId, Scope, ServerId, Stage};
 use lapisrudder_engine::{self as engine, Answers, Conn, Engine, Final, Member, Order, TakeError};
-use lapisrudder_host::{COME_BACK, Clock, Discovery, Members, News, Noted};
-use lapisrudder_io::{Operation, is_momentary, keep_trying};
+use lapisrudder_host::{RETRY_INTERVAL, Clock, Discovery, Members, DiscoveryUpdate, ReadinessHandler};
+use lapisrudder_io::{Operation, is_momentary, retry_with_backoff};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 use std::io;
@@ -49,7 +49,7 @@
 #[derive(Default)]
 struct Ready(Vec<Owner>);
 
-impl Noted for Ready {
+impl ReadinessHandler for Ready {
     type Owner = Owner;
 
     fn ready(&mut self, owner: Owner) {
@@ -59,7 +59,7 @@
 
 /// Starts the thread, and gives the first client.
 pub(crate) fn start(plan: Plan, classes: Vec<ClassName>, in_flight: usize) -> Result<Client, StartError> {
-    let (ping, pinged) = keep_trying(START_PATIENCE, ping::make_ping, |e| is_momentary(Operation::Open, e))?;
+    let (ping, pinged) = retry_with_backoff(START_PATIENCE, ping::make_ping, |e| is_momentary(Operation::Open, e))?;
     let queue = Arc::new(Queue::new(ping, std::process::id()));
     let places = Arc::new(Semaphore::new(in_flight.min(Semaphore::MAX_PERMITS)));
     let clock = Clock::default();
@@ -110,7 +110,7 @@
     let may_pass =
         |e: &calloop::Error| matches!(e, calloop::Error::IoError(e) if is_momentary(Operation::Open, e));
     let events =
-        keep_trying(START_PATIENCE, EventLoop::<Ready>::try_new, may_pass).map_err(io::Error::from)?;
+        retry_with_backoff(START_PATIENCE, EventLoop::<Ready>::try_new, may_pass).map_err(io::Error::from)?;
     let mut source = Some(pinged);
     let insert = || {
         let Some(pinged) = source.take() else { return Ok(()) };
@@ -120,7 +120,7 @@
             failed.error
         })
     };
-    keep_trying(START_PATIENCE, insert, may_pass).map_err(io::Error::from)?;
+    retry_with_backoff(START_PATIENCE, insert, may_pass).map_err(io::Error::from)?;
     Ok(events)
 }
 
@@ -253,9 +253,9 @@
         let held = self.held.values().map(|request| request.due).min();
         let discovery = self.discovery.as_ref().and_then(Discovery::next_wake);
         let tell = self.untold.then_some(self.told + TELL_EVERY);
-        let behind = self.members.is_behind() || self.discovery.as_ref().is_some_and(Discovery::is_behind);
+        let behind = self.members.needs_retry() || self.discovery.as_ref().is_some_and(Discovery::needs_retry);
         // Danger: a caller's call to wake the thread that failed for a moment would be heard by nobody.
-        let comes_back = Some(self.clock.now() + if behind { COME_BACK } else { LOOKS_EVERY });
+        let comes_back = Some(self.clock.now() + if behind { RETRY_INTERVAL } else { LOOKS_EVERY });
         let next = [self.engine.next_wake(), held, discovery, tell, comes_back].into_iter().flatten().min();
         next.map(|at| self.clock.until(at))
     }
@@ -273,8 +273,8 @@
 
     /// The loop has failed, and may have lost what it had to tell: edges come once.
     fn look_at_all(&mut self) {
-        self.members.look_at_all();
-        self.discovery.iter_mut().for_each(Discovery::look_again);
+        self.members.recheck_all();
+        self.discovery.iter_mut().for_each(Discovery::recheck);
     }
 
     /// All is answered, and nobody can ask any more.
@@ -398,10 +398,10 @@
     // ---- The list of members --------------------------------------------------------------------------
 
     fn news(&mut self) {
-        while let Some(news) = self.discovery.as_mut().and_then(Discovery::poll_news) {
+        while let Some(news) = self.discovery.as_mut().and_then(Discovery::poll_update) {
             match news {
-                News::List { scope, targets } => self.list(scope, targets),
-                News::Failed => {
+                DiscoveryUpdate::List { scope, targets } => self.list(scope, targets),
+                DiscoveryUpdate::Failed => {
                     self.ledger.stats.list_failures += 1;
                     self.untold = true;
                     self.engine.list_failed();
@@ -447,9 +447,9 @@
                 self.ledger.stats.connects += 1;
                 self.members.connect(conn, to, &mut self.engine, now);
             }
-            Order::Write { conn, look } => {
+            Order::Write { conn, probe } => {
                 let Host { members, engine, ledger, .. } = self;
-                members.write(conn, look, engine, |id| ledger.owed.contains_key(&id), now);
+                members.write(conn, probe, engine, |id| ledger.owed.contains_key(&id), now);
             }
             Order::Close { conn } => self.members.close(conn),
             Order::Answer { transaction, answer } => {
@@ -490,7 +490,7 @@
         let attempts = self.engine.attempts();
         let stats = &mut self.ledger.stats;
         (stats.in_flight, stats.held) = (self.ledger.owed.len(), self.held.len());
-        (stats.attempts, stats.retries) = (attempts.begun, attempts.further);
+        (stats.attempts, stats.retries) = (attempts.begun, attempts.additional);
         stats.connections = self.engine.connections();
         self.tell.send_replace(stats.clone());
     }
--- a/crates/decisions/src/audit.rs
+++ b/crates/decisions/src/audit.rs
@@ -12,7 +12,7 @@
     /// The same as the servers' books have it: load in flight, heavy requests counted 2.
     pub load: f64,
     /// Attempts that work the origin.
-    pub origin_out: f64,
+    pub origin_in_flight: f64,
     /// Requests held until the origin has room.
     pub held: usize,
     /// Requests that wait for another's fetch.
@@ -36,7 +36,7 @@
             requests: self.requests.0.len(),
             out: self.requests.0.values().map(|r| r.out()).sum(),
             load: self.servers.all.iter().map(|s| s.load).sum(),
-            origin_out: self.origin.follow.out() as f64,
+            origin_in_flight: self.origin.follow.in_flight() as f64,
             held: self.origin.held.len(),
             joined: self.origin.joined.values().map(Vec::len).sum(),
             agenda: self.agenda.len(),
--- a/crates/decisions/src/maintenance.rs
+++ b/crates/decisions/src/maintenance.rs
@@ -11,7 +11,7 @@
 
 /// Why a server cannot be taken out or put back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoBan {
+pub enum BanError {
     /// No list ever named it.
     NeverListed,
     /// It is the origin, which nothing could stand in for.
@@ -90,11 +90,11 @@
     ///
     /// # Errors
     /// It cannot be.
-    pub fn ban(&mut self, id: ServerId, ban: Ban) -> Result<Option<(Listed, P)>, NoBan> {
-        let entry = self.servers.get(&id).ok_or(NoBan::NeverListed)?;
+    pub fn ban(&mut self, id: ServerId, ban: Ban) -> Result<Option<(Listed, P)>, BanError> {
+        let entry = self.servers.get(&id).ok_or(BanError::NeverListed)?;
         let effective = entry.told.clone().map(|(listed, place)| (hidden(listed, entry.shown), place));
         if effective.as_ref().is_some_and(|(listed, _)| self.is_origin(listed)) {
-            return Err(NoBan::IsOrigin);
+            return Err(BanError::IsOrigin);
         }
         self.bans.entry(id).or_insert(ban);
         Ok(effective)
@@ -112,8 +112,8 @@
     ///
     /// # Errors
     /// No list ever named it.
-    pub fn lift(&mut self, id: ServerId, now: Micros) -> Result<Option<(Listed, P)>, NoBan> {
-        let entry = self.servers.get_mut(&id).ok_or(NoBan::NeverListed)?;
+    pub fn lift(&mut self, id: ServerId, now: Micros) -> Result<Option<(Listed, P)>, BanError> {
+        let entry = self.servers.get_mut(&id).ok_or(BanError::NeverListed)?;
         let Some(ban) = self.bans.remove(&id) else { return Ok(None) };
         Ok(entry.told.clone().map(|(listed, place)| {
             // Danger: it was restarted meanwhile, and discovery tells so only seconds later. Until a start after the
@@ -217,11 +217,11 @@
     #[test]
     fn what_was_never_listed_gets_a_no_and_so_does_the_origin() {
         let mut m = Maintenance::new(Some(1));
-        assert_eq!(m.ban(ID, banned(1)), Err(NoBan::NeverListed));
-        assert_eq!(m.lift(ID, 1), Err(NoBan::NeverListed));
+        assert_eq!(m.ban(ID, banned(1)), Err(BanError::NeverListed));
+        assert_eq!(m.lift(ID, 1), Err(BanError::NeverListed));
         let origin = Listed { server: ServerId(8), kind: 1, ..Listed::default() };
         m.listed(Scope::Full, vec![(origin, 0)]);
-        assert_eq!(m.ban(ServerId(8), banned(1)), Err(NoBan::IsOrigin));
+        assert_eq!(m.ban(ServerId(8), banned(1)), Err(BanError::IsOrigin));
         assert_eq!(m.adopt(ID, banned(1)), None);
         assert_eq!(seen(m.listed(Scope::Full, vec![told(Stage::Live, None)])), [(Stage::Draining, None)]);
     }
--- a/crates/decisions/src/permit.rs
+++ b/crates/decisions/src/permit.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
     /// The request has its final answer, or its client has left.
-    NothingOwed,
+    NoAnswerPending,
     /// Its time is over.
     OutOfTime,
     /// Servers may have forgotten what this would repeat.
@@ -21,48 +21,48 @@
     /// It may have run, and must not run again.
     MayHaveRun,
     /// Answers are owed on the connection.
-    AnswersOwed,
+    AnswersPending,
     /// Something has come on the connection that was not read.
     Unread,
     /// The answer's time is over.
     AnsweredLate,
     /// The host owes the request no answer, though the engine does.
-    NotOpenAtHost,
+    NotPendingAtHost,
     /// Host and engine do not agree about which requests are owed an answer.
-    BooksDiffer,
+    AccountingMismatch,
     /// A client's connection was held when the time of its drain was over.
-    HeldPastDrain,
+    OpenAfterDrain,
 }
 
 impl Denial {
     const ALL: [Denial; 11] = [
-        Denial::NothingOwed,
-        Denial::OutOfTime,
-        Denial::Forgotten,
+        Denial::NoAnswerPending,
+        Denial::DeadlinePassed,
+        Denial::RepeatWindowOver,
         Denial::ServerClosed,
         Denial::MayHaveRun,
-        Denial::AnswersOwed,
+        Denial::AnswersPending,
         Denial::Unread,
         Denial::AnsweredLate,
-        Denial::NotOpenAtHost,
-        Denial::BooksDiffer,
-        Denial::HeldPastDrain,
+        Denial::NotPendingAtHost,
+        Denial::AccountingMismatch,
+        Denial::OpenAfterDrain,
     ];
 
     /// As logs name it.
     pub fn name(self) -> &'static str {
         match self {
-            Denial::NothingOwed => "nothing-owed",
-            Denial::OutOfTime => "out-of-time",
-            Denial::Forgotten => "forgotten",
+            Denial::NoAnswerPending => "nothing-owed",
+            Denial::DeadlinePassed => "out-of-time",
+            Denial::RepeatWindowOver => "forgotten",
             Denial::ServerClosed => "server-closed",
             Denial::MayHaveRun => "may-have-run",
-            Denial::AnswersOwed => "answers-owed",
+            Denial::AnswersPending => "answers-owed",
             Denial::Unread => "unread",
             Denial::AnsweredLate => "answered-late",
-            Denial::NotOpenAtHost => "not-open-at-host",
-            Denial::BooksDiffer => "books-differ",
-            Denial::HeldPastDrain => "held-past-drain",
+            Denial::NotPendingAtHost => "not-open-at-host",
+            Denial::AccountingMismatch => "books-differ",
+            Denial::OpenAfterDrain => "held-past-drain",
         }
     }
 }
@@ -95,16 +95,16 @@
     /// Why not.
     pub fn check(&self) -> Result<(), Denial> {
         if !self.owed {
-            return Err(Denial::NothingOwed);
+            return Err(Denial::NoAnswerPending);
         }
         if !self.server_open {
             return Err(Denial::ServerClosed);
         }
         if self.now >= self.begin_by {
-            return Err(Denial::Forgotten);
+            return Err(Denial::RepeatWindowOver);
         }
         if self.now >= self.until {
-            return Err(Denial::OutOfTime);
+            return Err(Denial::DeadlinePassed);
         }
         Ok(())
     }
@@ -132,7 +132,7 @@
         match self.effect {
             Effect::Safe => Ok(()),
             Effect::Keyed if !self.same_group => Err(Denial::MayHaveRun),
-            Effect::Keyed if self.now >= self.begin_by => Err(Denial::Forgotten),
+            Effect::Keyed if self.now >= self.begin_by => Err(Denial::RepeatWindowOver),
             Effect::Keyed => Ok(()),
             Effect::Unsafe => Err(Denial::MayHaveRun),
         }
@@ -155,7 +155,7 @@
     /// Why not.
     pub fn check(&self) -> Result<(), Denial> {
         if self.owed {
-            return Err(Denial::AnswersOwed);
+            return Err(Denial::AnswersPending);
         }
         if self.unread {
             return Err(Denial::Unread);
--- a/crates/decisions/src/room.rs
+++ b/crates/decisions/src/room.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::{Key, Mode, ServerId, Settings};
 use crate::state::chance;
-use lapisrudder_limits::follow;
+use lapisrudder_limits::adaptive_limit;
 
 /// Attempts in flight to begin with: here, over all balancers, and for each server. Danger: the origin is built for the
 /// misses of the whole fleet. With a number that did not grow with it, 100 balancers of 60 servers held back one read in
@@ -16,15 +16,15 @@
 const TURN: ServerId = ServerId(1);
 
 /// Half of the shortest aim is for the origin; the other half is for the way and for what went before.
-pub(crate) fn at_origin(settings: &Settings, servers: f64, own: ServerId) -> follow::Settings {
+pub(crate) fn at_origin(settings: &Settings, servers: f64, own: ServerId) -> adaptive_limit::Settings {
     let nodes = f64::from(settings.siblings.max(1));
     let aim = settings.classes.iter().map(|c| c.aim).min().unwrap_or(1_000_000);
-    follow::Settings {
+    adaptive_limit::Settings {
         start: START.min(ALL.max(EACH * servers) / nodes),
-        least: (LEAST / nodes).min(1.0),
-        patience: aim / 2,
+        min: (LEAST / nodes).min(1.0),
+        max_latency: aim / 2,
         phase: (settings.mode == Mode::Aside).then(|| chance(Key(own.0), TURN)),
-        ..follow::Settings::default()
+        ..adaptive_limit::Settings::default()
     }
 }
 
--- a/crates/decisions/src/rules.rs
+++ b/crates/decisions/src/rules.rs
@@ -10,7 +10,7 @@
 use crate::state::*;
 use crate::turns::{self, Turns};
 use crate::{pressure, room};
-use lapisrudder_limits::follow::{End, Sent, Settings as Room};
+use lapisrudder_limits::adaptive_limit::{End, Sent, Settings as Room};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 /// Requests in flight on a server of mean size below which a mark never lies: counts this small are noise.
@@ -674,7 +674,7 @@
     /// Danger: what is held for an origin that has left the list would wait for nothing.
     fn origin_room(&self) -> bool {
         let gone = self.settings.mode == Mode::Aside && self.servers.live_origin().is_none();
-        gone || self.origin.follow.room(self.now)
+        gone || self.origin.follow.can_send(self.now)
     }
 
     /// Holds a request until there is room at the origin.
@@ -694,7 +694,7 @@
     /// Held requests are looked at when there is room, if that needs no attempt to end.
     fn drain_later(&mut self, out: &mut Vec<Action>) {
         let waiting = !self.origin.held.is_empty();
-        let at = self.origin.follow.when_room(self.now).filter(|at| waiting && *at != self.origin.drain_at);
+        let at = self.origin.follow.next_send_at(self.now).filter(|at| waiting && *at != self.origin.drain_at);
         if let Some(at) = at {
             self.origin.drain_at = at;
             self.later(at, Task::Drain, out);
@@ -726,7 +726,7 @@
         // Danger: writes, few and worth most, waited behind all the reads that miss. They are held only where
         // the origin has far more than it should.
         let over = WRITES_OVER * self.origin.follow.limit();
-        let room = self.origin_room() || write && (self.origin.follow.out() as f64) < over;
+        let room = self.origin_room() || write && (self.origin.follow.in_flight() as f64) < over;
         if !room {
             return self.hold(id, out);
         }
@@ -780,15 +780,15 @@
         let quick = !o.told && end.outcome == Outcome::Error && took < aim / 2;
         o.told |= cache.is_none() || end.note.is_some();
         let how = match end.outcome {
-            Outcome::Served if end.note == Some(CacheNote::Hit) => End::Elsewhere,
-            _ if silent || quick || far => End::Untold,
+            Outcome::Served if end.note == Some(CacheNote::Hit) => End::NoWork,
+            _ if silent || quick || far => End::Ignored,
             Outcome::Served => End::Answered { took },
             Outcome::Error | Outcome::TimedOut => End::TimedOut { took },
-            Outcome::Cancelled => End::Untold,
+            Outcome::Cancelled => End::Ignored,
             // Danger: cache servers that turn a tenant away, or lose a connection, look like a full origin.
-            Outcome::Full if cache.is_none() => End::TurnedAway,
+            Outcome::Full if cache.is_none() => End::Rejected,
             Outcome::Broken | Outcome::ConnectFailed if cache.is_none() => End::Lost,
-            _ => End::Elsewhere,
+            _ => End::NoWork,
         };
         o.follow.ended(self.now, fetch, how);
     }
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -6,7 +6,7 @@
 use crate::interface::*;
 use crate::time_limits;
 use crate::turns::Turns;
-use lapisrudder_limits::follow::{self, Follow, Sent};
+use lapisrudder_limits::adaptive_limit::{self, AdaptiveLimit, Sent};
 use lapisrudder_limits::held::Held;
 use lru::LruCache;
 use rustc_hash::FxHashMap;
@@ -633,7 +633,7 @@
 /// What is known of the origin, and what waits for it.
 pub(crate) struct Origin {
     /// How many attempts of ours may work it.
-    pub follow: Follow,
+    pub follow: AdaptiveLimit,
     /// Answers tell fetches from hits.
     pub told: bool,
     /// Fetches out by key, with the requests that wait for them.
@@ -645,9 +645,9 @@
 }
 
 impl Origin {
-    pub fn new(settings: follow::Settings, now: Micros) -> Self {
+    pub fn new(settings: adaptive_limit::Settings, now: Micros) -> Self {
         Origin {
-            follow: Follow::new(settings, now),
+            follow: AdaptiveLimit::new(settings, now),
             told: false,
             joined: FxHashMap::default(),
             held: Held::new(HELD_MOST),
--- a/crates/decisions/src/time_limits.rs
+++ b/crates/decisions/src/time_limits.rs
@@ -1,6 +1,6 @@
 //! Time limits, and what is kept in reserve so that they hold although the machine holds the process up.
 //!
-//! A process may stand still for up to [`HOLD_UP`] at any point: before it reads what has come, between reading its clock
+//! A process may stand still for up to [`MAX_STALL`] at any point: before it reads what has come, between reading its clock
 //! and acting on it, before a timer is seen to. So a time that the process has read is never taken for the time of an
 //! event, and nothing is planned for the last moment:
 //!
@@ -11,17 +11,17 @@
 use crate::interface::Micros;
 
 /// For so long the machine may hold the process up at any point (microseconds).
-pub const HOLD_UP: Micros = 150_000;
+pub const MAX_STALL: Micros = 150_000;
 /// Time limits on sockets are this much longer than stated (microseconds).
 pub const SOCKET_SLACK: Micros = 50_000;
 /// The process's own timers, turns and writes take up to this (microseconds).
 const OWN_DELAY: Micros = 10_000;
 /// Final answers are planned so long before their request is due (microseconds).
-pub const RESERVE: Micros = HOLD_UP + OWN_DELAY - SOCKET_SLACK;
+pub const RESERVE: Micros = MAX_STALL + OWN_DELAY - SOCKET_SLACK;
 /// A request with little time keeps at most one part in so many of it in reserve: the rest is for its service.
 const RESERVE_PART: Micros = 3;
 /// Servers count as forgetting a keyed request so long before they do: the way there, and a hold-up before the write.
-const FORGOTTEN_EARLY: Micros = HOLD_UP + SOCKET_SLACK;
+const FORGOTTEN_EARLY: Micros = MAX_STALL + SOCKET_SLACK;
 
 /// When a request must be answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/decisions/tests/copies/main.rs
+++ b/crates/decisions/tests/copies/main.rs
@@ -3,7 +3,7 @@
 
 mod world;
 use lapisrudder_decisions::Mode;
-use lapisrudder_limits::follow::{Follow, Settings};
+use lapisrudder_limits::adaptive_limit::{AdaptiveLimit, Settings};
 use world::*;
 
 /// All numbers of copies, each told rightly and three times too low.
@@ -70,7 +70,7 @@
     let room = |now, phase: fn(f64) -> Option<f64>| {
         let part = |n: u32| (f64::from(n) * 0.618_034).fract();
         let settings = |n| Settings { start: 0.2, phase: phase(part(n)), ..Settings::default() };
-        (0..300).filter(|n| Follow::new(settings(*n), 0).room(now)).count()
+        (0..300).filter(|n| AdaptiveLimit::new(settings(*n), 0).can_send(now)).count()
     };
     for now in [0, 61 * S] {
         assert_eq!(room(now, |_| None), 300);
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -11,7 +11,7 @@
 use crate::request::Request;
 use crate::transactions::{FlowState, Transaction, Transactions};
 use lapisrudder_codec::memcache::{self, ReadNote};
-use lapisrudder_decisions::maintenance::{Ban, Maintenance, NoBan};
+use lapisrudder_decisions::maintenance::{Ban, Maintenance, BanError};
 use lapisrudder_decisions::permit::{Begin, Violations};
 use lapisrudder_decisions::{
     Action, Balancer, CacheNote, Event, Listed, Micros, Outcome, RequestId, Scope, ServerId, Settings,
@@ -22,9 +22,9 @@
 use tracing::debug;
 
 /// A transaction that has no final answer this long after its time gets one from the engine itself.
-pub const OVERDUE: Micros = 10_000;
+pub const OVERDUE_GRACE: Micros = 10_000;
 /// No transaction is held for longer, whatever its client says.
-pub const LONGEST_HELD: Micros = 3_600_000_000;
+pub const MAX_TRANSACTION_TIME: Micros = 3_600_000_000;
 
 /// A pool member as discovery has it, and where it answers.
 #[derive(Clone, Debug)]
@@ -149,8 +149,8 @@
     // ---- Clients --------------------------------------------------------------------------------------
 
     /// A transaction in hand has this id of a client's: [`Engine::take`] would refuse another.
-    pub fn is_named(&self, id: &[u8]) -> bool {
-        self.transactions.is_named(id)
+    pub fn is_id_in_use(&self, id: &[u8]) -> bool {
+        self.transactions.is_id_in_use(id)
     }
 
     /// Takes a transaction: from here on it is owed one final answer. The host gives it a number that it never uses
@@ -165,7 +165,7 @@
         mut request: Request,
     ) -> Result<(), TakeError> {
         // Guards against two transactions that take each other's answers: members tell them apart by this.
-        if self.is_named(request.command.id()) {
+        if self.is_id_in_use(request.command.id()) {
             return Err(TakeError::IdInUse);
         }
         if request.class >= self.classes.len() {
@@ -174,9 +174,9 @@
         if self.transactions.all.contains_key(&transaction) {
             return Err(TakeError::NumberInUse);
         }
-        request.due = request.due.clamp(now, now.saturating_add(LONGEST_HELD));
+        request.due = request.due.clamp(now, now.saturating_add(MAX_TRANSACTION_TIME));
         let due = request.due;
-        let deadline = Some(self.deadlines.add(due + OVERDUE, Deadline::Transaction(transaction)));
+        let deadline = Some(self.deadlines.add(due + OVERDUE_GRACE, Deadline::Transaction(transaction)));
         let id = ClientId::new(request.command.id());
         self.transactions.recorder.note(now, transaction, None, Step::Taken(id));
         let call = Arc::new(Call::new(request));
@@ -326,7 +326,7 @@
     /// News of the list.
     pub fn listed(&mut self, scope: Scope, members: Vec<Member>) {
         let told = members.into_iter().map(|m| (m.listed, m.endpoint)).collect();
-        let members = self.maintenance.listed(scope, told);
+        let members = self.maintenance.apply_list(scope, told);
         self.effective(scope, members);
     }
 
@@ -335,7 +335,7 @@
     ///
     /// # Errors
     /// It cannot be.
-    pub fn take_out(&mut self, server: ServerId, ban: Ban) -> Result<(), NoBan> {
+    pub fn take_out(&mut self, server: ServerId, ban: Ban) -> Result<(), BanError> {
         let seen = self.maintenance.ban(server, ban)?;
         self.changed(seen);
         Ok(())
@@ -351,7 +351,7 @@
     ///
     /// # Errors
     /// It never was listed.
-    pub fn put_back(&mut self, now: Micros, server: ServerId) -> Result<(), NoBan> {
+    pub fn put_back(&mut self, now: Micros, server: ServerId) -> Result<(), BanError> {
         let seen = self.maintenance.lift(server, now)?;
         self.changed(seen);
         Ok(())
@@ -581,7 +581,7 @@
 
     /// Holds so many connections to members at the most from now on: another process of the node holds others. Flows
     /// that are out stay.
-    pub fn hold_connections(&mut self, in_all: usize, now: Micros) {
+    pub fn limit_connections(&mut self, in_all: usize, now: Micros) {
         self.pool.hold_to(in_all, now, &mut self.deadlines);
     }
 
@@ -601,7 +601,7 @@
     }
 
     /// The attempts of a request that have not ended.
-    pub fn attempts_out(&self, transaction: RequestId) -> Vec<AttemptOut> {
+    pub fn open_attempts(&self, transaction: RequestId) -> Vec<AttemptOut> {
         let flows = self.transactions.all.get(&transaction).into_iter().flat_map(|t| t.flows.iter());
         let out = (0..).zip(flows).filter(|(_, flow)| flow.ended.is_none());
         let describe = |(attempt, flow): (u32, &FlowState)| {
@@ -648,7 +648,7 @@
     note.map(|note| match note {
         ReadNote::Hit => CacheNote::Hit,
         ReadNote::Fetched => CacheNote::Fetched,
-        ReadNote::OthersFetch => CacheNote::OthersFetch,
+        ReadNote::OthersFetch => CacheNote::FetchInProgress,
     })
 }
 
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -34,7 +34,7 @@
 //! use lapisrudder_decisions::{Class, Key, Listed, RequestId, Scope, ServerId, Settings};
 //! use lapisrudder_engine::{Answer, Config, Engine, Member, Order, Request};
 //!
-//! let class = Class { aim: 750_000, worth: 1.0, ..Class::default() };
+//! let class = Class { latency_target: 750_000, worth: 1.0, ..Class::default() };
 //! let settings = Settings {
 //!     classes: vec![class], max_attempts: 3, siblings: 1, second_copies: true, ..Settings::default()
 //! };
@@ -96,7 +96,7 @@
 pub use audit::Audit;
 pub use config::{Config, Limits};
 pub use deadlines::{Deadlines, Key as DeadlineKey};
-pub use engine::{Answers, AttemptOut, Attempts, Engine, LONGEST_HELD, Member, OVERDUE, TakeError};
+pub use engine::{Answers, AttemptOut, Attempts, Engine, MAX_TRANSACTION_TIME, Member, OVERDUE_GRACE, TakeError};
 pub use order::{Answer, Conn, Final, Order};
 pub use request::Request;
-pub use watch::{Told, Watch, WatchNews, WatchOrder};
+pub use watch::{DiscoveryAnswer, Watch, WatchEvent, WatchOrder};
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -19,7 +19,7 @@
     pub hint: Option<Micros>,
     /// The client marked it as a repeat.
     pub repeated: bool,
-    /// When its final answer is given at the latest. Held to [`LONGEST_HELD`](crate::LONGEST_HELD) from when it is taken.
+    /// When its final answer is given at the latest. Held to [`MAX_TRANSACTION_TIME`](crate::MAX_TRANSACTION_TIME) from when it is taken.
     pub due: Micros,
     /// The client waits so much longer: what the host keeps back so that the answer is in time.
     pub reserve: Micros,
--- a/crates/engine/src/watch.rs
+++ b/crates/engine/src/watch.rs
@@ -44,7 +44,7 @@
 
 /// What a call to discovery brought.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum WatchNews<T> {
+pub enum WatchEvent<T> {
     /// A list, as the host decoded it. The next call is out already.
     List(T),
     /// The same, and it is whole, but older than one that came before, here or at another address: a discovery that
@@ -200,7 +200,7 @@
     }
 
     /// The connect failed, or the connection was reset or cannot be written to: `what` tells.
-    pub fn broken<T>(&mut self, what: impl Display) -> Option<WatchNews<T>> {
+    pub fn broken<T>(&mut self, what: impl Display) -> Option<WatchEvent<T>> {
         let kept = self.link == Link::Up && self.calls > 1 && self.input.is_empty();
         self.close();
         self.deadline?;
@@ -219,7 +219,7 @@
         bytes: &[u8],
         ended: bool,
         decode: impl FnOnce(&mut [u8]) -> Result<Told<T>, E>,
-    ) -> Option<WatchNews<T>> {
+    ) -> Option<WatchEvent<T>> {
         if self.deadline.is_none() {
             // Nothing is asked: it closed an idle connection, or spoke out of turn.
             self.close();
@@ -240,11 +240,11 @@
         }
         match decode(&mut body) {
             // Danger: changes of long ago would undo what has been told since. Nobody knows what lies between.
-            Ok(Told { revision, all: false, .. }) if self.revision > Some(revision) => {
+            Ok(DiscoveryAnswer { revision, all: false, .. }) if self.revision > Some(revision) => {
                 self.revision = None;
                 Some(self.fail(format_args!("changes up to version {revision}, older than the list in hand")))
             }
-            Ok(Told { revision, all, list }) => {
+            Ok(DiscoveryAnswer { revision, all, list }) => {
                 let old = all && self.newest > Some(revision);
                 if old {
                     self.old_since.get_or_insert(now);
@@ -259,7 +259,7 @@
                 // A watch goes on only if the next call comes at once.
                 self.deadline = None;
                 self.begin(now);
-                Some(if old { WatchNews::Old(list) } else { WatchNews::List(list) })
+                Some(if old { WatchEvent::Old(list) } else { WatchEvent::List(list) })
             }
             Err(what) => {
                 // The same version would only bring the same answer: next time all of the list.
@@ -275,17 +275,17 @@
     }
 
     /// Gives up a call that is not answered in time.
-    pub fn wake<T>(&mut self, now: Micros) -> Option<WatchNews<T>> {
+    pub fn wake<T>(&mut self, now: Micros) -> Option<WatchEvent<T>> {
         self.deadline.filter(|at| *at <= now)?;
         Some(self.fail("no answer in time"))
     }
 
-    fn fail<T>(&mut self, what: impl Display) -> WatchNews<T> {
+    fn fail<T>(&mut self, what: impl Display) -> WatchEvent<T> {
         self.failed += 1;
         warn!(about = %self.at, "discovery: {what}");
         self.close();
         self.deadline = None;
-        WatchNews::Failed
+        WatchEvent::Failed
     }
 
     fn close(&mut self) {
@@ -337,7 +337,7 @@
             text.lines().next().unwrap_or_default().into()
         }
 
-        fn comes(&mut self, now: Micros, text: &str, ended: bool) -> Option<WatchNews<u64>> {
+        fn comes(&mut self, now: Micros, text: &str, ended: bool) -> Option<WatchEvent<u64>> {
             self.0.received(now, text.as_bytes(), ended, |body| {
                 let body = String::from_utf8_lossy(body);
                 let number = body.trim_end_matches('+').parse::<u64>();
@@ -356,7 +356,7 @@
         let text = list(7);
         let (first, last) = text.split_at(20);
         assert_eq!(desk.comes(5, first, false), None);
-        assert_eq!(desk.comes(5, last, false), Some(WatchNews::List(7)));
+        assert_eq!(desk.comes(5, last, false), Some(WatchEvent::List(7)));
         assert_eq!(desk.orders(), [WatchOrder::Write]);
         assert!(desk.asks().contains("?from=7&hold_ms=2500"));
         assert_eq!(desk.0.next_wake(), Some(5 + HOLD + GRACE));
@@ -364,7 +364,7 @@
         assert_eq!(desk.comes(6, "", true), None);
         assert_eq!(desk.orders(), [WatchOrder::Close, connect]);
         assert!(desk.asks().contains("from=7"));
-        assert_eq!(desk.0.broken::<u64>("refused"), Some(WatchNews::Failed));
+        assert_eq!(desk.0.broken::<u64>("refused"), Some(WatchEvent::Failed));
         assert_eq!((desk.orders(), desk.0.next_wake()), (vec![WatchOrder::Close], None));
     }
 
@@ -376,14 +376,14 @@
             let mut desk = Desk::new();
             desk.0.connected();
             desk.orders();
-            assert_eq!(desk.comes(1, text, ended), Some(WatchNews::Failed), "{text:?}");
+            assert_eq!(desk.comes(1, text, ended), Some(WatchEvent::Failed), "{text:?}");
             assert_eq!(desk.orders(), [WatchOrder::Close]);
             assert_eq!(desk.comes(2, text, ended), None);
             assert_eq!(desk.0.wake::<u64>(i64::MAX), None, "no call is out");
         }
         let mut desk = Desk::new();
         assert_eq!(desk.0.wake::<u64>(IN_TURN - 1), None);
-        assert_eq!(desk.0.wake::<u64>(IN_TURN), Some(WatchNews::Failed));
+        assert_eq!(desk.0.wake::<u64>(IN_TURN), Some(WatchEvent::Failed));
         assert_eq!(desk.orders(), [], "its host never heard of the connection");
     }
 
@@ -395,7 +395,7 @@
         desk.0.connected();
         assert!(desk.asks().contains("?from=0&hold_ms=500"), "the first list there is has version 0");
         assert_eq!(desk.0.wake::<u64>(IN_TURN), None);
-        assert_eq!(desk.comes(IN_TURN, &list(1), false), Some(WatchNews::List(1)));
+        assert_eq!(desk.comes(IN_TURN, &list(1), false), Some(WatchEvent::List(1)));
         assert!(desk.asks().contains("?from=1&hold_ms=2500"));
         assert_eq!(desk.0.next_wake(), Some(IN_TURN + HOLD + GRACE), "later ones come at once or not at all");
     }
@@ -409,7 +409,7 @@
             desk.0.begin(0);
             desk.0.connected();
             (0..calls).for_each(|_| _ = desk.comes(0, &list(1), false));
-            assert_eq!(desk.0.wake::<u64>(4_000_000), Some(WatchNews::Failed), "call {calls}");
+            assert_eq!(desk.0.wake::<u64>(4_000_000), Some(WatchEvent::Failed), "call {calls}");
         }
     }
 
@@ -418,38 +418,38 @@
     fn what_is_older_than_what_came_before_is_told_apart_wherever_it_comes_from() {
         let mut desk = Desk::new();
         desk.0.connected();
-        assert_eq!(desk.comes(1, &list(7), false), Some(WatchNews::List(7)));
-        assert_eq!(desk.comes(2, &answer("7+"), false), Some(WatchNews::List(7)), "nothing has changed");
-        assert_eq!(desk.comes(3, &answer("9+"), false), Some(WatchNews::List(9)));
+        assert_eq!(desk.comes(1, &list(7), false), Some(WatchEvent::List(7)));
+        assert_eq!(desk.comes(2, &answer("7+"), false), Some(WatchEvent::List(7)), "nothing has changed");
+        assert_eq!(desk.comes(3, &answer("9+"), false), Some(WatchEvent::List(9)));
         // It has moved, and the other one lags behind, or counts anew: from there on its own versions go up.
         desk.0.move_to(([127, 0, 0, 2], 9).into(), 4);
         desk.0.connected();
-        assert_eq!(desk.comes(5, &list(8), false), Some(WatchNews::Old(8)));
-        assert_eq!(desk.comes(6, &answer("8+"), false), Some(WatchNews::List(8)));
-        assert_eq!(desk.comes(7, &list(8), false), Some(WatchNews::Old(8)));
-        assert_eq!(desk.comes(8, &list(10), false), Some(WatchNews::List(10)));
+        assert_eq!(desk.comes(5, &list(8), false), Some(WatchEvent::Old(8)));
+        assert_eq!(desk.comes(6, &answer("8+"), false), Some(WatchEvent::List(8)));
+        assert_eq!(desk.comes(7, &list(8), false), Some(WatchEvent::Old(8)));
+        assert_eq!(desk.comes(8, &list(10), false), Some(WatchEvent::List(10)));
         // One that stays behind for long counts anew: all is asked for once more, and what it says holds.
         let mut desk = Desk(Watch::new(([127, 0, 0, 1], 9).into(), Some(90)));
         desk.0.begin(0);
         desk.0.connected();
-        assert_eq!(desk.comes(1, &list(3), false), Some(WatchNews::Old(3)));
-        assert_eq!(desk.comes(CATCHES_UP, &answer("3+"), false), Some(WatchNews::List(3)));
+        assert_eq!(desk.comes(1, &list(3), false), Some(WatchEvent::Old(3)));
+        assert_eq!(desk.comes(CATCHES_UP, &answer("3+"), false), Some(WatchEvent::List(3)));
         assert!(desk.asks().contains("from=3"));
-        assert_eq!(desk.comes(CATCHES_UP + 1, &answer("4+"), false), Some(WatchNews::List(4)));
+        assert_eq!(desk.comes(CATCHES_UP + 1, &answer("4+"), false), Some(WatchEvent::List(4)));
         desk.orders();
         assert!(desk.asks().starts_with(WHOLE));
-        assert_eq!(desk.comes(CATCHES_UP + 2, &list(4), false), Some(WatchNews::List(4)));
+        assert_eq!(desk.comes(CATCHES_UP + 2, &list(4), false), Some(WatchEvent::List(4)));
         assert!(desk.asks().contains("from=4"));
-        assert_eq!(desk.comes(CATCHES_UP + 3, &list(3), false), Some(WatchNews::Old(3)));
+        assert_eq!(desk.comes(CATCHES_UP + 3, &list(3), false), Some(WatchEvent::Old(3)));
         // Changes that end before the list in hand: all is asked for.
         let mut desk = Desk(Watch::new(([127, 0, 0, 1], 9).into(), Some(10)));
         desk.0.begin(8);
         desk.0.connected();
         desk.orders();
-        assert_eq!(desk.comes(9, &answer("6+"), false), Some(WatchNews::Failed));
+        assert_eq!(desk.comes(9, &answer("6+"), false), Some(WatchEvent::Failed));
         desk.0.begin(10);
         assert!(desk.asks().starts_with(WHOLE), "and not from any version");
         desk.0.connected();
-        assert_eq!(desk.comes(11, &list(6), false), Some(WatchNews::Old(6)));
+        assert_eq!(desk.comes(11, &list(6), false), Some(WatchEvent::Old(6)));
     }
 }
--- a/crates/engine/tests/world/mod.rs
+++ b/crates/engine/tests/world/mod.rs
@@ -10,7 +10,7 @@
     Class, Effect, Key, Listed, Micros, Mode, RequestId, Scope, ServerId, Settings, Stage,
 };
 use lapisrudder_engine::{
-    Answer, Config, Conn, Engine, Final, LONGEST_HELD, Limits, Member, OVERDUE, Order, Request,
+    Answer, Config, Conn, Engine, Final, MAX_TRANSACTION_TIME, Limits, Member, OVERDUE_GRACE, Order, Request,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -113,7 +113,7 @@
 impl World {
     /// `copies`: two attempts of a request may be out together. `remembered`: writes may be repeated within that time.
     pub fn new(seed: u64, copies: bool, remembered: Option<Micros>) -> World {
-        let class = Class { aim: 200_000, worth: 1.0, ..Class::default() };
+        let class = Class { latency_target: 200_000, worth: 1.0, ..Class::default() };
         let effect = if remembered.is_some() { Effect::Keyed } else { Effect::Unsafe };
         let write = Class { effect, repeat_window: remembered.unwrap_or_default(), ..class.clone() };
         let settings = Settings {
@@ -343,7 +343,7 @@
                 };
                 check(self.lines.insert(conn, line).is_none(), || format!("{conn:?} twice"))
             }
-            Order::Write { conn, look } => self.write(conn, look),
+            Order::Write { conn, probe } => self.write(conn, look),
             Order::Close { conn } => {
                 check(self.lines.remove(&conn).is_some(), || {
                     format!("{conn:?} closed twice, or never opened")
@@ -446,11 +446,11 @@
         self.counts()?;
         // One beyond the limit for a member that had none.
         check(self.lines.len() <= 10 + usize::from(SERVERS), || format!("{} connections", self.lines.len()))?;
-        let late = |(id, asked): &(&RequestId, &Asked)| (asked.due + OVERDUE < self.now).then_some(**id);
+        let late = |(id, asked): &(&RequestId, &Asked)| (asked.due + OVERDUE_GRACE < self.now).then_some(**id);
         let late = self.open.iter().find_map(|asked| late(&asked));
         check(late.is_none(), || format!("{late:?} has no answer, and its time is over"))?;
         let due = self.engine.next_wake();
-        check(due.is_none_or(|due| due > self.now && due <= self.now + LONGEST_HELD), || {
+        check(due.is_none_or(|due| due > self.now && due <= self.now + MAX_TRANSACTION_TIME), || {
             format!("it is {}, and the next wake-up is at {due:?}", self.now)
         })
     }
@@ -459,7 +459,7 @@
     /// what it works on, where nothing waits at the host and nobody has given anything up.
     fn counts(&self) -> Result<(), Broken> {
         let books = self.engine.audit();
-        let (out, load) = (books.decisions.out, books.decisions.load);
+        let (out, load) = (books.decisions.in_flight, books.decisions.load);
         check(load == out as f64 && books.flows == out, || format!("{load} in flight: {books:?}"))?;
         if books.waiting > 0 || books.places > books.carried {
             return Ok(());
--- a/crates/host/src/attention.rs
+++ b/crates/host/src/attention.rs
@@ -15,7 +15,7 @@
 
 /// The host's looks at its sockets, by a clock that only goes forward (microseconds).
 #[derive(Clone, Copy, Debug)]
-pub struct Attention {
+pub struct PollTracker {
     /// All that came before this was found by the look before.
     found_before: Micros,
     /// When the look that is under way, or was the last, began.
@@ -24,10 +24,10 @@
     planned: Micros,
 }
 
-impl Attention {
+impl PollTracker {
     /// Nothing has come yet.
-    pub fn new(now: Micros) -> Attention {
-        Attention { found_before: now, began: now, planned: now }
+    pub fn new(now: Micros) -> PollTracker {
+        PollTracker { found_before: now, began: now, planned: now }
     }
 
     /// A look begins that is to last until `next`, or without end. Gives for how long the host may wait.
--- a/crates/host/src/discovery.rs
+++ b/crates/host/src/discovery.rs
@@ -1,10 +1,10 @@
 //! Discovery on a socket: carries out what the watch orders, and tells it what comes of that.
 
-use crate::{Noted, Socket};
+use crate::{ReadinessHandler, Socket};
 use calloop::LoopHandle;
 use lapisrudder_config::{ListError, MemberList, Options, Target};
 use lapisrudder_decisions::{Micros, Scope};
-use lapisrudder_engine::{Told, Watch, WatchNews, WatchOrder};
+use lapisrudder_engine::{DiscoveryAnswer, Watch, WatchEvent, WatchOrder};
 use lapisrudder_io::{Connecting, Opened, Read, Written, connect};
 use std::collections::VecDeque;
 use std::io::IoSlice;
@@ -16,7 +16,7 @@
 
 /// News of the list, or that a call failed.
 #[derive(Clone, Debug)]
-pub enum News {
+pub enum DiscoveryUpdate {
     /// What discovery told.
     List {
         /// All of it, or what changed.
@@ -29,7 +29,7 @@
 }
 
 /// The watch on the list of members.
-pub struct Discovery<D: Noted> {
+pub struct Discovery<D: ReadinessHandler> {
     watch: Watch,
     handle: LoopHandle<'static, D>,
     owner: D::Owner,
@@ -39,10 +39,10 @@
     unopened: Option<(SocketAddr, Instant)>,
     /// A call failed for a moment, and no readiness will tell.
     again: bool,
-    news: VecDeque<News>,
+    news: VecDeque<DiscoveryUpdate>,
 }
 
-impl<D: Noted> Discovery<D> {
+impl<D: ReadinessHandler> Discovery<D> {
     /// Of the discovery there; `revision` is that of the list in hand. `owner` is what the loop's data is
     /// told when its socket is ready.
     pub fn new(
@@ -87,7 +87,7 @@
     }
 
     /// What has come, in order.
-    pub fn poll_news(&mut self) -> Option<News> {
+    pub fn poll_update(&mut self) -> Option<DiscoveryUpdate> {
         self.news.pop_front()
     }
 
@@ -105,7 +105,7 @@
 
     /// Its connection has something to tell. `options` name the zones and kinds of the list.
     pub fn on_ready(&mut self, scratch: &mut [u8], options: &Options, now: Micros) {
-        self.again |= self.socket.as_mut().is_some_and(|socket| !socket.ensure());
+        self.again |= self.socket.as_mut().is_some_and(|socket| !socket.ensure_enabled());
         if let Some(socket) = self.socket.as_ref().filter(|_| !self.up) {
             match socket.connecting() {
                 Connecting::Up => self.up = true,
@@ -122,7 +122,7 @@
             let list = MemberList::decode(body, options)?;
             let scope = if list.all { Scope::Full } else { Scope::Changes };
             let (revision, all) = (list.revision, list.all);
-            Ok::<_, ListError>(Told { revision, all, list: News::List { scope, targets: list.targets } })
+            Ok::<_, ListError>(DiscoveryAnswer { revision, all, list: DiscoveryUpdate::List { scope, targets: list.targets } })
         };
         // A call that goes out on a new connection ends the reading of the old one.
         while let Some(socket) = self.socket.as_ref().filter(|_| self.up) {
@@ -146,11 +146,11 @@
         self.carry_out();
     }
 
-    fn tell(&mut self, news: Option<WatchNews<News>>) {
+    fn tell(&mut self, news: Option<WatchEvent<DiscoveryUpdate>>) {
         self.news.extend(news.map(|news| match news {
-            WatchNews::List(list) => list,
-            WatchNews::Old(News::List { targets, .. }) => News::List { scope: Scope::Remembered, targets },
-            WatchNews::Old(News::Failed) | WatchNews::Failed => News::Failed,
+            WatchEvent::List(list) => list,
+            WatchEvent::Old(DiscoveryUpdate::List { targets, .. }) => DiscoveryUpdate::List { scope: Scope::Remembered, targets },
+            WatchEvent::Old(DiscoveryUpdate::Failed) | WatchEvent::Failed => DiscoveryUpdate::Failed,
         }));
     }
 
@@ -170,12 +170,12 @@
         let why = match connect(to) {
             Opened::Begun(stream) => {
                 let mut socket = Socket::edge(stream, &self.handle, self.owner);
-                self.again = !socket.ensure();
+                self.again = !socket.ensure_enabled();
                 (self.socket, self.up) = (Some(socket), false);
                 return;
             }
-            Opened::Lacking(_) if since.elapsed() < OPENS_FOR => return self.unopened = Some((to, since)),
-            Opened::Lacking(lack) => format!("cannot connect for want of {lack:?}"),
+            Opened::Exhausted(_) if since.elapsed() < OPENS_FOR => return self.unopened = Some((to, since)),
+            Opened::Exhausted(lack) => format!("cannot connect for want of {lack:?}"),
             Opened::Failed(e) => format!("cannot connect: {e}"),
         };
         let news = self.watch.broken(why);
--- a/crates/host/src/members.rs
+++ b/crates/host/src/members.rs
@@ -1,11 +1,11 @@
 //! Sockets of connections to pool members: carries out what the engine orders, and tells it what comes of that.
 
-use crate::{Noted, Socket};
+use crate::{ReadinessHandler, Socket};
 use calloop::LoopHandle;
 use lapisrudder_decisions::{Micros, RequestId};
 use lapisrudder_engine::{Answers, Conn, Engine};
 use lapisrudder_io::{
-    Connecting, Lack, Look, Next, Opened, Operation, Read, Shortage, Written, connect, count_of, is_momentary,
+    Connecting, Scarce, Probe, Next, Opened, Operation, Read, Shortage, Written, connect, usage_of, is_momentary,
 };
 use rustc_hash::FxHashMap;
 use std::io::IoSlice;
@@ -18,7 +18,7 @@
 /// longer, since they could go elsewhere.
 const OPENS_FOR: Micros = 100_000;
 
-struct Member<D: Noted> {
+struct Member<D: ReadinessHandler> {
     socket: Socket<D>,
     at: SocketAddr,
     up: bool,
@@ -32,7 +32,7 @@
 }
 
 /// The sockets of connections to members, by the engine's names for them.
-pub struct Members<D: Noted> {
+pub struct Members<D: ReadinessHandler> {
     sockets: FxHashMap<Conn, Member<D>>,
     handle: LoopHandle<'static, D>,
     unopened: Vec<Unopened>,
@@ -43,7 +43,7 @@
     shortage: Option<bool>,
 }
 
-impl<D: Noted<Owner: From<Conn>>> Members<D> {
+impl<D: ReadinessHandler<Owner: From<Conn>>> Members<D> {
     /// None so far.
     pub fn new(handle: &LoopHandle<'static, D>) -> Self {
         Members {
@@ -68,7 +68,7 @@
                 Opened::Begun(stream) => {
                     self.failures.worked();
                     let mut socket = Socket::edge(stream, &self.handle, conn.into());
-                    if !socket.ensure() {
+                    if !socket.ensure_enabled() {
                         self.again.push(conn);
                     }
                     self.sockets.insert(conn, Member { socket, at, up: false });
@@ -79,7 +79,7 @@
                     warn!(about = %at, "cannot connect: {e}");
                     return engine.broken(now, conn);
                 }
-                Opened::Lacking(lack) => match self.failures.failed(now, count_of(lack)) {
+                Opened::Exhausted(lack) => match self.failures.failed(now, usage_of(lack)) {
                     Next::AtOnce => {}
                     next => break (next, lack),
                 },
@@ -87,8 +87,8 @@
         };
         match next {
             (Next::Shortage, lack) => {
-                if let Lack::ProcessDescriptors | Lack::SystemDescriptors = lack {
-                    self.shortage = Some(lack == Lack::ProcessDescriptors);
+                if let Scarce::ProcessDescriptors | Scarce::SystemDescriptors = lack {
+                    self.shortage = Some(lack == Scarce::ProcessDescriptors);
                 }
             }
             _ if now - since < OPENS_FOR => return self.unopened.push(wanted),
@@ -100,7 +100,7 @@
 
     /// Whether descriptors were found to be short since the last look: true if the process has no more, false if the
     /// machine has none.
-    pub fn took_shortage(&mut self) -> Option<bool> {
+    pub fn take_descriptor_shortage(&mut self) -> Option<bool> {
         self.shortage.take()
     }
 
@@ -140,11 +140,11 @@
         now: Micros,
     ) {
         let Some(member) = self.sockets.get(&conn) else { return };
-        match if look { member.socket.has_unread() } else { Look::No } {
-            Look::No => {}
-            Look::Yes => return engine.broken(now, conn),
+        match if look { member.socket.has_unread() } else { Probe::No } {
+            Probe::No => {}
+            Probe::Yes => return engine.broken(now, conn),
             // Danger: a good connection was broken since a look at it had failed.
-            Look::Unknown => return self.again.push(conn),
+            Probe::Unknown => return self.again.push(conn),
         }
         engine.check_write(now, conn, is_open);
         loop {
@@ -183,7 +183,7 @@
         now: Micros,
     ) {
         let Some(member) = self.sockets.get_mut(&conn) else { return };
-        if !member.socket.ensure() {
+        if !member.socket.ensure_enabled() {
             self.again.push(conn);
         }
         if !member.up {
--- a/crates/host/src/watched.rs
+++ b/crates/host/src/watched.rs
@@ -8,7 +8,7 @@
 
 /// The data of a host's loop: it notes whose sockets one dispatch has told of, in order. They are seen to when the
 /// dispatch is over: callbacks know nothing of what is to be done.
-pub trait Noted: 'static {
+pub trait ReadinessHandler: 'static {
     /// Whose socket it is. It may have gone since.
     type Owner: Copy + 'static;
 
@@ -18,9 +18,9 @@
 
 /// A source of readiness, whose owner is noted when it is ready. It leaves the loop when it is dropped.
 ///
-/// It is on the loop once [`Watched::ensure`] says so. Danger: epoll_ctl(2) fails for a moment, too (ENOMEM, ENOSPC). A source
+/// It is on the loop once [`RegisteredSource::ensure`] says so. Danger: epoll_ctl(2) fails for a moment, too (ENOMEM, ENOSPC). A source
 /// that is not on the loop yet is used without: its host looks at it, and calls that again, until it is.
-pub struct Watched<D: Noted, S: AsFd + 'static> {
+pub struct RegisteredSource<D: ReadinessHandler, S: AsFd + 'static> {
     source: Rc<S>,
     handle: LoopHandle<'static, D>,
     owner: D::Owner,
@@ -31,15 +31,15 @@
     silent: bool,
 }
 
-impl<D: Noted, S: AsFd + 'static> Watched<D, S> {
+impl<D: ReadinessHandler, S: AsFd + 'static> RegisteredSource<D, S> {
     /// A listener or another source that tells as long as something is there to be read.
     pub fn level(source: S, handle: &LoopHandle<'static, D>, owner: D::Owner) -> Self {
-        Watched::new(Rc::new(source), Interest::READ, Mode::Level, handle, owner)
+        RegisteredSource::new(Rc::new(source), Interest::READ, Mode::Level, handle, owner)
     }
 
     /// A source that tells once when it becomes readable or writable.
     pub fn edge(source: S, handle: &LoopHandle<'static, D>, owner: D::Owner) -> Self {
-        Watched::new(Rc::new(source), Interest::BOTH, Mode::Edge, handle, owner)
+        RegisteredSource::new(Rc::new(source), Interest::BOTH, Mode::Edge, handle, owner)
     }
 
     fn new(
@@ -50,7 +50,7 @@
         owner: D::Owner,
     ) -> Self {
         let handle = handle.clone();
-        Watched { source, handle, owner, interest, mode, token: None, silent: false }
+        RegisteredSource { source, handle, owner, interest, mode, token: None, silent: false }
     }
 
     /// Puts it on the loop, if it is not there. False if that cannot be for now.
@@ -76,7 +76,7 @@
         self.token.is_some() && !self.silent
     }
 
-    /// It tells nothing until [`Watched::ensure`] is called. Where that cannot be, it goes on telling.
+    /// It tells nothing until [`RegisteredSource::ensure`] is called. Where that cannot be, it goes on telling.
     pub fn silence(&mut self) {
         if let Some(token) = self.token.filter(|_| !self.silent) {
             self.silent = self.handle.disable(&token).is_ok();
@@ -91,11 +91,11 @@
         let (source, handle, owner) = (self.source.clone(), self.handle.clone(), self.owner);
         let (interest, mode) = (self.interest, self.mode);
         drop(self);
-        Rc::try_unwrap(source).map_err(|shared| Watched::new(shared, interest, mode, &handle, owner))
+        Rc::try_unwrap(source).map_err(|shared| RegisteredSource::new(shared, interest, mode, &handle, owner))
     }
 }
 
-impl<D: Noted, S: AsFd + 'static> Deref for Watched<D, S> {
+impl<D: ReadinessHandler, S: AsFd + 'static> Deref for RegisteredSource<D, S> {
     type Target = S;
 
     fn deref(&self) -> &S {
@@ -103,7 +103,7 @@
     }
 }
 
-impl<D: Noted, S: AsFd + 'static> Drop for Watched<D, S> {
+impl<D: ReadinessHandler, S: AsFd + 'static> Drop for RegisteredSource<D, S> {
     fn drop(&mut self) {
         self.token.take().into_iter().for_each(|token| self.handle.remove(token));
     }
--- a/crates/host/tests/attention.rs
+++ b/crates/host/tests/attention.rs
@@ -1,7 +1,7 @@
 //! When what a host finds can have come, on a virtual clock.
 
 use lapisrudder_decisions::Micros;
-use lapisrudder_host::{Attention, LONGEST_LOOK, Look};
+use lapisrudder_host::{PollTracker, LONGEST_LOOK, Look};
 use std::time::Duration;
 
 const MS: Micros = 1_000;
@@ -9,12 +9,12 @@
 /// A host that looks, again and again, and is held up at times.
 struct Host {
     now: Micros,
-    attention: Attention,
+    attention: PollTracker,
 }
 
 impl Host {
     fn new() -> Host {
-        Host { now: 0, attention: Attention::new(0) }
+        Host { now: 0, attention: PollTracker::new(0) }
     }
 
     /// A look that ends `after` so long, and what it tells.
--- a/crates/io/src/connection.rs
+++ b/crates/io/src/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::FAILS_FOR;
 use crate::counts::judge;
-use crate::outcome::{Lack, Operation, Outcome};
+use crate::outcome::{Scarce, Operation, Outcome};
 use crate::retry::{AT_ONCE, at_once};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use socket2::{Domain, Protocol, SockAddr, Type};
@@ -22,7 +22,7 @@
     /// Nothing is there: its readiness tells when that changes.
     NotReady,
     /// It failed for a moment. It is to be read again: no readiness will tell.
-    Later(Lack),
+    Later(Scarce),
     /// The connection is over.
     Broken(io::Error),
 }
@@ -35,14 +35,14 @@
     /// None can be taken: its readiness tells when that changes.
     Full,
     /// It failed for a moment. It is to be written again: no readiness will tell.
-    Later(Lack),
+    Later(Scarce),
     /// The connection is over.
     Broken(io::Error),
 }
 
 /// What a look at a connection tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
+pub enum Probe {
     /// It is so.
     Yes,
     /// It is not so.
@@ -70,7 +70,7 @@
     /// It is under way, or up.
     Begun(Stream),
     /// Nobody was asked, for want of something here.
-    Lacking(Lack),
+    Exhausted(Scarce),
     /// That address does not answer.
     Failed(io::Error),
 }
@@ -146,29 +146,29 @@
                 Outcome::Repeat => {}
                 // Danger: readiness that is not there any more, but was never used up, comes back by no edge.
                 Outcome::NotReady => match self.is_ready(readiness) {
-                    Look::No => {
+                    Probe::No => {
                         self.failing_since.set(None);
                         return Ok(None);
                     }
-                    Look::Yes => {}
-                    Look::Unknown => return Err(self.fails(Lack::Other, error)),
+                    Probe::Yes => {}
+                    Probe::Unknown => return Err(self.fails(Scarce::Other, error)),
                 },
-                Outcome::Lacking(lack) => return Err(self.fails(lack, error)),
+                Outcome::Exhausted(lack) => return Err(self.fails(lack, error)),
                 _ => return Err(Failed::ForGood(error)),
             }
         }
-        Err(self.fails(Lack::Other, io::ErrorKind::Interrupted.into()))
+        Err(self.fails(Scarce::Other, io::ErrorKind::Interrupted.into()))
     }
 
-    fn fails(&self, lack: Lack, error: io::Error) -> Failed {
+    fn fails(&self, lack: Scarce, error: io::Error) -> Failed {
         let since = self.failing_since.get().unwrap_or_else(Instant::now);
         self.failing_since.set(Some(since));
         if since.elapsed() < FAILS_FOR { Failed::ForNow(lack) } else { Failed::ForGood(error) }
     }
 
     /// Whether the kernel holds it for readable or writable now.
-    fn is_ready(&self, readiness: PollFlags) -> Look {
-        self.polled(readiness).map_or(Look::Unknown, |found| found.is_empty().into())
+    fn is_ready(&self, readiness: PollFlags) -> Probe {
+        self.polled(readiness).map_or(Probe::Unknown, |found| found.is_empty().into())
     }
 
     fn polled(&self, flags: PollFlags) -> Option<PollFlags> {
@@ -182,19 +182,19 @@
     }
 
     /// Whether bytes wait to be read, or the peer has closed or failed, which counts as something to read.
-    pub fn has_unread(&self) -> Look {
+    pub fn has_unread(&self) -> Probe {
         self.is_ready(PollFlags::IN)
     }
 
     /// Bytes wait to be read, and the peer has not ended its sending behind them.
-    pub fn speaks(&self) -> bool {
+    pub fn has_input(&self) -> bool {
         self.polled(PollFlags::IN | PollFlags::RDHUP).is_some_and(|found| found == PollFlags::IN)
     }
 
     /// Whether the peer has ended its sending, or the connection is over, whatever of it is still to be read.
-    pub fn is_ended(&self) -> Look {
+    pub fn is_ended(&self) -> Probe {
         let over = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-        self.polled(over).map_or(Look::Unknown, |found| (!found.intersects(over)).into())
+        self.polled(over).map_or(Probe::Unknown, |found| (!found.intersects(over)).into())
     }
 
     /// How far a begun connect has come.
@@ -242,14 +242,14 @@
 }
 
 /// That poll(2) found nothing means that it is not ready.
-impl From<bool> for Look {
-    fn from(nothing: bool) -> Look {
-        if nothing { Look::No } else { Look::Yes }
+impl From<bool> for Probe {
+    fn from(nothing: bool) -> Probe {
+        if nothing { Probe::No } else { Probe::Yes }
     }
 }
 
 enum Failed {
-    ForNow(Lack),
+    ForNow(Scarce),
     ForGood(io::Error),
 }
 
@@ -272,7 +272,7 @@
 
 fn lacking(operation: Operation, error: io::Error) -> Opened {
     match judge(operation, &error) {
-        Outcome::Lacking(lack) => Opened::Lacking(lack),
+        Outcome::Exhausted(lack) => Opened::Exhausted(lack),
         _ => Opened::Failed(error),
     }
 }
--- a/crates/io/src/counts.rs
+++ b/crates/io/src/counts.rs
@@ -10,7 +10,7 @@
 /// [`classify`], and counts what fails for a moment.
 pub(crate) fn judge(operation: Operation, error: &io::Error) -> Outcome {
     let outcome = classify(operation, error);
-    if let Outcome::Repeat | Outcome::Lacking(_) = outcome
+    if let Outcome::Repeat | Outcome::Exhausted(_) = outcome
         && let Some(count) = FAILED.get(operation as usize)
     {
         count.fetch_add(1, Relaxed);
--- a/crates/io/src/listener.rs
+++ b/crates/io/src/listener.rs
@@ -2,7 +2,7 @@
 
 use crate::connection::Stream;
 use crate::counts::judge;
-use crate::outcome::{Lack, Operation, Outcome};
+use crate::outcome::{Scarce, Operation, Outcome};
 use crate::retry::at_once;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::net::{SocketFlags, acceptfrom_with};
@@ -21,7 +21,7 @@
     /// The queue is empty.
     Empty,
     /// It failed for want of something here; who waits still waits.
-    Lacking(Lack),
+    Exhausted(Scarce),
     /// The listener is of no use.
     Broken(io::Error),
 }
@@ -71,7 +71,7 @@
         match judge(Operation::Accept, &error) {
             Outcome::NotReady if self.has_waiting() => Accepted::Gone,
             Outcome::NotReady => Accepted::Empty,
-            Outcome::Lacking(lack) => Accepted::Lacking(lack),
+            Outcome::Exhausted(lack) => Accepted::Exhausted(lack),
             Outcome::Over => Accepted::Broken(error),
             _ => Accepted::Gone,
         }
--- a/crates/io/src/local.rs
+++ b/crates/io/src/local.rs
@@ -2,7 +2,7 @@
 
 use crate::counts::judge;
 use crate::outcome::{Operation, Outcome};
-use crate::retry::{AT_ONCE, at_once, keep_trying};
+use crate::retry::{AT_ONCE, at_once, retry_with_backoff};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::io::Errno;
 use rustix::net::{
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     /// It cannot be made so.
-    pub fn never_block(&self) -> io::Result<()> {
+    pub fn set_nonblocking(&self) -> io::Result<()> {
         at_once(Operation::Open, || self.0.set_nonblocking(true))
     }
 
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     /// It cannot be made so.
-    pub fn block_for(&self, most: Duration) -> io::Result<()> {
+    pub fn set_io_timeout(&self, most: Duration) -> io::Result<()> {
         at_once(Operation::Open, || self.0.set_read_timeout(Some(most)))?;
         at_once(Operation::Open, || self.0.set_write_timeout(Some(most)))
     }
@@ -126,7 +126,7 @@
                 let found = poll(&mut look, Some(&Timespec::default()));
                 Ok(if found == Ok(0) { Wait::Ready } else { Wait::Again })
             }
-            Outcome::Repeat | Outcome::Lacking(_) => Ok(Wait::Again),
+            Outcome::Repeat | Outcome::Exhausted(_) => Ok(Wait::Again),
             _ => Err(error),
         }
     }
@@ -148,7 +148,7 @@
 
 /// What came of asking at a place.
 #[derive(Debug)]
-pub enum Knock {
+pub enum PeerProbe {
     /// Somebody is there.
     Somebody(LocalStream),
     /// Nobody is.
@@ -159,11 +159,11 @@
 ///
 /// # Errors
 /// It cannot be found out whether somebody is there, also not for a while.
-pub fn knock(place: &Path, patience: Duration) -> io::Result<Knock> {
+pub fn probe_peer(place: &Path, patience: Duration) -> io::Result<PeerProbe> {
     let unsure = |e: &io::Error| !is_nobody(e);
-    match keep_trying(patience, || UnixStream::connect(place), unsure) {
-        Ok(stream) => Ok(Knock::Somebody(LocalStream(stream))),
-        Err(e) if is_nobody(&e) => Ok(Knock::Nobody),
+    match retry_with_backoff(patience, || UnixStream::connect(place), unsure) {
+        Ok(stream) => Ok(PeerProbe::Listening(LocalStream(stream))),
+        Err(e) if is_nobody(&e) => Ok(PeerProbe::Nobody),
         Err(e) => Err(e),
     }
 }
@@ -176,7 +176,7 @@
 
 /// Who came to a [`LocalListener`].
 #[derive(Debug)]
-pub enum Sibling {
+pub enum LocalAccepted {
     /// This one.
     Came(LocalStream),
     /// Nobody, for now.
@@ -211,12 +211,12 @@
     }
 
     /// Whoever has come.
-    pub fn accept(&self) -> Sibling {
+    pub fn accept(&self) -> LocalAccepted {
         match at_once(Operation::Accept, || self.0.accept()) {
-            Ok((stream, _)) => Sibling::Came(LocalStream(stream)),
+            Ok((stream, _)) => LocalAccepted::Connection(LocalStream(stream)),
             Err(e) => match judge(Operation::Accept, &e) {
-                Outcome::NotReady => Sibling::Nobody,
-                _ => Sibling::Later,
+                Outcome::NotReady => LocalAccepted::Nobody,
+                _ => LocalAccepted::Later,
             },
         }
     }
--- a/crates/io/src/outcome.rs
+++ b/crates/io/src/outcome.rs
@@ -37,7 +37,7 @@
 
 /// What this machine or process had too little of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lack {
+pub enum Scarce {
     /// The process's descriptors (EMFILE).
     ProcessDescriptors,
     /// The machine's descriptors (ENFILE).
@@ -64,7 +64,7 @@
     /// It has been done already.
     Done,
     /// The next try may work; nothing is known of the peer.
-    Lacking(Lack),
+    Exhausted(Scarce),
     /// It cannot be done, or the connection is over.
     Over,
 }
@@ -78,13 +78,13 @@
         (_, Errno::INTR) => Outcome::Repeat,
         (Operation::Transfer | Operation::Accept, Errno::AGAIN) => Outcome::NotReady,
         (Operation::Connect, Errno::AGAIN | Errno::ADDRNOTAVAIL | Errno::ADDRINUSE) => {
-            Outcome::Lacking(Lack::Ports)
+            Outcome::Exhausted(Scarce::Ports)
         }
-        (_, Errno::MFILE) => Outcome::Lacking(Lack::ProcessDescriptors),
-        (_, Errno::NFILE) => Outcome::Lacking(Lack::SystemDescriptors),
-        (_, Errno::NOMEM | Errno::NOBUFS) => Outcome::Lacking(Lack::Memory),
-        (_, Errno::NOSPC | Errno::DQUOT) => Outcome::Lacking(Lack::Room),
-        (_, Errno::AGAIN | Errno::IO | Errno::CANCELED) => Outcome::Lacking(Lack::Other),
+        (_, Errno::MFILE) => Outcome::Exhausted(Scarce::ProcessDescriptors),
+        (_, Errno::NFILE) => Outcome::Exhausted(Scarce::SystemDescriptors),
+        (_, Errno::NOMEM | Errno::NOBUFS) => Outcome::Exhausted(Scarce::Memory),
+        (_, Errno::NOSPC | Errno::DQUOT) => Outcome::Exhausted(Scarce::Room),
+        (_, Errno::AGAIN | Errno::IO | Errno::CANCELED) => Outcome::Exhausted(Scarce::Other),
         // Danger: what a new socket had pending was taken for the listener's own error.
         (Operation::Accept, errno) if !is_misuse(errno) => Outcome::Repeat,
         _ => Outcome::Over,
@@ -98,5 +98,5 @@
 
 /// Whether the next try of the same may work.
 pub fn is_momentary(operation: Operation, error: &io::Error) -> bool {
-    matches!(classify(operation, error), Outcome::Repeat | Outcome::Lacking(_))
+    matches!(classify(operation, error), Outcome::Repeat | Outcome::Exhausted(_))
 }
--- a/crates/io/src/process.rs
+++ b/crates/io/src/process.rs
@@ -1,7 +1,7 @@
 //! What the system tells of the process itself, and its threads.
 
-use crate::outcome::{Lack, Operation, Outcome, classify, is_momentary};
-use crate::retry::{at_once, keep_trying};
+use crate::outcome::{Scarce, Operation, Outcome, classify, is_momentary};
+use crate::retry::{at_once, retry_with_backoff};
 use crate::shortage::Count;
 use rustix::process::{Resource, getrlimit};
 use rustix::time::{ClockId, clock_gettime};
@@ -34,15 +34,15 @@
 const ALMOST: usize = 4;
 
 /// What the process itself counts of what a call lacked.
-pub fn count_of(lack: Lack) -> Count {
-    if lack != Lack::ProcessDescriptors {
+pub fn usage_of(lack: Scarce) -> Count {
+    if lack != Scarce::ProcessDescriptors {
         return Count::Unknown;
     }
     match (descriptor_limit(), count_descriptors()) {
         (Some(limit), Ok(held)) if (held + ALMOST) as u64 >= limit => Count::Full,
         (Some(_), Ok(_)) => Count::Room,
         // There is none to count with, either.
-        (_, Err(e)) if classify(Operation::File, &e) == Outcome::Lacking(lack) => Count::Full,
+        (_, Err(e)) if classify(Operation::File, &e) == Outcome::Exhausted(lack) => Count::Full,
         _ => Count::Unknown,
     }
 }
@@ -69,6 +69,6 @@
         };
         builder().spawn(begin).map(drop)
     };
-    keep_trying(patience, start, |e| is_momentary(Operation::Open, e))?;
+    retry_with_backoff(patience, start, |e| is_momentary(Operation::Open, e))?;
     hand.send(run).map_err(|_| io::Error::other("the thread has ended at once"))
 }
--- a/crates/io/src/retry.rs
+++ b/crates/io/src/retry.rs
@@ -20,7 +20,7 @@
     let mut last = call();
     for _ in 1..AT_ONCE {
         match &last {
-            Err(e) if matches!(judge(operation, e), Outcome::Repeat | Outcome::Lacking(_)) => last = call(),
+            Err(e) if matches!(judge(operation, e), Outcome::Repeat | Outcome::Exhausted(_)) => last = call(),
             _ => break,
         }
     }
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 /// The first failure that is not of a moment, or the last after `patience`.
-pub fn keep_trying<T, E>(
+pub fn retry_with_backoff<T, E>(
     patience: Duration,
     mut call: impl FnMut() -> Result<T, E>,
     is_momentary: impl Fn(&E) -> bool,
--- a/crates/lab/src/sim/front.rs
+++ b/crates/lab/src/sim/front.rs
@@ -8,7 +8,7 @@
 use lapisrudder_codec::memcache::{self, Command, MAX_LINE, MAX_WHOLE, OwnedRequest};
 use lapisrudder_engine::Deadlines;
 use lapisrudder_limits::{
-    Accepting, Activity, Admission, ConnId, Facts, Intake, Order, Resources, Ticket, Verdict,
+    Accepting, Activity, Admission, ConnId, RequestInfo, Intake, Order, Resources, Ticket, Verdict,
 };
 use lapisrudder_model::network::{Conn, Side};
 use rustc_hash::FxHashMap;
@@ -110,8 +110,8 @@
                     Activity::Unfinished
                 }
             }
-            _ if self.lingers() => Activity::Over,
-            _ => Activity::Owed,
+            _ if self.lingers() => Activity::Closing,
+            _ => Activity::Pending,
         }
     }
 
@@ -333,7 +333,7 @@
     }
 
     fn arrived(&mut self, sock: Sock, from: IpAddr, cx: &mut Cx, due: &mut Due) {
-        let (conn, mut victim) = match self.admission.arrived(cx.now, from, sock.unread() > 0) {
+        let (conn, mut victim) = match self.admission.on_accepted(cx.now, from, sock.unread() > 0) {
             Verdict::Keep { conn } => (conn, None),
             Verdict::KeepAndClose { conn, victim } => (conn, Some(victim)),
             Verdict::Refuse { retry_ms, .. } => return tell_busy(sock, retry_ms, cx),
@@ -343,7 +343,7 @@
             if id.is_none_or(|id| self.close_idle(id, cx, due)) {
                 break;
             }
-            victim = self.admission.instead(cx.now, conn, other);
+            victim = self.admission.replace_victim(cx.now, conn, other);
             if victim.is_none() {
                 return tell_busy(sock, None, cx);
             }
@@ -384,7 +384,7 @@
     // ---- Who is kept ----------------------------------------------------------------------------------
 
     pub(super) fn resources(&mut self, now: Micros, resources: &Resources) {
-        self.admission.resources(now, resources);
+        self.admission.set_resources(now, resources);
     }
 
     pub(super) fn due(&self) -> Option<Micros> {
@@ -411,7 +411,7 @@
                     if linger {
                         self.part(id, cx, due);
                     } else if !self.close_idle(id, cx, due) {
-                        self.admission.spoke(cx.now, conn);
+                        self.admission.on_close_aborted(cx.now, conn);
                     }
                 }
                 Order::Expire { conn } => {
@@ -431,7 +431,7 @@
     }
 
     pub(super) fn stopping(&mut self) {
-        self.admission.stopping();
+        self.admission.set_stopping();
     }
 
     fn close_idle(&mut self, id: u64, cx: &mut Cx, due: &mut Due) -> bool {
@@ -447,7 +447,7 @@
     fn part(&mut self, id: u64, cx: &mut Cx, due: &mut Due) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         if client.look() {
-            self.admission.spoke(cx.now, client.conn);
+            self.admission.on_close_aborted(cx.now, client.conn);
             self.touched.push(id);
         } else {
             (client.phase, client.since) = (Phase::Parting, cx.now);
@@ -474,7 +474,7 @@
         let Some(mut client) = self.clients.remove(&id) else { return };
         self.names.remove(&client.conn);
         self.socks.remove(&client.sock.conn);
-        self.admission.left(cx.now, client.conn);
+        self.admission.on_closed(cx.now, client.conn);
         due.remove(client.deadline.take());
         let left = client.slots.iter().filter_map(|s| match s {
             Slot::Waiting(request) if *request != READY => Some(News::Left { request: *request }),
@@ -485,7 +485,7 @@
         self.resume(due);
     }
 
-    pub(super) fn intake(&mut self, id: u64, facts: &Facts, now: Micros) -> Intake {
+    pub(super) fn intake(&mut self, id: u64, facts: &RequestInfo, now: Micros) -> Intake {
         let conn = self.clients.get(&id).map_or(ConnId(u64::MAX), |c| c.conn);
         self.admission.request(now, conn, facts)
     }
@@ -515,7 +515,7 @@
                 Drained::Nothing => false,
                 Drained::Ended => true,
                 Drained::Crossed => {
-                    self.admission.crossed(cx.now, client.conn);
+                    self.admission.on_request_crossed(cx.now, client.conn);
                     true
                 }
             },
@@ -533,7 +533,7 @@
         if client.unsure && !std::mem::replace(&mut client.listed, true) {
             self.unsure.push_back((cx.now + LOOK_AGAIN, id));
         }
-        self.admission.state(cx.now, client.conn, client.activity());
+        self.admission.set_activity(cx.now, client.conn, client.activity());
         self.watch(id, due);
     }
 
@@ -633,7 +633,7 @@
             if client.unread || client.lingers() || self.draining {
                 self.touched.push(id);
             }
-            self.admission.state(cx.now, client.conn, client.activity());
+            self.admission.set_activity(cx.now, client.conn, client.activity());
             self.watch(id, due);
         }
     }
--- a/crates/lab/src/sim/node.rs
+++ b/crates/lab/src/sim/node.rs
@@ -14,10 +14,10 @@
 use lapisrudder_config::{ListError, MemberList, Options, Platform, Target, digest, micros};
 use lapisrudder_decisions::{Key, RequestId, Scope, Stage};
 use lapisrudder_engine::{
-    Answer, Answers, Conn as Name, Deadlines, Engine, Final, LONGEST_HELD, Limits, Member, Order, Request,
-    TakeError, Told, Watch, WatchNews, WatchOrder,
+    Answer, Answers, Conn as Name, Deadlines, Engine, Final, MAX_TRANSACTION_TIME, Limits, Member, Order, Request,
+    TakeError, DiscoveryAnswer, Watch, WatchEvent, WatchOrder,
 };
-use lapisrudder_limits::{Admission, Facts, Intake, Resources, Ticket, Used};
+use lapisrudder_limits::{Admission, RequestInfo, Intake, Resources, Ticket, Usage};
 use lapisrudder_model::network::{Conn, Host, Side};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
@@ -416,7 +416,7 @@
             let options = &self.options;
             let decode = |body: &mut [u8]| {
                 let list = MemberList::decode(body, options)?;
-                Ok::<_, ListError>(Told { revision: list.revision, all: list.all, list })
+                Ok::<_, ListError>(DiscoveryAnswer { revision: list.revision, all: list.all, list })
             };
             let news = match discovery.sock.read(cx, CHUNK) {
                 Read::Nothing => return,
@@ -434,14 +434,14 @@
         }
     }
 
-    fn discovery_news(&mut self, news: Option<WatchNews<MemberList>>, cx: &mut Cx) {
+    fn discovery_news(&mut self, news: Option<WatchEvent<MemberList>>, cx: &mut Cx) {
         match news {
-            Some(WatchNews::List(list)) => {
+            Some(WatchEvent::List(list)) => {
                 let scope = if list.all { Scope::Full } else { Scope::Changes };
                 self.list_news(scope, list.targets, cx);
             }
-            Some(WatchNews::Old(list)) => self.list_news(Scope::Remembered, list.targets, cx),
-            Some(WatchNews::Failed) => self.engine.list_failed(),
+            Some(WatchEvent::Old(list)) => self.list_news(Scope::Remembered, list.targets, cx),
+            Some(WatchEvent::Failed) => self.engine.list_failed(),
             None => {}
         }
         self.see_to_watch(cx);
@@ -555,11 +555,11 @@
             connections: self.sockets - self.reserve.1,
             clients_room: self.descriptors / CLIENTS_SHARE,
             in_flight: self.most_held,
-            aim: self.shortest_aim,
+            latency_target: self.shortest_aim,
             buffer_bytes: self.most_bytes,
-            descriptors: Used::default(),
-            memory: Used { used: 0, limit: self.memory },
-            ports: Used::default(),
+            descriptors: Usage::default(),
+            memory: Usage { used: 0, limit: self.memory },
+            ports: Usage::default(),
         };
         self.front.resources(cx.now, &resources);
         self.front.keep_limits(cx, &mut self.due);
@@ -598,11 +598,11 @@
         let Some(wait) = request.wait_ms() else {
             return self.front.reject(client, number, "bad time to wait", cx);
         };
-        if self.engine.is_named(request.id) {
+        if self.engine.is_id_in_use(request.id) {
             return self.front.reject(client, number, TakeError::IdInUse, cx);
         }
-        let due = now + (wait as Micros).saturating_mul(1000).clamp(0, LONGEST_HELD);
-        let facts = Facts {
+        let due = now + (wait as Micros).saturating_mul(1000).clamp(0, MAX_TRANSACTION_TIME);
+        let facts = RequestInfo {
             worth: self.options.request_classes[class].worth,
             left: due - now,
             bytes: command.bytes(),
@@ -626,7 +626,7 @@
                 cx.counts.taken += 1;
                 let n = self.number;
                 cx.note(|| format!("n{n}: takes number {number} [{}]", String::from_utf8_lossy(&id)));
-                let by = due + lapisrudder_engine::OVERDUE;
+                let by = due + lapisrudder_engine::OVERDUE_GRACE;
                 self.ledger.add(RequestId(number), Owed { client, ticket, by });
                 self.flows.taken(number, id);
                 let scene = Scene { node: Some(self.number), ..Scene::default() };
@@ -663,7 +663,7 @@
             }
             // Its front takes no large values.
             Order::Break { .. } => {}
-            Order::Write { conn, look } => self.write(conn, look, cx),
+            Order::Write { conn, probe } => self.write(conn, probe, cx),
             Order::Close { conn } => {
                 if let Some(member) = self.members.remove(&conn) {
                     let (n, on) = (self.number, member.sock.conn);
--- a/crates/limits/examples/decide.rs
+++ b/crates/limits/examples/decide.rs
@@ -4,7 +4,7 @@
 //!
 //! `cargo run --release -p lapisrudder-limits --example decide`
 
-use lapisrudder_limits::{Activity, Admission, ConnId, Facts, Intake, Micros, Resources, Settings, Verdict};
+use lapisrudder_limits::{Activity, Admission, ConnId, RequestInfo, Intake, Micros, Resources, Settings, Verdict};
 use std::hint::black_box;
 use std::net::{IpAddr, Ipv6Addr};
 use std::time::Instant;
@@ -41,11 +41,11 @@
 }
 
 /// Brings a request, has it answered, and is idle again.
-fn ask(limits: &mut Admission, now: Micros, conn: ConnId, facts: &Facts) {
+fn ask(limits: &mut Admission, now: Micros, conn: ConnId, facts: &RequestInfo) {
     if let Intake::Take { ticket } = limits.request(now, conn, facts) {
         limits.ended(now + 1, ticket, true);
     }
-    limits.state(now + 1, conn, Activity::Idle);
+    limits.set_activity(now + 1, conn, Activity::Idle);
 }
 
 fn measure(sources: u32) -> Result<(), Box<dyn std::error::Error>> {
@@ -57,14 +57,14 @@
         in_flight: 2 * places,
         ..Resources::default()
     };
-    limits.resources(0, &there);
-    let facts = Facts { worth: 5.0, left: 500_000, bytes: 60, ..Facts::default() };
+    limits.set_resources(0, &there);
+    let facts = RequestInfo { worth: 5.0, left: 500_000, bytes: 60, ..RequestInfo::default() };
     let mut timer = Timer { took: Vec::new() };
     let mut conns = Vec::new();
     let mut now: Micros = 0;
     timer.time("arrived, room", sources, |n| {
         now += 120;
-        if let Verdict::Keep { conn } = limits.arrived(now, address(n), true) {
+        if let Verdict::Keep { conn } = limits.on_accepted(now, address(n), true) {
             conns.push(conn);
         }
     });
@@ -75,7 +75,7 @@
         now += 1;
         ask(&mut limits, now, conns[nth(n)], &facts);
     });
-    timer.time("state, no change", TIMES, |n| limits.state(now, conns[nth(n)], Activity::Idle));
+    timer.time("state, no change", TIMES, |n| limits.set_activity(now, conns[nth(n)], Activity::Idle));
     now += 3_000_000;
     timer.time("accepting, all held", TIMES, |_| {
         black_box(limits.accepting(now));
@@ -83,9 +83,9 @@
     let (mut closed, mut refused) = (0u32, 0u32);
     timer.time("arrived, all held", TIMES, |n| {
         now += 1;
-        match limits.arrived(now, address(sources + n), n % 2 == 0) {
+        match limits.on_accepted(now, address(sources + n), n % 2 == 0) {
             Verdict::KeepAndClose { conn, victim } => {
-                limits.left(now, victim);
+                limits.on_closed(now, victim);
                 black_box(conn);
                 closed += 1;
             }
@@ -109,18 +109,18 @@
     // The books at their fullest: each place held by another source, and twice as many requests in flight of sources
     // whose connections are gone.
     let mut limits = Admission::new(toml::from_str::<Settings>(SETTINGS)?, 17, 0)?;
-    limits.resources(0, &there);
+    limits.set_resources(0, &there);
     let mut in_flight = 0;
     for n in 0..3 * sources {
         now += 1_000_000 / 5_000;
-        if let Verdict::Keep { conn } = limits.arrived(now, address(n), true)
+        if let Verdict::Keep { conn } = limits.on_accepted(now, address(n), true)
             && n < 2 * sources
         {
             in_flight += usize::from(matches!(limits.request(now, conn, &facts), Intake::Take { .. }));
-            limits.left(now, conn);
+            limits.on_closed(now, conn);
         }
     }
-    let (held, bound) = (limits.bytes(), limits.most_bytes(places, 2 * places));
+    let (held, bound) = (limits.bytes(), limits.max_bytes(places, 2 * places));
     println!(
         "    {in_flight} in flight, {} held: {:.2} MB, bound {:.2} MB, {:.0} bytes a connection\n",
         limits.held().0,
--- a/crates/limits/examples/follow_cost.rs
+++ b/crates/limits/examples/follow_cost.rs
@@ -1,7 +1,7 @@
-//! Nanoseconds a decision of `Follow` and `Held`: `cargo run --release -p lapisrudder-limits --example follow_cost`. Median
+//! Nanoseconds a decision of `AdaptiveLimit` and `Held`: `cargo run --release -p lapisrudder-limits --example follow_cost`. Median
 //! of seven runs; run it with nothing else on the machine.
 
-use lapisrudder_limits::follow::{End, Follow, Settings};
+use lapisrudder_limits::adaptive_limit::{End, AdaptiveLimit, Settings};
 use lapisrudder_limits::held::Held;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::VecDeque;
@@ -25,7 +25,7 @@
 fn main() {
     for out in [1, 100, 10_000] {
         let settings = Settings { start: out as f64, most: 1e6, ..Settings::default() };
-        let (mut follow, mut now) = (Follow::new(settings, 0), 0);
+        let (mut follow, mut now) = (AdaptiveLimit::new(settings, 0), 0);
         let mut rng = SmallRng::seed_from_u64(1);
         let mut flying: VecDeque<_> = (0..out).map(|_| follow.sent(0)).collect();
         report("follow: room, sent and ended, so many out", out, || {
@@ -35,7 +35,7 @@
             let took = rng.random_range(50_000..150_000);
             let end = if took < 60_000 { End::TimedOut { took: 2_000_000 } } else { End::Answered { took } };
             follow.ended(now, sent, end);
-            black_box(follow.room(now));
+            black_box(follow.can_send(now));
             flying.push_back(follow.sent(now));
         });
     }
--- a/crates/limits/examples/sweep.rs
+++ b/crates/limits/examples/sweep.rs
@@ -48,7 +48,7 @@
                 (day(Rule::Fixed(all)).play().good(FROM), all)
             });
             let (best, all) = fixed.into_iter().fold((0.0, 0.0), |a, b| if b.0 > a.0 { b } else { a });
-            let (follow, before) = (day(Rule::Follow).play(), day(Rule::Late).play());
+            let (follow, before) = (day(Rule::AdaptiveLimit).play(), day(Rule::Late).play());
             println!(
                 "{kind:26}{nodes:6}{best:9.1} at {all:3.0}{:10.2}{:8.2}{:8.2}",
                 follow.good(FROM) / best,
--- a/crates/limits/src/admission/arrivals.rs
+++ b/crates/limits/src/admission/arrivals.rs
@@ -25,9 +25,9 @@
         let [others, known] = self.books.sides;
         Pool {
             // While there are more than allowed, what is there counts: nobody with work is turned away for that.
-            most: self.most().max(self.books.held_in_all()),
+            capacity: self.most().max(self.books.held_in_all()),
             reserve: self.settings.known.connections as u64,
-            firm: others.working,
+            committed: others.working,
             lent: others.held - others.working,
             known: known.held,
         }
@@ -72,7 +72,7 @@
     /// nothing by then: no longer than the shortest aim of a class.
     pub(super) fn tells_after(&self) -> Micros {
         let most = micros(self.settings.room.tell_after_ms);
-        if self.resources.aim > 0 { most.min(self.resources.aim) } else { most }
+        if self.resources.latency_target > 0 { most.min(self.resources.latency_target) } else { most }
     }
 
     fn newcomer(&self, now: Micros, speaks: bool) -> Newcomer {
@@ -150,7 +150,7 @@
     pub fn instead(&mut self, now: Micros, conn: ConnId, victim: ConnId) -> Option<ConnId> {
         self.tick(now);
         self.books.update(victim, |c| {
-            (c.activity, c.ordered, c.watched) = (Activity::Owed, false, false);
+            (c.activity, c.ordered, c.watched) = (Activity::Pending, false, false);
             c.stirred = Some(now - c.since);
         });
         self.books.set_counted(victim, true);
@@ -172,7 +172,7 @@
     /// a member that found no descriptor.
     pub fn ran_out(&mut self, now: Micros, own: bool) -> Shortage {
         self.tick(now);
-        self.stages.ran_out(now, self.books.held_in_all() as usize);
+        self.stages.on_descriptor_shortage(now, self.books.held_in_all() as usize);
         self.spells.note(now, EventKind::NoDescriptor, None);
         self.next_look = Some(now);
         if own && self.spare {
--- a/crates/limits/src/admission/explain.rs
+++ b/crates/limits/src/admission/explain.rs
@@ -3,8 +3,8 @@
 use super::Admission;
 use crate::keep::{CLASSES, ONCE, UNUSED};
 use crate::orders::{Explanation, Situation, Why};
-use crate::reserve::{Pool, Room};
-use crate::settings::MOST_CONNECTIONS;
+use crate::reserve::{Availability, Pool};
+use crate::settings::MAX_CONNECTIONS;
 use std::net::IpAddr;
 
 /// Names of the classes, for people.
@@ -45,7 +45,7 @@
             0 => self.resources.connections,
             cap => cap.min(self.resources.connections),
         }
-        .min(MOST_CONNECTIONS);
+        .min(MAX_CONNECTIONS);
         for (rate, what) in
             [(caps.connects_per_s, "in all"), (caps.connects_per_s_per_source * f64::from(weight), "from it")]
         {
@@ -95,9 +95,9 @@
                 lines.push(format!("a request is refused beyond {rate} a second {what}"));
             }
         }
-        let (most, reserve) = (self.slots.most, self.slots.reserve);
+        let (most, reserve) = (self.slots.capacity, self.slots.reserve);
         let held = now.in_flight as u64;
-        let pool = Pool { most, reserve, firm: held, lent: 0, known: 0 };
+        let pool = Pool { capacity: most, reserve, committed: held, lent: 0, known: 0 };
         let own = caps.in_flight_per_source * weight as usize;
         let verdict = if now.stage >= 3 && !known {
             format!("is refused: {}", Why::RunOut)
@@ -105,7 +105,7 @@
             format!("is refused: {}", Why::SourceInFlight)
         } else if known {
             match pool.for_known(1) {
-                Room::Fits => format!("is taken: {held} of {most} are in flight"),
+                Availability::Fits => format!("is taken: {held} of {most} are in flight"),
                 _ => format!(
                     "is taken if one that is lent can be refused for it, else refused: {}",
                     Why::InFlight
@@ -113,11 +113,11 @@
             }
         } else {
             match pool.for_others(1, false) {
-                Room::Fits if held as f64 > self.settings.overload.knee * most as f64 => {
+                Availability::Fits if held as f64 > self.settings.overload.knee * most as f64 => {
                     format!("is taken unless it is among those worth least: {held} of {most} are in flight")
                 }
-                Room::Fits => format!("is taken: {held} of {most} are in flight"),
-                Room::Reserved => {
+                Availability::Fits => format!("is taken: {held} of {most} are in flight"),
+                Availability::Reserved => {
                     format!("is taken only if it may be refused later, else refused: {}", Why::Reserved)
                 }
                 _ => format!("is refused: {}", Why::InFlight),
@@ -165,7 +165,7 @@
         let text = "[known]\nprefixes = ['10.9.0.0/16']\nin_flight = 4\n[caps]\nconnections_per_source = 3";
         let mut admission = Admission::new(toml::from_str::<Settings>(text).unwrap(), 1, 0).unwrap();
         let there = Resources { connections: 10, clients_room: 8, in_flight: 20, ..Resources::default() };
-        admission.resources(0, &there);
+        admission.set_resources(0, &there);
         let calm = Situation { connections: 5, in_flight: 3, ..Situation::default() };
         let full = Situation { connections: 10, in_flight: 16, ..calm };
         for (address, situation, says) in [
--- a/crates/limits/src/admission/mod.rs
+++ b/crates/limits/src/admission/mod.rs
@@ -2,13 +2,13 @@
 //!
 //! # How a host drives it
 //!
-//! - Each turn: [`Admission::resources`] (what there is), then callbacks, then [`Admission::poll`] until it gives
+//! - Each turn: [`Admission::set_resources`] (what there is), then callbacks, then [`Admission::poll`] until it gives
 //!   `None`, then [`Admission::events`] to the log. Wake at [`Admission::due`].
 //! - Accepting: [`Admission::accepting`] says how many connections to take from the kernel's queue now. For each one
-//!   look whether something came with it (a peek), and ask [`Admission::arrived`]. Where `accept` fails with EMFILE
-//!   or ENFILE: [`Admission::ran_out`].
-//! - A connection: [`Admission::state`] whenever what it is doing may have changed (calling it with no change costs
-//!   nothing), [`Admission::left`] once it is closed, whoever closed it.
+//!   look whether something came with it (a peek), and ask [`Admission::on_accepted`]. Where `accept` fails with EMFILE
+//!   or ENFILE: [`Admission::on_descriptor_shortage`].
+//! - A connection: [`Admission::set_activity`] whenever what it is doing may have changed (calling it with no change costs
+//!   nothing), [`Admission::on_closed`] once it is closed, whoever closed it.
 //! - A request: [`Admission::request`] when its last byte is read, [`Admission::ended`] when its final answer is
 //!   given or its client is gone.
 //! - A name that is not in the books (any more) is passed over in silence: hosts need not keep count of what they
@@ -24,18 +24,18 @@
 
 use crate::Micros;
 use crate::books::Books;
-use crate::caps::{Bucket, Filter, Rate};
+use crate::caps::{LeakyBucket, MultistageFilter, RateLimit};
 use crate::flights::Flights;
-use crate::follow::Follow;
+use crate::adaptive_limit::AdaptiveLimit;
 use crate::intake::Overload;
 use crate::keep::{Worth, micros};
 use crate::meter::Meter;
 use crate::orders::{Activity, ConnId, Event, EventKind, Order, Why};
 use crate::reserve::Pool;
-use crate::resources::{Resources, Used};
-use crate::room::Stages;
-use crate::settings::{Caps, MOST_CONNECTIONS, Settings, SettingsError};
-use crate::source::{Directory, Keyed, Source};
+use crate::resources::{Resources, Usage};
+use crate::exhaustion::ExhaustionStages;
+use crate::settings::{Caps, MAX_CONNECTIONS, Settings, SettingsError};
+use crate::source::{Directory, KeyedHash, Source};
 use crate::spells::Spells;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -45,26 +45,26 @@
 const LOOK_AGAIN: Micros = 50_000;
 /// Caps on one rate, in all and by source.
 struct Rates {
-    all: Bucket,
-    by_source: Filter,
+    all: LeakyBucket,
+    by_source: MultistageFilter,
 }
 
 impl Rates {
-    fn new(caps: &Caps, all: f64, by_source: f64, key: Keyed) -> Rates {
+    fn new(caps: &Caps, all: f64, by_source: f64, key: KeyedHash) -> Rates {
         Rates {
-            all: Bucket::new(Rate::new(all, caps.burst_ms)),
-            by_source: Filter::new(Rate::new(by_source, caps.burst_ms), caps.rate_cells, key),
+            all: LeakyBucket::new(RateLimit::new(all, caps.burst_ms)),
+            by_source: MultistageFilter::new(RateLimit::new(by_source, caps.burst_ms), caps.rate_cells, key),
         }
     }
 
     fn reload(&mut self, caps: &Caps, all: f64, by_source: f64) {
-        self.all.set(Rate::new(all, caps.burst_ms));
-        self.by_source.set(Rate::new(by_source, caps.burst_ms), caps.rate_cells);
+        self.all.set(RateLimit::new(all, caps.burst_ms));
+        self.by_source.set(RateLimit::new(by_source, caps.burst_ms), caps.rate_cells);
     }
 
     /// Counts one more, unless it is too many.
     fn take(&mut self, now: Micros, source: &Source, weight: u32, reasons: [Why; 2]) -> Result<(), Why> {
-        if !self.all.has_room(now) {
+        if !self.all.conforms(now) {
             return Err(reasons[0]);
         }
         self.by_source.take(now, source, weight).map_err(|_| reasons[1])?;
@@ -80,7 +80,7 @@
     resources: Resources,
     books: Books,
     worth: Worth,
-    stages: Stages,
+    stages: ExhaustionStages,
     spells: Spells,
     connects: Rates,
     requests: Rates,
@@ -105,13 +105,13 @@
     /// The same, over a shorter time: a burst must be seen before it has taken all places.
     burst: Meter,
     /// Places for requests as they follow how long those take, where they do, and how often that began anew.
-    follow: Option<(u32, Follow)>,
+    follow: Option<(u32, AdaptiveLimit)>,
     /// The latest time that was told.
     now: Micros,
 }
 
 /// The limit that the places follow, if the settings have it so.
-fn follow(settings: &Settings, aim: Micros, now: Micros) -> Option<Follow> {
+fn follow(settings: &Settings, aim: Micros, now: Micros) -> Option<AdaptiveLimit> {
     let o = &settings.overload;
     let start = f64::from(o.follow_from);
     let patience = match (o.follow_patience_ms, aim) {
@@ -120,7 +120,7 @@
         (ms, _) => micros(ms),
     };
     o.follow.then(|| {
-        Follow::new(crate::follow::Settings { start, least: 1.0, patience, ..Default::default() }, now)
+        AdaptiveLimit::new(crate::adaptive_limit::Settings { start, min: 1.0, max_latency: patience, ..Default::default() }, now)
     })
 }
 
@@ -137,15 +137,15 @@
         settings.check()?;
         let caps = &settings.caps;
         let (all, each) = (caps.connects_per_s, caps.connects_per_s_per_source);
-        let connects = Rates::new(caps, all, each, Keyed::new(seed, 1));
+        let connects = Rates::new(caps, all, each, KeyedHash::new(seed, 1));
         let (all, each) = (caps.requests_per_s, caps.requests_per_s_per_source);
-        let requests = Rates::new(caps, all, each, Keyed::new(seed, 2));
+        let requests = Rates::new(caps, all, each, KeyedHash::new(seed, 2));
         let mut admission = Admission {
             directory: Directory::new(&settings.sources, &settings.known),
             resources: Resources::default(),
             books: Books::new(seed),
             worth: Worth::new(now, &settings.keep),
-            stages: Stages::new(&settings.room),
+            stages: ExhaustionStages::new(&settings.room),
             spells: Spells::new(micros(settings.log.spell_ms), settings.log.spells),
             connects,
             requests,
@@ -205,16 +205,16 @@
         if room(&self.resources) != room(resources) {
             self.next_look = Some(now);
         }
-        let other = self.resources.aim != resources.aim;
+        let other = self.resources.latency_target != resources.latency_target;
         self.resources = *resources;
         if other {
             self.follow_anew(now);
         }
         self.bound();
-        let share = |u: Used| if u.limit > 0 { u.used as f64 / u.limit as f64 } else { 0.0 };
+        let share = |u: Usage| if u.limit > 0 { u.used as f64 / u.limit as f64 } else { 0.0 };
         let Resources { descriptors, memory, ports, .. } = *resources;
         let before = self.stages.stage();
-        self.stages.see(now, share(descriptors).max(share(memory)).max(share(ports)));
+        self.stages.update(now, share(descriptors).max(share(memory)).max(share(ports)));
         let stage = self.stages.stage();
         if stage > before {
             self.spells.note(now, EventKind::Stage(stage), None);
@@ -225,7 +225,7 @@
     /// Begins the limit that follows anew. Requests in hand are the old one's: the new one must not be told of them.
     fn follow_anew(&mut self, now: Micros) {
         let begun = self.follow.as_ref().map_or(0, |(n, _)| n + 1);
-        self.follow = follow(&self.settings, self.resources.aim, now).map(|f| (begun, f));
+        self.follow = follow(&self.settings, self.resources.latency_target, now).map(|f| (begun, f));
     }
 
     /// Takes over what settings and resources say of places and bytes.
@@ -238,8 +238,8 @@
         let bytes = if there.buffer_bytes == 0 { usize::MAX } else { there.buffer_bytes };
         let places = least(caps.in_flight, there.in_flight);
         let follows = self.follow.as_ref().map_or(places, |(_, f)| places.min(f.limit().max(1.0) as u64));
-        (self.slots.most, self.slots.reserve) = (follows, known.in_flight as u64);
-        (self.bytes.most, self.bytes.reserve) = (least(caps.buffer_bytes, bytes), known.buffer_bytes as u64);
+        (self.slots.capacity, self.slots.reserve) = (follows, known.in_flight as u64);
+        (self.bytes.capacity, self.bytes.reserve) = (least(caps.buffer_bytes, bytes), known.buffer_bytes as u64);
     }
 
     /// The node is stopping: its clients have only the connections that stay open, so none is closed early.
@@ -259,11 +259,11 @@
             0 => self.resources.connections,
             cap => cap.min(self.resources.connections),
         };
-        self.stages.connections(most.min(MOST_CONNECTIONS)) as u64
+        self.stages.connection_limit(most.min(MAX_CONNECTIONS)) as u64
     }
 
     /// What a connection is doing now. A connection is idle at its arrival. One whose close was ordered stays over
-    /// until [`Admission::spoke`].
+    /// until [`Admission::on_close_aborted`].
     pub fn state(&mut self, now: Micros, conn: ConnId, activity: Activity) {
         self.tick(now);
         let Some(old) = self.books.get(conn) else { return };
@@ -283,8 +283,8 @@
                     let begun = if c.asked == 0 { c.since } else { now };
                     c.begun.get_or_insert(begun);
                 }
-                Activity::Over => c.working = false,
-                Activity::Owed => {}
+                Activity::Closing => c.working = false,
+                Activity::Pending => {}
             }
             if c.activity == Activity::Idle {
                 c.stirred = Some(now - c.since);
@@ -306,7 +306,7 @@
         self.tick(now);
         self.books.update(conn, |c| {
             if c.ordered {
-                (c.activity, c.ordered, c.watched) = (Activity::Owed, false, false);
+                (c.activity, c.ordered, c.watched) = (Activity::Pending, false, false);
                 c.stirred = Some(now - c.since);
             }
         });
--- a/crates/limits/src/admission/orders_due.rs
+++ b/crates/limits/src/admission/orders_due.rs
@@ -85,7 +85,7 @@
             self.spells.note(now, EventKind::Closed(why), source);
         }
         self.books.update(conn, |c| {
-            (c.activity, c.ordered, c.watched) = (Activity::Over, true, watched);
+            (c.activity, c.ordered, c.watched) = (Activity::Closing, true, watched);
         });
     }
 
--- a/crates/limits/src/admission/requests.rs
+++ b/crates/limits/src/admission/requests.rs
@@ -4,13 +4,13 @@
 use crate::Micros;
 use crate::books::Holder;
 use crate::flights::Flight;
-use crate::follow::End;
-use crate::orders::{Activity, ConnId, EventKind, Facts, Intake, Order, Ticket, Why};
-use crate::reserve::{Pool, Room};
+use crate::adaptive_limit::End;
+use crate::orders::{Activity, ConnId, EventKind, RequestInfo, Intake, Order, Ticket, Why};
+use crate::reserve::{Availability, Pool};
 
 impl Admission {
-    /// A request has come whole on a connection. Counts as [`Activity::Owed`], whatever the verdict.
-    pub fn request(&mut self, now: Micros, conn: ConnId, facts: &Facts) -> Intake {
+    /// A request has come whole on a connection. Counts as [`Activity::Pending`], whatever the verdict.
+    pub fn request(&mut self, now: Micros, conn: ConnId, facts: &RequestInfo) -> Intake {
         self.tick(now);
         self.note_asked(now, conn);
         match self.judge(now, conn, facts) {
@@ -39,12 +39,12 @@
         }
         self.books.update(conn, |c| {
             c.asks(idle);
-            (c.activity, c.stirred, c.begun) = (Activity::Owed, None, None);
+            (c.activity, c.stirred, c.begun) = (Activity::Pending, None, None);
             (c.ordered, c.watched, c.spoke) = (false, false, false);
         });
     }
 
-    fn judge(&mut self, now: Micros, conn: ConnId, facts: &Facts) -> Result<Ticket, Why> {
+    fn judge(&mut self, now: Micros, conn: ConnId, facts: &RequestInfo) -> Result<Ticket, Why> {
         // One that is not in the books (any more) is nobody's: nothing can be said for it.
         let (at, working) = self.books.get(conn).map(|c| (c.source, c.working)).ok_or(Why::Full)?;
         let holder = self.books.holder(at).ok_or(Why::Full)?;
@@ -73,7 +73,7 @@
             }
             false => {
                 let places = self.places();
-                if places.reserve > 0 && !working && places.firm + 1 > places.firm_most() {
+                if places.reserve > 0 && !working && places.committed + 1 > places.committed_limit() {
                     return Err(Why::Reserved);
                 }
                 let lent = self.borrow(facts.recallable, bytes)?;
@@ -105,8 +105,8 @@
     }
 
     /// Near the limit: whether this is among those worth least, and whether its source has its share of the places.
-    fn near_limit(&mut self, at: u32, known: bool, facts: &Facts) -> (bool, bool) {
-        let most = self.slots.most;
+    fn near_limit(&mut self, at: u32, known: bool, facts: &RequestInfo) -> (bool, bool) {
+        let most = self.slots.capacity;
         // Danger: where there is one place, each request took all there was, and was turned away for that.
         if self.slots.held() == 0 {
             return (false, false);
@@ -129,24 +129,24 @@
         // Nothing is lent while something runs short.
         let recallable = recallable && self.stages.stage() == 0;
         let slot = match self.slots.for_others(1, recallable) {
-            Room::Fits => false,
-            Room::Lent => true,
-            Room::Reserved => return Err(Why::Reserved),
-            Room::Full | Room::TakeBack(_) => return Err(Why::InFlight),
+            Availability::Fits => false,
+            Availability::Lent => true,
+            Availability::Reserved => return Err(Why::Reserved),
+            Availability::Full | Availability::Reclaim(_) => return Err(Why::InFlight),
         };
         match self.bytes.for_others(bytes, recallable) {
-            Room::Fits => Ok(slot),
-            Room::Lent => Ok(true),
-            Room::Reserved => Err(Why::Reserved),
-            Room::Full | Room::TakeBack(_) => Err(Why::Buffer),
+            Availability::Fits => Ok(slot),
+            Availability::Lent => Ok(true),
+            Availability::Reserved => Err(Why::Reserved),
+            Availability::Full | Availability::Reclaim(_) => Err(Why::Buffer),
         }
     }
 
     /// Makes room for a known client's request, at worst by taking back what is lent.
     fn take_back(&mut self, now: Micros, bytes: u64) -> Result<(), Why> {
-        let back = |room: Room, why: Why| match room {
-            Room::Fits => Ok(0),
-            Room::TakeBack(n) => Ok(n),
+        let back = |room: Availability, why: Why| match room {
+            Availability::Fits => Ok(0),
+            Availability::Reclaim(n) => Ok(n),
             _ => Err(why),
         };
         let mut places = back(self.slots.for_known(1), Why::InFlight)?;
@@ -163,7 +163,7 @@
     /// Has a request in hand answered `busy`; it counts no more.
     pub(super) fn recall(&mut self, now: Micros, ticket: Ticket, why: Why) -> Option<Flight> {
         let flight = self.unbook(ticket)?;
-        self.follow_end(now, &flight, End::Elsewhere);
+        self.follow_end(now, &flight, End::NoWork);
         let retry_ms = self.overload.retry_ms(now);
         self.orders.push_back(Order::Recall { ticket, retry_ms, why });
         let source = self.books.holder(flight.holder).map(|h| h.source);
@@ -183,7 +183,7 @@
             let part = match (flight.known, flight.lent) {
                 (true, _) => &mut pool.known,
                 (false, true) => &mut pool.lent,
-                (false, false) => &mut pool.firm,
+                (false, false) => &mut pool.committed,
             };
             *part = part.saturating_add_signed(n);
         };
--- a/crates/limits/src/admission/tests.rs
+++ b/crates/limits/src/admission/tests.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 use crate::books::KINDS;
-use crate::orders::{Facts, Intake, Ticket, Verdict};
+use crate::orders::{RequestInfo, Intake, Ticket, Verdict};
 use crate::resources::{Accepting, Shortage};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-const READ: Facts = Facts { worth: 5.0, left: 480_000, bytes: 60, class: 0, recallable: false };
+const READ: RequestInfo = RequestInfo { worth: 5.0, left: 480_000, bytes: 60, class: 0, recallable: false };
 
 /// A host: what it holds, and an [`Admission`] that it obeys.
 struct Host {
@@ -21,7 +21,7 @@
 impl Host {
     fn new(settings: &str, connections: usize, in_flight: usize) -> Host {
         let mut limits = Admission::new(toml::from_str(settings).unwrap(), 11, 0).unwrap();
-        limits.resources(0, &Resources { connections, in_flight, ..Resources::default() });
+        limits.set_resources(0, &Resources { connections, in_flight, ..Resources::default() });
         Host { limits, now: 0, open: BTreeMap::new(), closed: Vec::new() }
     }
 
@@ -32,11 +32,11 @@
             "{conn:?} is owed an answer: {why}"
         );
         self.closed.push((conn, why));
-        self.limits.left(self.now, conn);
+        self.limits.on_closed(self.now, conn);
     }
 
     fn connect(&mut self, address: &str, speaks: bool) -> Result<ConnId, Why> {
-        match self.limits.arrived(self.now, address.parse().unwrap(), speaks) {
+        match self.limits.on_accepted(self.now, address.parse().unwrap(), speaks) {
             Verdict::Keep { conn } => {
                 self.open.insert(conn, Vec::new());
                 Ok(conn)
@@ -50,7 +50,7 @@
         }
     }
 
-    fn ask(&mut self, conn: ConnId, facts: Facts) -> Result<Ticket, Why> {
+    fn ask(&mut self, conn: ConnId, facts: RequestInfo) -> Result<Ticket, Why> {
         let verdict = self.limits.request(self.now, conn, &facts);
         if let Intake::Take { ticket } = verdict {
             self.open.get_mut(&conn).unwrap().push(ticket);
@@ -76,7 +76,7 @@
 
     fn settle(&mut self, conn: ConnId) {
         if self.open.get(&conn).is_some_and(Vec::is_empty) {
-            self.limits.state(self.now, conn, Activity::Idle);
+            self.limits.set_activity(self.now, conn, Activity::Idle);
         }
     }
 
@@ -197,12 +197,12 @@
                     let Some(conn) = nth(host.open.keys().copied(), n) else { continue };
                     let known = host.limits.books.is_known(conn) == Some(true);
                     let (slots, room) = (host.limits.slots, host.limits.bytes);
-                    let got = host.ask(conn, Facts { bytes, recallable, ..READ });
+                    let got = host.ask(conn, RequestInfo { bytes, recallable, ..READ });
                     // A shrunken limit may leave too little to take back; else the reserve holds.
-                    let sound = slots.firm <= slots.most.saturating_sub(slots.reserve)
-                        && room.firm <= room.most.saturating_sub(room.reserve);
+                    let sound = slots.committed <= slots.capacity.saturating_sub(slots.reserve)
+                        && room.committed <= room.capacity.saturating_sub(room.reserve);
                     let within = slots.known < slots.reserve && room.known + bytes as u64 <= room.reserve;
-                    if known && sound && within && slots.reserve <= slots.most {
+                    if known && sound && within && slots.reserve <= slots.capacity {
                         let refused = matches!(got, Err(Why::InFlight | Why::Buffer | Why::Reserved));
                         prop_assert!(!refused, "{got:?}: {slots:?} {room:?}");
                     }
@@ -216,8 +216,8 @@
                 Step::Do { nth: n, what } => {
                     let free = host.open.iter().filter(|(_, owed)| owed.is_empty()).map(|(c, _)| *c);
                     if let Some(conn) = nth(free, n) {
-                        let all = [Activity::Idle, Activity::Unfinished, Activity::Owed, Activity::Over];
-                        host.limits.state(host.now, conn, all[what as usize]);
+                        let all = [Activity::Idle, Activity::Unfinished, Activity::Pending, Activity::Closing];
+                        host.limits.set_activity(host.now, conn, all[what as usize]);
                     }
                 }
                 Step::Leave { nth: n } => {
@@ -225,27 +225,27 @@
                         for ticket in host.open.remove(&conn).unwrap_or_default() {
                             host.limits.ended(host.now, ticket, false);
                         }
-                        host.limits.left(host.now, conn);
+                        host.limits.on_closed(host.now, conn);
                     }
                 }
                 Step::Known { nth: n } => {
                     if let Some(conn) = nth(host.open.keys().copied(), n) {
-                        host.limits.known(conn);
+                        host.limits.mark_known(conn);
                     }
                 }
                 Step::Pass { ms } => host.pass(ms),
                 Step::Reload { connections, in_flight } => {
                     (there.connections, there.in_flight) = (connections, in_flight);
-                    host.limits.resources(host.now, &there);
+                    host.limits.set_resources(host.now, &there);
                 }
                 Step::Share { percent } => {
-                    there.memory = Used { used: percent, limit: 100 };
-                    host.limits.resources(host.now, &there);
+                    there.memory = Usage { used: percent, limit: 100 };
+                    host.limits.set_resources(host.now, &there);
                 }
                 Step::RunOut => {
-                    host.limits.ran_out(host.now, true);
+                    host.limits.on_descriptor_shortage(host.now, true);
                 }
-                Step::Stop => host.limits.stopping(),
+                Step::Stop => host.limits.set_stopping(),
             }
             let limits = &mut host.limits;
             prop_assert_eq!(limits.books.audit(), Ok(()));
@@ -254,16 +254,16 @@
             prop_assert_eq!(limits.in_flight().0, owed);
             let most = limits.most();
             prop_assert!(limits.held().0 as u64 <= most.max(before.0), "{} held of {most}", limits.held().0);
-            prop_assert!(owed as u64 <= limits.slots.most.max(before.1));
-            prop_assert!(limits.bytes.held() <= limits.bytes.most.max(bytes_before));
-            prop_assert!(limits.slots.firm <= limits.slots.firm_most().max(before.1));
+            prop_assert!(owed as u64 <= limits.slots.capacity.max(before.1));
+            prop_assert!(limits.bytes.held() <= limits.bytes.capacity.max(bytes_before));
+            prop_assert!(limits.slots.committed <= limits.slots.committed_limit().max(before.1));
             let working = limits.books.sides[0].working;
             // Where the limit fell below what is held, that shrinks first.
-            prop_assert!(before.0 > most || working <= limits.places().firm_most().max(working_before), "lent out: {:?}", limits.places());
+            prop_assert!(before.0 > most || working <= limits.places().committed_limit().max(working_before), "lent out: {:?}", limits.places());
         }
         // In the end nothing is left over.
         for (conn, owed) in std::mem::take(&mut host.open) {
-            host.limits.left(host.now, conn);
+            host.limits.on_closed(host.now, conn);
             owed.into_iter().for_each(|ticket| host.limits.ended(host.now, ticket, true));
         }
         prop_assert_eq!((host.limits.held(), host.limits.in_flight()), ((0, 0), (0, 0)));
@@ -352,7 +352,7 @@
     let mut host = Host::new("", 20, 100);
     let silent: Vec<ConnId> = (0..10).map(|_| host.connect("192.0.2.1", false).unwrap()).collect();
     let half: Vec<ConnId> = (0..10).map(|_| host.connect("192.0.2.2", true).unwrap()).collect();
-    half.iter().for_each(|c| host.limits.state(host.now, *c, Activity::Unfinished));
+    half.iter().for_each(|c| host.limits.set_activity(host.now, *c, Activity::Unfinished));
     host.pass(90);
     assert!(matches!(host.limits.accepting(host.now), Accepting::Pause { .. }), "they have their time");
     host.pass(11);
@@ -382,8 +382,8 @@
     let conn = host.connect("192.0.2.1", false).unwrap();
     for _ in 0..30 {
         host.pass(100);
-        host.limits.state(host.now, conn, Activity::Owed);
-        host.limits.state(host.now, conn, Activity::Unfinished);
+        host.limits.set_activity(host.now, conn, Activity::Pending);
+        host.limits.set_activity(host.now, conn, Activity::Unfinished);
     }
     assert_eq!(host.closed, [(conn, Why::Unfinished)]);
 }
@@ -395,7 +395,7 @@
     let mut host = Host::new(settings, 40, 20);
     // All places are held by others, as many of them at work as may be.
     let others: Vec<ConnId> = (0..40).map(|i| host.connect(&format!("192.0.2.{i}"), true).unwrap()).collect();
-    let lendable = Facts { recallable: true, ..READ };
+    let lendable = RequestInfo { recallable: true, ..READ };
     let taken: Vec<_> = others.iter().map(|c| host.ask(*c, lendable)).collect();
     let busy = taken.iter().filter(|t| t.is_ok()).count();
     assert_eq!(busy, 20, "15 places for good and 5 that are lent");
@@ -452,7 +452,7 @@
     let mut host = Host::new("", 20, 20);
     let conns: Vec<ConnId> = (0..19).map(|i| host.connect(&format!("192.0.2.{i}"), true).unwrap()).collect();
     conns.iter().for_each(|c| host.use_once(*c));
-    host.limits.stopping();
+    host.limits.set_stopping();
     let silent = host.connect("198.51.100.1", false).unwrap();
     host.pass(5000);
     assert_eq!(host.closed, [(silent, Why::Silent)]);
@@ -464,10 +464,10 @@
     let mut host = Host::new("", 100, 100);
     let conns: Vec<ConnId> = (0..50).map(|i| host.connect(&format!("192.0.2.{i}"), true).unwrap()).collect();
     conns.iter().take(20).for_each(|c| host.ask(*c, READ).map(|_| ()).unwrap());
-    assert!(matches!(host.limits.ran_out(host.now, true), Shortage::Pause { .. }), "there is no spare");
-    host.limits.spare(true);
-    assert!(matches!(host.limits.ran_out(host.now, true), Shortage::UseSpare { .. }));
-    assert!(matches!(host.limits.ran_out(host.now, false), Shortage::Pause { .. }), "ENFILE: keep it");
+    assert!(matches!(host.limits.on_descriptor_shortage(host.now, true), Shortage::Pause { .. }), "there is no spare");
+    host.limits.set_spare_descriptor(true);
+    assert!(matches!(host.limits.on_descriptor_shortage(host.now, true), Shortage::UseSpare { .. }));
+    assert!(matches!(host.limits.on_descriptor_shortage(host.now, false), Shortage::Pause { .. }), "ENFILE: keep it");
     host.pass(150);
     assert_eq!(host.limits.held().0, 46, "idle ones go, so that members find some");
     host.pass(1);
@@ -475,7 +475,7 @@
     assert_eq!(host.limits.held().0, 46);
     for _ in 0..60 {
         host.pass(500);
-        host.limits.resources(host.now, &host.limits.resources.clone());
+        host.limits.set_resources(host.now, &host.limits.resources.clone());
     }
     assert_eq!(host.limits.most(), 100, "back to normal");
 }
@@ -485,8 +485,8 @@
 fn who_waits_for_room_is_told_after_a_while() {
     for (aim, told) in [(0, 500_000), (750_000, 500_000), (150_000, 150_000)] {
         let mut host = Host::new("", 2, 10);
-        let resources = Resources { aim, ..host.limits.resources };
-        host.limits.resources(host.now, &resources);
+        let resources = Resources { latency_target: aim, ..host.limits.resources };
+        host.limits.set_resources(host.now, &resources);
         for i in 0..2 {
             let conn = host.connect(&format!("192.0.2.{i}"), true).unwrap();
             host.ask(conn, READ).unwrap();
@@ -499,7 +499,7 @@
             assert!(waited < 100);
         }
         assert_eq!(host.now, told);
-        let verdict = host.limits.arrived(host.now, "192.0.2.7".parse().unwrap(), true);
+        let verdict = host.limits.on_accepted(host.now, "192.0.2.7".parse().unwrap(), true);
         assert!(matches!(verdict, Verdict::Refuse { why: Why::Full, retry_ms: Some(50..) }), "{verdict:?}");
     }
 }
@@ -510,10 +510,10 @@
     let (first, second) =
         (host.connect("192.0.2.1", false).unwrap(), host.connect("192.0.2.2", false).unwrap());
     host.pass(200);
-    let verdict = host.limits.arrived(host.now, "192.0.2.3".parse().unwrap(), true);
+    let verdict = host.limits.on_accepted(host.now, "192.0.2.3".parse().unwrap(), true);
     assert_eq!(verdict, Verdict::KeepAndClose { conn: ConnId(2), victim: first });
-    assert_eq!(host.limits.instead(host.now, ConnId(2), first), Some(second));
-    assert_eq!(host.limits.instead(host.now, ConnId(2), second), None, "both speak: the newcomer is out");
+    assert_eq!(host.limits.replace_victim(host.now, ConnId(2), first), Some(second));
+    assert_eq!(host.limits.replace_victim(host.now, ConnId(2), second), None, "both speak: the newcomer is out");
     assert_eq!(host.limits.held().0, 2);
     assert_eq!(host.limits.books.audit(), Ok(()));
 }
@@ -526,7 +526,7 @@
     let made = |taken: usize| {
         let mut host = Host::new("", 400, 400);
         let room = Resources { clients_room: 128, ..host.limits.resources };
-        host.limits.resources(0, &room);
+        host.limits.set_resources(0, &room);
         let ask = |i| {
             let conn = host.connect(&format!("192.0.2.{i}"), true).unwrap();
             host.ask(conn, READ).unwrap()
--- a/crates/limits/src/admission/victims.rs
+++ b/crates/limits/src/admission/victims.rs
@@ -93,7 +93,7 @@
                 return Some(self.least(now, newcomer, asks, self.heads_of(own)));
             }
             let mut looked_at = 0;
-            let found = self.books.held.from_top(&mut |at| {
+            let found = self.books.held.visit_descending(&mut |at| {
                 looked_at += 1;
                 if looked_at > SOURCES || !is_over(at) {
                     return ControlFlow::Break(None);
--- a/crates/limits/src/books.rs
+++ b/crates/limits/src/books.rs
@@ -9,7 +9,7 @@
 use crate::keep::{CLASSES, class};
 use crate::orders::{Activity, ConnId};
 use crate::share::Shares;
-use crate::source::{Keyed, Listed, Source};
+use crate::source::{KeyedHash, SourceInfo, Source};
 use std::collections::{BTreeSet, HashMap};
 
 /// Kinds of lists: one for each class of idle ones, and these.
@@ -116,7 +116,7 @@
     free: Vec<u32>,
     holders: Vec<Holder>,
     free_holders: Vec<u32>,
-    by_source: HashMap<(Source, bool), u32, Keyed>,
+    by_source: HashMap<(Source, bool), u32, KeyedHash>,
     /// Links of the lists of all, and of those of each source.
     chains: [Chains; 2],
     /// Lists of all, known clients' apart.
@@ -138,7 +138,7 @@
             free: Vec::new(),
             holders: Vec::new(),
             free_holders: Vec::new(),
-            by_source: HashMap::with_hasher(Keyed::new(seed, 0x5041)),
+            by_source: HashMap::with_hasher(KeyedHash::new(seed, 0x5041)),
             chains: Default::default(),
             lists: [[EMPTY; KINDS]; 2],
             unfinished: BTreeSet::new(),
@@ -174,8 +174,8 @@
     }
 
     /// The holder of a source, begun if there is none.
-    pub(crate) fn hold(&mut self, listed: Listed) -> u32 {
-        let Listed { source, weight, known } = listed;
+    pub(crate) fn hold(&mut self, listed: SourceInfo) -> u32 {
+        let SourceInfo { source, weight, known } = listed;
         if let Some(at) = self.by_source.get(&(source, known)) {
             return *at;
         }
@@ -277,7 +277,7 @@
     }
 
     /// Takes a connection into the books, idle.
-    pub(crate) fn insert(&mut self, now: Micros, listed: Listed, probe: bool, spoke: bool) -> ConnId {
+    pub(crate) fn insert(&mut self, now: Micros, listed: SourceInfo, probe: bool, spoke: bool) -> ConnId {
         let at = self.hold(listed);
         let blank = Conn {
             generation: 0,
@@ -365,7 +365,7 @@
     pub(crate) fn make_known(&mut self, conn: ConnId) {
         let Some(slot) = self.slot(conn) else { return };
         let Some(holder) = self.holder(self.conns[slot as usize].source).filter(|h| !h.known) else { return };
-        let listed = Listed { source: holder.source, weight: holder.weight, known: true };
+        let listed = SourceInfo { source: holder.source, weight: holder.weight, known: true };
         self.step_out(slot);
         let counted = self.conns[slot as usize].counted;
         if counted {
@@ -397,8 +397,8 @@
             }
         };
         add(&mut side.held, true);
-        add(&mut side.over, conn.activity == Activity::Over);
-        add(&mut side.used, conn.asked > 0 && conn.activity != Activity::Over);
+        add(&mut side.over, conn.activity == Activity::Closing);
+        add(&mut side.used, conn.asked > 0 && conn.activity != Activity::Closing);
         add(&mut side.probes, conn.probe);
         add(&mut side.working, conn.working);
     }
@@ -413,8 +413,8 @@
             Activity::Idle if conn.asked == 0 => PROBES_UNUSED,
             Activity::Idle => PROBES_USED,
             Activity::Unfinished => UNFINISHED,
-            Activity::Over => OVER,
-            Activity::Owed => return,
+            Activity::Closing => OVER,
+            Activity::Pending => return,
         };
         if kind == UNFINISHED {
             self.unfinished.insert((conn.begun.unwrap_or(conn.since), slot));
@@ -521,13 +521,13 @@
             if conn.counted {
                 let side = &mut sides[usize::from(holder.known)];
                 side.held += 1;
-                side.over += u64::from(conn.activity == Activity::Over);
-                side.used += u64::from(conn.asked > 0 && conn.activity != Activity::Over);
+                side.over += u64::from(conn.activity == Activity::Closing);
+                side.used += u64::from(conn.asked > 0 && conn.activity != Activity::Closing);
                 side.probes += u64::from(conn.probe);
                 side.working += u64::from(conn.working);
                 held[conn.source as usize] += 1;
             }
-            if conn.kind.is_some() != (conn.counted && conn.activity != Activity::Owed) {
+            if conn.kind.is_some() != (conn.counted && conn.activity != Activity::Pending) {
                 return Err(format!("{conn:?} is in the wrong list"));
             }
         }
--- a/crates/limits/src/caps.rs
+++ b/crates/limits/src/caps.rs
@@ -15,23 +15,23 @@
 //! sources raises for all newcomers.
 
 use crate::Micros;
-use crate::source::{Keyed, Source};
+use crate::source::{KeyedHash, Source};
 
 /// A rate with what may be saved up of it: the generic cell rate algorithm (ITU-T I.371), a leaky bucket that keeps
 /// but one time.
 #[derive(Clone, Copy, Debug)]
-pub struct Rate {
+pub struct RateLimit {
     /// Between two at an even pace, for weight 1.
     interval: f64,
     burst: f64,
 }
 
-impl Rate {
+impl RateLimit {
     /// So many a second, of which as many as come in `burst_ms` may come at once (one at the least). `None` where
     /// there is no cap.
-    pub fn new(per_s: f64, burst_ms: u32) -> Option<Rate> {
+    pub fn new(per_s: f64, burst_ms: u32) -> Option<RateLimit> {
         let interval = 1e6 / per_s;
-        (per_s > 0.0).then(|| Rate { interval, burst: (f64::from(burst_ms) * 1000.0).max(interval) })
+        (per_s > 0.0).then(|| RateLimit { interval, burst: (f64::from(burst_ms) * 1000.0).max(interval) })
     }
 
     /// Whether one more conforms at a bucket that is full until `until`; gives when it would be then.
@@ -50,24 +50,24 @@
 
 /// A cap on a rate in all.
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
-    rate: Option<Rate>,
+pub struct LeakyBucket {
+    rate: Option<RateLimit>,
     until: Micros,
 }
 
-impl Bucket {
+impl LeakyBucket {
     /// Empty.
-    pub fn new(rate: Option<Rate>) -> Bucket {
-        Bucket { rate, until: Micros::MIN }
+    pub fn new(rate: Option<RateLimit>) -> LeakyBucket {
+        LeakyBucket { rate, until: Micros::MIN }
     }
 
     /// Another rate; what was counted stays.
-    pub fn set(&mut self, rate: Option<Rate>) {
+    pub fn set(&mut self, rate: Option<RateLimit>) {
         self.rate = rate;
     }
 
     /// Whether one more may come.
-    pub fn has_room(&self, now: Micros) -> bool {
+    pub fn conforms(&self, now: Micros) -> bool {
         self.rate.is_none_or(|rate| rate.one_more(now, self.until, 1).is_ok())
     }
 
@@ -83,24 +83,24 @@
 
 /// Caps on a rate by source.
 #[derive(Clone, Debug)]
-pub struct Filter {
-    rate: Option<Rate>,
+pub struct MultistageFilter {
+    rate: Option<RateLimit>,
     /// Cells of all rows, one row after the other; empty while there is no cap.
     cells: Vec<Micros>,
     per_row: usize,
-    key: Keyed,
+    key: KeyedHash,
 }
 
-impl Filter {
+impl MultistageFilter {
     /// Empty. `cells` a row, a power of two up to 65,536.
-    pub fn new(rate: Option<Rate>, cells: u32, key: Keyed) -> Filter {
-        let mut filter = Filter { rate: None, cells: Vec::new(), per_row: 0, key };
+    pub fn new(rate: Option<RateLimit>, cells: u32, key: KeyedHash) -> MultistageFilter {
+        let mut filter = MultistageFilter { rate: None, cells: Vec::new(), per_row: 0, key };
         filter.set(rate, cells);
         filter
     }
 
     /// Another rate; what was counted stays as long as the cells do.
-    pub fn set(&mut self, rate: Option<Rate>, cells: u32) {
+    pub fn set(&mut self, rate: Option<RateLimit>, cells: u32) {
         let per_row = if rate.is_some() { cells as usize } else { 0 };
         if per_row != self.per_row {
             self.cells = vec![Micros::MIN; ROWS * per_row];
@@ -154,11 +154,11 @@
             burst in 1u32..3000,
             gaps in proptest::collection::vec(0i64..50_000, 1..400),
         ) {
-            let mut bucket = Bucket::new(Rate::new(per_s, burst));
+            let mut bucket = LeakyBucket::new(RateLimit::new(per_s, burst));
             let (mut now, mut taken) = (0, Vec::new());
             for gap in gaps {
                 now += gap;
-                if bucket.has_room(now) {
+                if bucket.conforms(now) {
                     bucket.take(now);
                     taken.push(now);
                 }
@@ -175,7 +175,7 @@
 
     #[test]
     fn a_fast_source_is_held_to_its_rate_among_half_a_million_others() {
-        let mut filter = Filter::new(Rate::new(5.0, 1000), 4096, Keyed::new(1, 2));
+        let mut filter = MultistageFilter::new(RateLimit::new(5.0, 1000), 4096, KeyedHash::new(1, 2));
         let (mut fast, mut steady, mut refused) = (0, 0, 0);
         for i in 0..500_000u32 {
             let now = Micros::from(i) * 120; // a minute in all
@@ -195,7 +195,7 @@
 
     #[test]
     fn weight_multiplies_the_rate() {
-        let mut filter = Filter::new(Rate::new(2.0, 1000), 256, Keyed::new(1, 2));
+        let mut filter = MultistageFilter::new(RateLimit::new(2.0, 1000), 256, KeyedHash::new(1, 2));
         let mut come =
             |n: u32, weight| (0..100).filter(|_| filter.take(0, &source(n), weight).is_ok()).count();
         assert_eq!((come(1, 1), come(2, 10)), (2, 20));
--- a/crates/limits/src/drain.rs
+++ b/crates/limits/src/drain.rs
@@ -71,7 +71,7 @@
 
 /// What becomes of a connection that drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Release {
+pub enum DrainAction {
     /// It stays for now.
     Stays,
     /// What is unread is read first.
@@ -108,7 +108,7 @@
     }
 
     /// When who waits to be accepted is taken in at the latest, so that it gets its answer within the drain.
-    pub fn empties_queue_at(&self) -> Micros {
+    pub fn accept_backlog_at(&self) -> Micros {
         self.called + EXPIRES
     }
 
@@ -152,17 +152,17 @@
 
 impl Phase {
     /// What becomes of a connection in that state.
-    pub fn release(self, state: State) -> Release {
+    pub fn release(self, state: State) -> DrainAction {
         match (self, state) {
-            (Phase::Before, _) | (_, State::Lingering) => Release::Stays,
-            (_, State::Idle) => Release::Close,
-            (Phase::LetGo, State::Unread | State::OwedUnread) => Release::Read,
-            (Phase::LetGo | Phase::Finish, State::Unfinished) => Release::Stays,
+            (Phase::Before, _) | (_, State::Lingering) => DrainAction::Keep,
+            (_, State::Idle) => DrainAction::Close,
+            (Phase::LetGo, State::Unread | State::PendingUnread) => DrainAction::Read,
+            (Phase::LetGo | Phase::Finish, State::Unfinished) => DrainAction::Keep,
             // The refusal of what comes now is its answer.
-            (_, State::Unread) if self >= Phase::Expire => Release::Read,
-            (_, State::Unfinished) => Release::Expire,
-            (Phase::LastCall | Phase::Closed, State::Owed | State::OwedUnread) => Release::Fail,
-            (_, State::Unread | State::Owed | State::OwedUnread | State::Sending) => Release::Finish,
+            (_, State::Unread) if self >= Phase::Expire => DrainAction::Read,
+            (_, State::Unfinished) => DrainAction::Expire,
+            (Phase::LastCall | Phase::Closed, State::Pending | State::PendingUnread) => DrainAction::Fail,
+            (_, State::Unread | State::Pending | State::PendingUnread | State::Sending) => DrainAction::Finish,
         }
     }
 }
@@ -187,23 +187,23 @@
     }
 
     /// A state in each phase from [`Phase::LetGo`] on.
-    type Row = (State, [Release; 5]);
+    type Row = (State, [DrainAction; 5]);
 
     #[test]
     fn every_state_of_a_drained_connection_has_an_end() {
-        use Release::{Close, Expire, Fail, Finish, Read, Stays};
+        use DrainAction::{Close, Expire, Fail, Finish, Read, Stays};
         let phases = [Phase::LetGo, Phase::Finish, Phase::Expire, Phase::LastCall, Phase::Closed];
         let table: [Row; 7] = [
             (State::Idle, [Close, Close, Close, Close, Close]),
             (State::Unread, [Read, Finish, Read, Read, Read]),
             (State::Unfinished, [Stays, Stays, Expire, Expire, Expire]),
-            (State::Owed, [Finish, Finish, Finish, Fail, Fail]),
-            (State::OwedUnread, [Read, Finish, Finish, Fail, Fail]),
+            (State::Pending, [Finish, Finish, Finish, Fail, Fail]),
+            (State::PendingUnread, [Read, Finish, Finish, Fail, Fail]),
             (State::Sending, [Finish, Finish, Finish, Finish, Finish]),
             (State::Lingering, [Stays, Stays, Stays, Stays, Stays]),
         ];
         for (state, row) in table {
-            assert_eq!(phases.map(|phase| phase.release(state)), row, "{state:?}");
+            assert_eq!(phases.map(|phase| phase.action(state)), row, "{state:?}");
             assert_eq!(Phase::Before.release(state), Stays, "{state:?}");
         }
     }
@@ -226,17 +226,17 @@
         assert_eq!(phase(late, late + FRESH - 1), Phase::Before, "it may be about to ask");
         assert_eq!(phase(late, late + LATE_TAKES - 1), Phase::LetGo);
         assert_eq!(phase(late, late + LATE_TAKES), Phase::Finish);
-        assert_eq!(drain.closes(CLOSED - 1), Some(CLOSED));
-        assert!(drain.closes(CLOSED).is_some_and(|at| at > CLOSED), "who comes later is told so");
+        assert_eq!(drain.close_deadline(CLOSED - 1), Some(CLOSED));
+        assert!(drain.close_deadline(CLOSED).is_some_and(|at| at > CLOSED), "who comes later is told so");
         const { assert!(CLOSED + 150_000 <= 4_000_000) };
     }
 
     #[test]
     fn the_end_of_a_process_lets_all_go_at_once_and_bounds_the_rest_itself() {
-        let drain = Drain::at_once(10);
+        let drain = Drain::immediate(10);
         assert_eq!(drain.phase(1, 10, 9), Phase::Before);
         assert_eq!(drain.phase(1, 10, 10), Phase::LetGo);
         assert_eq!(drain.phase(1, 10, Micros::MAX / 2), Phase::LetGo);
-        assert_eq!((drain.closes(0), drain.refuses(Micros::MAX / 2)), (None, false));
+        assert_eq!((drain.close_deadline(0), drain.refuses(Micros::MAX / 2)), (None, false));
     }
 }
--- a/crates/limits/src/flights.rs
+++ b/crates/limits/src/flights.rs
@@ -1,7 +1,7 @@
 //! Requests in hand: whose they are, what they are worth, and which may be taken back.
 
 use crate::Micros;
-use crate::follow::Sent;
+use crate::adaptive_limit::Sent;
 use crate::orders::Ticket;
 use std::collections::BTreeSet;
 
--- a/crates/limits/src/follow/decide.rs
+++ b/crates/limits/src/follow/decide.rs
@@ -1,6 +1,6 @@
 //! When a limit grows, is cut, or is tried lower.
 
-use super::Follow;
+use super::AdaptiveLimit;
 use crate::Micros;
 
 /// What is left of the limit after a cut, and after one at far more than a queue.
@@ -52,7 +52,7 @@
     mean: f64,
 }
 
-impl Follow {
+impl AdaptiveLimit {
     /// In flight and not presumed lost, when the limit is used.
     pub(super) fn live(&self) -> f64 {
         self.limit - self.dead
--- a/crates/limits/src/follow/mod.rs
+++ b/crates/limits/src/follow/mod.rs
@@ -19,7 +19,7 @@
 //! but nodes that cannot see each other would not probe together, and take each other's queue for the place).
 //!
 //! ```
-//! use lapisrudder_limits::follow::{End, Follow, Settings};
+//! use lapisrudder_limits::adaptive_limit::{End, Follow, Settings};
 //!
 //! let mut follow = Follow::new(Settings { start: 2.0, ..Settings::default() }, 0);
 //! let first = follow.sent(0);
@@ -52,7 +52,7 @@
 /// only the sum over nodes grows with it: this much over their limits.
 const TURN: f64 = 0.25;
 
-/// What a [`Follow`] is told at its start.
+/// What a [`AdaptiveLimit`] is told at its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// Attempts in flight to begin with; under one where many nodes share a place. Growth follows its scale.
@@ -76,7 +76,7 @@
     }
 }
 
-/// An attempt that is in flight; given back to [`Follow::ended`].
+/// An attempt that is in flight; given back to [`AdaptiveLimit::ended`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub struct Sent {
@@ -111,7 +111,7 @@
 /// How many attempts may be in flight at a place, by what comes back. No clock and no draws: the same history
 /// gives the same limit.
 #[derive(Clone, Debug)]
-pub struct Follow {
+pub struct AdaptiveLimit {
     settings: Settings,
     limit: f64,
     /// A limit that was good: growth is faster below it.
@@ -140,14 +140,14 @@
     silence: Silence,
 }
 
-impl Follow {
+impl AdaptiveLimit {
     /// A limit of `settings.start` that has seen nothing.
     pub fn new(settings: Settings, now: Micros) -> Self {
         let most = settings.most.max(0.001);
         let least = settings.least.clamp(0.001, most);
         let settings = Settings { least, most, patience: settings.patience.max(1), ..settings };
         let start = settings.start.clamp(least, most);
-        let mut follow = Follow {
+        let mut follow = AdaptiveLimit {
             settings: Settings { start, ..settings },
             limit: start,
             good: most,
@@ -188,11 +188,11 @@
 
     /// Another attempt may go out now.
     pub fn room(&self, now: Micros) -> bool {
-        self.when_room(now).is_some_and(|at| at <= now)
+        self.next_send_at(now).is_some_and(|at| at <= now)
     }
 
     /// When another attempt may go out if nothing ends meanwhile; nothing if only an end makes room.
-    pub fn when_room(&self, now: Micros) -> Option<Micros> {
+    pub fn next_send_at(&self, now: Micros) -> Option<Micros> {
         if let Some(stop) = self.silence.stop {
             return stop.probe_at().map(|at| at.max(now));
         }
@@ -236,9 +236,9 @@
             End::Answered { took } => self.answered(now, sent, took.max(1) as f64),
             End::Lost => self.lost(now, 0.0),
             End::TimedOut { took } => self.timed_out(now, sent, took.max(1) as f64),
-            End::TurnedAway => self.turned_away(),
-            End::Untold => {}
-            End::Elsewhere => self.paced = self.paced.min(now),
+            End::Rejected => self.turned_away(),
+            End::Ignored => {}
+            End::NoWork => self.paced = self.paced.min(now),
         }
     }
 
--- a/crates/limits/src/follow/state.rs
+++ b/crates/limits/src/follow/state.rs
@@ -19,7 +19,7 @@
     Stopped,
 }
 
-/// What a [`Follow`] goes by, for logs.
+/// What a [`AdaptiveLimit`] goes by, for logs.
 #[derive(Clone, Copy, Debug)]
 pub struct State {
     /// Attempts that may be in flight.
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -36,18 +36,18 @@
 pub mod orders;
 pub mod reserve;
 pub mod resources;
-pub mod room;
+pub mod exhaustion;
 pub mod settings;
 pub mod share;
 pub mod source;
 pub mod spells;
 pub use admission::Admission;
-pub use orders::{Activity, ConnId, Event, EventKind, Explanation, Facts, Intake, Order, Situation, Ticket};
+pub use orders::{Activity, ConnId, Event, EventKind, Explanation, RequestInfo, Intake, Order, Situation, Ticket};
 pub use orders::{Verdict, Why};
-pub use resources::{Accepting, Resources, Shortage, Used};
+pub use resources::{Accepting, Resources, Shortage, Usage};
 pub use settings::{Settings, SettingsError};
 pub use source::Source;
-pub mod follow;
+pub mod adaptive_limit;
 pub mod held;
 
 /// Microseconds, as a point on the caller's clock or as a length.
--- a/crates/limits/src/orders.rs
+++ b/crates/limits/src/orders.rs
@@ -21,8 +21,8 @@
         conn: ConnId,
     },
     /// It is kept, and another is closed first. The host looks whether anything has come on the victim that it has
-    /// not read; if so it asks [`Admission::instead`](crate::Admission::instead). Else it closes the victim at once
-    /// and reports [`Admission::left`](crate::Admission::left) for it.
+    /// not read; if so it asks [`Admission::replace_victim`](crate::Admission::replace_victim). Else it closes the victim at once
+    /// and reports [`Admission::on_closed`](crate::Admission::on_closed) for it.
     KeepAndClose {
         /// The new one's name.
         conn: ConnId,
@@ -60,15 +60,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
     /// Close a connection between requests. The host first looks whether anything has come on it; if so it reports
-    /// [`Admission::spoke`](crate::Admission::spoke) and goes on as ever. Else it closes and reports
-    /// [`Admission::left`](crate::Admission::left).
+    /// [`Admission::on_close_aborted`](crate::Admission::on_close_aborted) and goes on as ever. Else it closes and reports
+    /// [`Admission::on_closed`](crate::Admission::on_closed).
     Close {
         /// Which.
         conn: ConnId,
         /// Why.
         why: Why,
         /// Shut the sending side only and read on for up to 100 ms (or until the peer closes): if a request comes,
-        /// report [`Admission::crossed`](crate::Admission::crossed), then close and report `left`. So closes that
+        /// report [`Admission::on_request_crossed`](crate::Admission::on_request_crossed), then close and report `left`. So closes that
         /// cross a request are counted. A host that cannot may close at once.
         linger: bool,
     },
@@ -176,7 +176,7 @@
 
 /// What is known of a request when it is to be taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Facts {
+pub struct RequestInfo {
     /// What it is worth if answered in time, by its class.
     pub worth: f64,
     /// How long its client will still wait.
--- a/crates/limits/src/reserve.rs
+++ b/crates/limits/src/reserve.rs
@@ -13,7 +13,7 @@
     /// As much as only known clients use.
     pub reserve: u64,
     /// Held by unknown clients for good.
-    pub firm: u64,
+    pub committed: u64,
     /// Held by unknown clients until it is taken back.
     pub lent: u64,
     /// Held by known clients.
@@ -38,11 +38,11 @@
 impl Pool {
     /// All that is held.
     pub fn held(&self) -> u64 {
-        self.firm + self.lent + self.known
+        self.committed + self.lent + self.known
     }
 
     /// As much as unknown clients may hold for good. After a reload more may be held: then it drains first.
-    pub fn firm_most(&self) -> u64 {
+    pub fn committed_limit(&self) -> u64 {
         self.most.saturating_sub(self.reserve.max(self.known))
     }
 
@@ -50,22 +50,22 @@
     pub fn for_known(&self, more: u64) -> Room {
         let over = (self.held() + more).saturating_sub(self.most);
         match over {
-            0 => Room::Fits,
-            _ if self.known + more <= self.reserve && over <= self.lent => Room::TakeBack(over),
-            _ => Room::Full,
+            0 => Availability::Fits,
+            _ if self.known + more <= self.reserve && over <= self.lent => Availability::Reclaim(over),
+            _ => Availability::Full,
         }
     }
 
     /// Another client asks for more. `recallable`: it can be taken back from it.
     pub fn for_others(&self, more: u64, recallable: bool) -> Room {
         if self.held() + more > self.most {
-            Room::Full
-        } else if self.firm + more <= self.firm_most() {
-            Room::Fits
+            Availability::Full
+        } else if self.committed + more <= self.committed_limit() {
+            Availability::Fits
         } else if recallable {
-            Room::Lent
+            Availability::Lent
         } else {
-            Room::Reserved
+            Availability::Reserved
         }
     }
 }
@@ -87,34 +87,34 @@
             for (what, n) in steps {
                 match what {
                     0 | 1 => match pool.for_others(n, what == 1) {
-                        Room::Fits => pool.firm += n,
-                        Room::Lent => pool.lent += n,
-                        Room::TakeBack(_) => prop_assert!(false, "others take nothing back"),
-                        Room::Reserved | Room::Full => {}
+                        Availability::Fits => pool.committed += n,
+                        Availability::Lent => pool.lent += n,
+                        Availability::Reclaim(_) => prop_assert!(false, "others take nothing back"),
+                        Availability::Reserved | Availability::Full => {}
                     },
                     2 => match pool.for_known(n) {
-                        Room::Fits => pool.known += n,
-                        Room::TakeBack(back) => {
+                        Availability::Fits => pool.known += n,
+                        Availability::Reclaim(back) => {
                             pool.lent -= back;
                             pool.known += n;
                         }
                         _ => prop_assert!(pool.known + n > pool.reserve, "{pool:?} has no {n}"),
                     },
-                    3 => pool.firm -= n.min(pool.firm),
+                    3 => pool.committed -= n.min(pool.committed),
                     4 => pool.lent -= n.min(pool.lent),
                     _ => pool.known -= n.min(pool.known),
                 }
                 prop_assert!(pool.held() <= pool.most, "{pool:?}");
-                prop_assert!(pool.firm <= pool.most - pool.reserve, "{pool:?}");
+                prop_assert!(pool.committed <= pool.most - pool.reserve, "{pool:?}");
             }
         }
     }
 
     #[test]
     fn after_a_reload_nothing_is_lent_until_there_is_room() {
-        let pool = Pool { most: 10, reserve: 4, firm: 9, lent: 0, known: 0 };
-        assert_eq!(pool.for_others(1, false), Room::Reserved);
-        assert_eq!(pool.for_known(2), Room::Full, "open requests drain first");
-        assert_eq!(Pool { firm: 5, lent: 5, ..pool }.for_known(2), Room::TakeBack(2));
+        let pool = Pool { most: 10, reserve: 4, committed: 9, lent: 0, known: 0 };
+        assert_eq!(pool.for_others(1, false), Availability::Reserved);
+        assert_eq!(pool.for_known(2), Availability::Full, "open requests drain first");
+        assert_eq!(Pool { committed: 5, lent: 5, ..pool }.for_known(2), Availability::Reclaim(2));
     }
 }
--- a/crates/limits/src/resources.rs
+++ b/crates/limits/src/resources.rs
@@ -4,7 +4,7 @@
 
 /// How much of something is used. A `limit` of 0 means that it is not known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Used {
+pub struct Usage {
     /// In use.
     pub used: u64,
     /// As much as there is.
@@ -27,11 +27,11 @@
     /// Bytes that may be held for commands. 0: not bound.
     pub buffer_bytes: usize,
     /// Descriptors of the process.
-    pub descriptors: Used,
+    pub descriptors: Usage,
     /// Memory, in bytes.
-    pub memory: Used,
+    pub memory: Usage,
     /// Ephemeral ports towards the busiest member.
-    pub ports: Used,
+    pub ports: Usage,
 }
 
 /// How many connections to take from the kernel's queue.
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortage {
     /// Close the spare descriptor, accept, tell the connection `busy` with so many milliseconds, close it, open the
-    /// spare again and report [`Admission::spare`](crate::Admission::spare). Ask [`Admission::accepting`](crate::Admission::accepting) before the next.
+    /// spare again and report [`Admission::set_spare_descriptor`](crate::Admission::set_spare_descriptor). Ask [`Admission::accepting`](crate::Admission::accepting) before the next.
     UseSpare {
         /// Come again after so many milliseconds.
         retry_ms: u32,
--- a/crates/limits/src/room.rs
+++ b/crates/limits/src/room.rs
@@ -20,7 +20,7 @@
 
 /// Stages of running out, and what is learnt from failures.
 #[derive(Clone, Debug)]
-pub struct Stages {
+pub struct ExhaustionStages {
     settings: settings::Room,
     stage: u8,
     /// Since when the share has been low enough for a lower stage.
@@ -29,10 +29,10 @@
     changed: Micros,
 }
 
-impl Stages {
+impl ExhaustionStages {
     /// All is well.
-    pub fn new(settings: &settings::Room) -> Stages {
-        Stages {
+    pub fn new(settings: &settings::Room) -> ExhaustionStages {
+        ExhaustionStages {
             settings: settings.clone(),
             stage: 0,
             low_since: None,
@@ -103,8 +103,8 @@
 mod tests {
     use super::*;
 
-    fn stages() -> Stages {
-        Stages::new(&settings::Room::default())
+    fn stages() -> ExhaustionStages {
+        ExhaustionStages::new(&settings::Room::default())
     }
 
     #[test]
--- a/crates/limits/src/settings.rs
+++ b/crates/limits/src/settings.rs
@@ -346,7 +346,7 @@
         let cells = caps.rate_cells;
         let sound = cells.is_power_of_two() && (256..=65_536).contains(&cells);
         ensure(sound, "caps.rate_cells", cells, "a power of two from 256 to 65536")?;
-        within("caps.connections", caps.connections, 0..=MOST_CONNECTIONS, "0 to 4000000")?;
+        within("caps.connections", caps.connections, 0..=MAX_CONNECTIONS, "0 to 4000000")?;
         for (key, ms) in [
             ("keep.silent_close_ms", keep.silent_close_ms),
             ("keep.unfinished_close_ms", keep.unfinished_close_ms),
@@ -410,7 +410,7 @@
 }
 
 /// Connections that the books can hold: a place is named by 32 bits, and a cap is what memory is stated for.
-pub(crate) const MOST_CONNECTIONS: usize = 4_000_000;
+pub(crate) const MAX_CONNECTIONS: usize = 4_000_000;
 
 fn ensure(
     sound: bool,
--- a/crates/limits/src/share.rs
+++ b/crates/limits/src/share.rs
@@ -10,7 +10,7 @@
 //! at most about sqrt(2 capacity) groups for each weight in use, however many sources: the cost of a change grows
 //! with the logarithm of that.
 
-use crate::source::Keyed;
+use crate::source::KeyedHash;
 use std::cmp::Ordering;
 use std::hash::{BuildHasher, Hasher};
 use std::ops::ControlFlow;
@@ -103,7 +103,7 @@
     free: Vec<u32>,
     root: u32,
     members: Vec<Member>,
-    priorities: Keyed,
+    priorities: KeyedHash,
 }
 
 impl Shares {
@@ -114,7 +114,7 @@
             free: Vec::new(),
             root: NIL,
             members: Vec::new(),
-            priorities: Keyed::new(seed, 0x7ea9),
+            priorities: KeyedHash::new(seed, 0x7ea9),
         }
     }
 
@@ -196,7 +196,7 @@
     }
 
     /// Visits sources, those furthest over their share first, until the visitor breaks.
-    pub fn from_top<B>(&self, visit: &mut impl FnMut(u32) -> ControlFlow<B>) -> ControlFlow<B> {
+    pub fn visit_descending<B>(&self, visit: &mut impl FnMut(u32) -> ControlFlow<B>) -> ControlFlow<B> {
         self.visit(self.root, visit)
     }
 
@@ -426,7 +426,7 @@
                 }
             }
             let mut seen = Vec::new();
-            let _ = shares.from_top::<()>(&mut |id| {
+            let _ = shares.visit_descending::<()>(&mut |id| {
                 let (h, w) = held[id as usize];
                 seen.push(f64::from(h) / f64::from(w));
                 ControlFlow::Continue(())
--- a/crates/limits/src/source.rs
+++ b/crates/limits/src/source.rs
@@ -57,16 +57,16 @@
 /// A keyed hash for what attackers choose. Guards the tables against addresses picked to fall together: SipHash
 /// (Aumasson and Bernstein 2012) gives no way to find those without the key.
 #[derive(Clone, Copy, Debug)]
-pub struct Keyed(u64, u64);
+pub struct KeyedHash(u64, u64);
 
-impl Keyed {
+impl KeyedHash {
     /// A hash of its own for each pair of numbers.
-    pub fn new(seed: u64, stream: u64) -> Keyed {
-        Keyed(seed, stream)
+    pub fn new(seed: u64, stream: u64) -> KeyedHash {
+        KeyedHash(seed, stream)
     }
 }
 
-impl BuildHasher for Keyed {
+impl BuildHasher for KeyedHash {
     type Hasher = SipHasher13;
 
     fn build_hasher(&self) -> SipHasher13 {
@@ -74,7 +74,7 @@
     }
 }
 
-impl Keyed {
+impl KeyedHash {
     /// The hash of a source.
     pub fn hash(&self, source: &Source) -> u64 {
         let mut hasher = self.build_hasher();
@@ -133,7 +133,7 @@
 
 /// What is known of an address before it has done anything.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Listed {
+pub struct SourceInfo {
     /// What it counts as.
     pub source: Source,
     /// For how many usual clients the source stands.
@@ -153,8 +153,8 @@
     }
 
     /// Looks an address up.
-    pub fn look_up(&self, address: IpAddr) -> Listed {
-        Listed {
+    pub fn look_up(&self, address: IpAddr) -> SourceInfo {
+        SourceInfo {
             source: Source::of(address, &self.sources),
             weight: self.weights.get(address).copied().unwrap_or(1),
             known: self.known.get(address).is_some(),
--- a/crates/limits/tests/clients_room.rs
+++ b/crates/limits/tests/clients_room.rs
@@ -1,7 +1,7 @@
 //! Clients that hold only so many connections, on a virtual clock: what early closing gains, and what it costs.
 
 use lapisrudder_limits::{
-    Activity, Admission, ConnId, Facts, Intake, Micros, Order, Resources, Settings, Ticket, Verdict,
+    Activity, Admission, ConnId, RequestInfo, Intake, Micros, Order, Resources, Settings, Ticket, Verdict,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -61,7 +61,7 @@
         let mut limits = Admission::new(settings, 5, 0).unwrap();
         let there =
             Resources { connections: 258, clients_room: ROOM, in_flight: 20_000, ..Resources::default() };
-        limits.resources(0, &there);
+        limits.set_resources(0, &there);
         Day {
             limits,
             random: SmallRng::seed_from_u64(9),
@@ -92,7 +92,7 @@
             return None;
         }
         self.seen.opened += 1;
-        let verdict = self.limits.arrived(now, "10.0.0.1".parse().unwrap(), true);
+        let verdict = self.limits.on_accepted(now, "10.0.0.1".parse().unwrap(), true);
         let Verdict::Keep { conn } = verdict else { panic!("{verdict:?}: there is room at the node") };
         self.has.insert(client, conn);
         self.of.insert(conn, client);
@@ -111,14 +111,14 @@
                 }
                 Happens::Reaches(client, conn) => {
                     if self.closing.contains_key(&conn) {
-                        self.limits.crossed(now, conn);
+                        self.limits.on_request_crossed(now, conn);
                         // Sent once more on a new connection.
                         self.has.remove(&client);
                         if let Some(conn) = self.connect(now, client) {
                             self.at(now + self.way, Happens::Reaches(client, conn));
                         }
                     } else {
-                        let facts = Facts { worth: 5.0, left: 480_000, bytes: 60, ..Facts::default() };
+                        let facts = RequestInfo { worth: 5.0, left: 480_000, bytes: 60, ..RequestInfo::default() };
                         match self.limits.request(now, conn, &facts) {
                             Intake::Take { ticket } => {
                                 self.at(now + SERVICE, Happens::Answered(client, conn, ticket));
@@ -129,7 +129,7 @@
                 }
                 Happens::Answered(client, conn, ticket) => {
                     self.limits.ended(now, ticket, true);
-                    self.limits.state(now, conn, Activity::Idle);
+                    self.limits.set_activity(now, conn, Activity::Idle);
                     self.seen.served += 1;
                     if let Some(mean) = self.gaps.get(client).copied() {
                         let gap = self.draw(mean);
@@ -144,7 +144,7 @@
                 }
                 Happens::Gone(conn) => {
                     self.closing.remove(&conn);
-                    self.limits.left(now, conn);
+                    self.limits.on_closed(now, conn);
                 }
                 Happens::Wake => self.wakes_at = None,
             }
--- a/crates/limits/tests/follow.rs
+++ b/crates/limits/tests/follow.rs
@@ -1,7 +1,7 @@
 //! The limit that follows, on a virtual clock: against the best fixed limit, through changes, and in any history.
 
 mod places;
-use lapisrudder_limits::follow::{End, Follow, Sent, Settings};
+use lapisrudder_limits::adaptive_limit::{End, AdaptiveLimit, Sent, Settings};
 use places::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -21,7 +21,7 @@
         let fixed = [1.0, 2.0, 4.0, 10.0].map(|m| m * place.servers as f64 / (1.0 - place.hits));
         let best = fixed.map(|all| day(place, nodes, Rule::Fixed(all)).play().good(10));
         let best = best.into_iter().fold(0.0, f64::max);
-        let played = day(place, nodes, Rule::Follow).play();
+        let played = day(place, nodes, Rule::AdaptiveLimit).play();
         let (good, why) = (played.good(10), &played.explained);
         assert!(good >= least * best, "{nodes} nodes: {good:.1} of {best:.1} a second; {why}");
         let fair = played.fairness();
@@ -75,7 +75,7 @@
 fn a_path_that_loses_a_tenth_is_no_queue() {
     let place = Place { loses: |_| 0.1, ..PLAIN };
     for nodes in [1, 3] {
-        let (follow, late) = (day(place, nodes, Rule::Follow).play(), day(place, nodes, Rule::Late).play());
+        let (follow, late) = (day(place, nodes, Rule::AdaptiveLimit).play(), day(place, nodes, Rule::Late).play());
         // Of those in flight so many are lost, until they time out; the servers need twenty beside them.
         let lost = follow.mean(20, 50, |s| s.sent) * 0.1 * GIVE_UP as f64 / 1e6;
         let limit = follow.mean(20, 50, |s| s.limit);
@@ -92,7 +92,7 @@
     let speed = |t| if (20 * S..40 * S).contains(&t) { 0.5 } else { 1.0 };
     let loses = |t| if (70 * S..74 * S).contains(&t) { 1.0 } else { 0.0 };
     for (nodes, half, within) in [(1, 75.0, 3), (3, 75.0, 3), (30, 65.0, 3), (300, 20.0, 25)] {
-        let long = Day { length: 110 * S, ..day(Place { speed, loses, ..PLAIN }, nodes, Rule::Follow) };
+        let long = Day { length: 110 * S, ..day(Place { speed, loses, ..PLAIN }, nodes, Rule::AdaptiveLimit) };
         let played = long.play();
         let good = |from| played.mean(from, from + 5, |s| s.good);
         assert!(
@@ -113,7 +113,7 @@
 fn a_queue_is_cut() {
     for nodes in [1, 3, 30] {
         let start =
-            Day { rate: |t| if t < 20 * S { 100.0 } else { 2_000.0 }, ..day(PLAIN, nodes, Rule::Follow) };
+            Day { rate: |t| if t < 20 * S { 100.0 } else { 2_000.0 }, ..day(PLAIN, nodes, Rule::AdaptiveLimit) };
         let played = start.play();
         assert!(played.mean(20, 30, |s| s.good) > 140.0, "{nodes} nodes: {:?}", played.seconds);
         let limit = played.mean(30, 50, |s| s.limit);
@@ -141,7 +141,7 @@
         let played = day.play();
         move |from, to| played.mean(from, to, |s| s.good) / played.mean(from, to, |s| s.asked)
     };
-    let (late, follow) = (play(Rule::Late), play(Rule::Follow));
+    let (late, follow) = (play(Rule::Late), play(Rule::AdaptiveLimit));
     assert!(
         late(5, 30) > 0.97 && follow(5, 30) > 0.97,
         "both do well before: {} {}",
@@ -154,7 +154,7 @@
 }
 
 /// Answered, in flight at a time, by hand.
-fn answer(follow: &mut Follow, now: &mut Micros, rounds: usize, out: usize, took: Micros) {
+fn answer(follow: &mut AdaptiveLimit, now: &mut Micros, rounds: usize, out: usize, took: Micros) {
     for _ in 0..rounds {
         let sent: Vec<Sent> = (0..out).map(|_| follow.sent(*now)).collect();
         *now += took;
@@ -165,7 +165,7 @@
 /// Danger: an idle node would grow a limit that it never used, and a burst would use it.
 #[test]
 fn a_limit_that_is_not_used_does_not_grow() {
-    let mut follow = Follow::new(Settings::default(), 0);
+    let mut follow = AdaptiveLimit::new(Settings::default(), 0);
     let mut now = 0;
     answer(&mut follow, &mut now, 500, 3, 50 * MS);
     assert_eq!(follow.limit(), 20.0);
@@ -176,14 +176,14 @@
 /// A place without a queue that says when it is full.
 #[test]
 fn being_turned_away_lowers_a_limit_to_what_is_taken() {
-    let mut follow = Follow::new(Settings::default(), 0);
+    let mut follow = AdaptiveLimit::new(Settings::default(), 0);
     let (mut now, mut refused) = (0, 0);
     for round in 0..400 {
-        let sent: Vec<Sent> = std::iter::from_fn(|| follow.room(now).then(|| follow.sent(now))).collect();
+        let sent: Vec<Sent> = std::iter::from_fn(|| follow.can_send(now).then(|| follow.sent(now))).collect();
         now += 50 * MS;
         for (n, sent) in sent.into_iter().enumerate() {
             refused += usize::from(n >= 8 && round >= 200);
-            let end = if n < 8 { End::Answered { took: 50 * MS } } else { End::TurnedAway };
+            let end = if n < 8 { End::Answered { took: 50 * MS } } else { End::Rejected };
             follow.ended(now, sent, end);
         }
     }
@@ -216,20 +216,20 @@
         steps in prop::collection::vec(step(), 1..400),
     ) {
         let settings = Settings { start, least: 0.01, most: 60.0, ..Settings::default() };
-        let mut follow = Follow::new(settings, 0);
+        let mut follow = AdaptiveLimit::new(settings, 0);
         let (mut now, mut out): (Micros, Vec<Sent>) = (0, Vec::new());
         for step in steps {
             match step {
-                Step::Send if follow.room(now) => out.push(follow.sent(now)),
+                Step::Send if follow.can_send(now) => out.push(follow.sent(now)),
                 Step::End { pick, how, took } if !out.is_empty() => {
                     let sent = out.swap_remove(pick % out.len());
                     let ends = [
                         End::Answered { took },
                         End::Lost,
                         End::TimedOut { took },
-                        End::TurnedAway,
-                        End::Untold,
-                        End::Elsewhere,
+                        End::Rejected,
+                        End::Ignored,
+                        End::NoWork,
                     ];
                     follow.ended(now, sent, ends[usize::from(how)]);
                 }
@@ -237,15 +237,15 @@
                 _ => {}
             }
             prop_assert!((0.01..=60.0).contains(&follow.limit()), "{}", follow.explain());
-            prop_assert_eq!(follow.out(), out.len());
+            prop_assert_eq!(follow.in_flight(), out.len());
         }
         // All ends, in the worst of ways; then there is room in time, and what goes well makes more of it.
         out.into_iter().for_each(|sent| follow.ended(now, sent, End::TimedOut { took: 5 * S }));
         for _ in 0..4_000 {
-            let at = follow.when_room(now);
+            let at = follow.next_send_at(now);
             prop_assert!(at.is_some_and(|at| at - now <= 120 * S), "{:?} {}", at, follow.explain());
             now = at.unwrap_or(now);
-            prop_assert!(follow.room(now));
+            prop_assert!(follow.can_send(now));
             let sent = follow.sent(now);
             now += 20 * MS;
             follow.ended(now, sent, End::Answered { took: 20 * MS });
--- a/crates/limits/tests/places/mod.rs
+++ b/crates/limits/tests/places/mod.rs
@@ -59,7 +59,7 @@
     Fixed(f64),
     /// The rule that the decision module had: a fixed share of late answers cuts.
     Late,
-    Follow,
+    AdaptiveLimit,
 }
 
 impl Rule {
--- a/crates/limits/tests/places/node.rs
+++ b/crates/limits/tests/places/node.rs
@@ -1,7 +1,7 @@
 //! A node of the harness, and the rules that say what may be in flight at it.
 
 use super::*;
-use lapisrudder_limits::follow::{End, Follow, Sent, Settings};
+use lapisrudder_limits::adaptive_limit::{End, AdaptiveLimit, Sent, Settings};
 use lapisrudder_limits::held::Held;
 use std::collections::HashMap;
 
@@ -37,7 +37,7 @@
 pub enum Limiter {
     Fixed(f64),
     Late(Late),
-    Follow(Box<Follow>),
+    AdaptiveLimit(Box<AdaptiveLimit>),
 }
 
 pub struct Node {
@@ -64,7 +64,7 @@
                 late: None,
                 cut_at: 0,
             }),
-            Rule::Follow => Limiter::Follow(Box::new(Follow::new(settings(day.nodes), 0))),
+            Rule::AdaptiveLimit => Limiter::AdaptiveLimit(Box::new(AdaptiveLimit::new(settings(day.nodes), 0))),
         };
         Node {
             limiter,
@@ -81,13 +81,13 @@
         match &self.limiter {
             Limiter::Fixed(limit) => *limit,
             Limiter::Late(late) => late.limit,
-            Limiter::Follow(follow) => follow.limit(),
+            Limiter::AdaptiveLimit(follow) => follow.limit(),
         }
     }
 
-    pub fn when_room(&self, now: Micros) -> Option<Micros> {
+    pub fn next_send_at(&self, now: Micros) -> Option<Micros> {
         match &self.limiter {
-            Limiter::Follow(follow) => follow.when_room(now),
+            Limiter::AdaptiveLimit(follow) => follow.next_send_at(now),
             _ => (self.out < self.limit().floor().max(1.0)).then_some(self.paced.max(now)),
         }
     }
@@ -95,7 +95,7 @@
     pub fn sent(&mut self, now: Micros) -> Option<Sent> {
         self.out += 1.0;
         match &mut self.limiter {
-            Limiter::Follow(follow) => return Some(follow.sent(now)),
+            Limiter::AdaptiveLimit(follow) => return Some(follow.sent(now)),
             Limiter::Fixed(limit) if *limit < 1.0 => self.paced = now + (WORK / *limit) as Micros,
             Limiter::Late(late) if late.limit < 1.0 => self.paced = now + (late.best / late.limit) as Micros,
             _ => {}
@@ -106,7 +106,7 @@
     pub fn ended(&mut self, now: Micros, sent: Option<Sent>, end: End) {
         self.out -= 1.0;
         match (&mut self.limiter, end) {
-            (Limiter::Follow(follow), end) => follow.ended(now, sent.expect("a token"), end),
+            (Limiter::AdaptiveLimit(follow), end) => follow.ended(now, sent.expect("a token"), end),
             (Limiter::Late(late), End::Answered { took }) => late.ended(now, took as f64, true),
             (Limiter::Late(late), End::TimedOut { took }) => late.ended(now, took as f64, false),
             _ => {}
--- a/crates/limits/tests/places/world.rs
+++ b/crates/limits/tests/places/world.rs
@@ -2,7 +2,7 @@
 
 use super::node::{Limiter, Node};
 use super::*;
-use lapisrudder_limits::follow::{End, Sent};
+use lapisrudder_limits::adaptive_limit::{End, Sent};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
 use std::cmp::Reverse;
@@ -105,7 +105,7 @@
             self.now = at;
             self.happens(what);
         }
-        if let Limiter::Follow(follow) = &self.nodes[0].limiter {
+        if let Limiter::AdaptiveLimit(follow) = &self.nodes[0].limiter {
             self.played.explained = follow.explain().to_string();
         }
     }
@@ -213,7 +213,7 @@
     // Nodes.
 
     fn drain(&mut self, node: usize) {
-        while let Some(at) = self.nodes[node].when_room(self.now) {
+        while let Some(at) = self.nodes[node].next_send_at(self.now) {
             if self.nodes[node].held.is_empty() {
                 return;
             }
--- a/crates/limits/tests/storm.rs
+++ b/crates/limits/tests/storm.rs
@@ -1,7 +1,7 @@
 //! A storm of connects that say nothing, in front of usual clients in the kernel's queue, on a virtual clock.
 
 use lapisrudder_limits::{
-    Accepting, Activity, Admission, ConnId, Facts, Intake, Micros, Order, Resources, Settings, Ticket,
+    Accepting, Activity, Admission, ConnId, RequestInfo, Intake, Micros, Order, Resources, Settings, Ticket,
     Verdict,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -44,7 +44,7 @@
     let settings: Settings = toml::from_str(settings).unwrap();
     let mut limits = Admission::new(settings, 5, 0).unwrap();
     let there = Resources { connections: PLACES, in_flight: 20_000, ..Resources::default() };
-    limits.resources(0, &there);
+    limits.set_resources(0, &there);
     let mut queue = BTreeSet::new();
     let mut count = 0u64;
     let mut at = |queue: &mut BTreeSet<(Micros, u64, Happens)>, when: Micros, what: Happens| {
@@ -67,7 +67,7 @@
     let mut owed: BTreeMap<ConnId, Option<Ticket>> = BTreeMap::new();
     let mut seen = Seen::default();
     let mut paused_until = 0;
-    let facts = Facts { worth: 5.0, left: 480_000, bytes: 60, ..Facts::default() };
+    let facts = RequestInfo { worth: 5.0, left: 480_000, bytes: 60, ..RequestInfo::default() };
     while let Some((now, _, what)) = queue.pop_first().filter(|(now, ..)| *now < until) {
         match what {
             Happens::Connects { usual, n } => {
@@ -87,13 +87,13 @@
             }
             Happens::Answered(conn, ticket) => {
                 limits.ended(now, ticket, true);
-                limits.state(now, conn, Activity::Idle);
+                limits.set_activity(now, conn, Activity::Idle);
                 seen.served += 1;
                 at(&mut queue, now + STAYS, Happens::Leaves(conn));
             }
             Happens::Leaves(conn) => {
                 owed.remove(&conn);
-                limits.left(now, conn);
+                limits.on_closed(now, conn);
             }
             Happens::Wake => {}
         }
@@ -113,12 +113,12 @@
                 } else {
                     format!("2001:db8:{:x}:{:x}::1", next.n >> 16, next.n & 0xffff)
                 };
-                let conn = match limits.arrived(now, address.parse().unwrap(), speaks) {
+                let conn = match limits.on_accepted(now, address.parse().unwrap(), speaks) {
                     Verdict::Keep { conn } => conn,
                     Verdict::KeepAndClose { conn, victim } => {
                         silent.remove(&victim);
                         owed.remove(&victim);
-                        limits.left(now, victim);
+                        limits.on_closed(now, victim);
                         conn
                     }
                     Verdict::Refuse { .. } => {
@@ -142,7 +142,7 @@
             if let Order::Close { conn, .. } | Order::Expire { conn } = order {
                 silent.remove(&conn);
                 owed.remove(&conn);
-                limits.left(now, conn);
+                limits.on_closed(now, conn);
             }
         }
         assert!(limits.held().0 <= PLACES);
--- a/src/cli/limits.rs
+++ b/src/cli/limits.rs
@@ -65,7 +65,7 @@
         in_flight,
         ..Resources::default()
     };
-    admission.resources(0, &resources);
+    admission.set_resources(0, &resources);
     let situation = Situation {
         connections: asked.connections,
         source_connections: asked.source_connections,
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::net;
 use lapisrudder_config::{Problems, Sources};
-use lapisrudder_io::keep_trying;
+use lapisrudder_io::retry_with_backoff;
 use std::error::Error;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 const START_PATIENCE: Duration = Duration::from_secs(10);
 
 pub fn run(sources: Sources) -> Result<ExitCode, Box<dyn Error>> {
-    let config = keep_trying(START_PATIENCE, || sources.load(), Problems::is_momentary)?;
+    let config = retry_with_backoff(START_PATIENCE, || sources.load(), Problems::is_momentary)?;
     net::serve(sources, config)?;
     Ok(ExitCode::SUCCESS)
 }
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -3,10 +3,10 @@
 use super::Socket;
 use super::deadlines::Key;
 use lapisrudder::permit::{Close, Denial};
-use lapisrudder::time_limits::HOLD_UP;
+use lapisrudder::time_limits::MAX_STALL;
 use lapisrudder::{Micros, RequestId};
 use lapisrudder_codec::memcache::{MAX_LINE, MAX_WHOLE};
-use lapisrudder_io::{Look, Read, Written};
+use lapisrudder_io::{Probe, Read, Written};
 use lapisrudder_limits::drain::State;
 use lapisrudder_limits::{Activity, ConnId};
 use std::collections::VecDeque;
@@ -32,7 +32,7 @@
 const TAKES_ON: Micros = 2_000_000;
 /// One that was closed between requests is read from for this long, to see whether the close crossed a request: longer than a
 /// hold-up, in which nothing is read.
-const PARTING: Micros = HOLD_UP + 100_000;
+const PARTING: Micros = MAX_STALL + 100_000;
 
 /// Answers up to this size are copied together, so that all of a turn go out in one write; larger ones go straight
 /// from where they were read.
@@ -181,7 +181,7 @@
     /// Looks whether something has come that no callback has told of yet.
     pub fn look(&mut self) -> bool {
         // Danger: a look that failed told of bytes that were not there, or of none.
-        self.unread |= self.socket.has_unread() != Look::No;
+        self.unread |= self.socket.has_unread() != Probe::No;
         self.unread
     }
 
@@ -202,7 +202,7 @@
     pub fn activity(&self) -> Activity {
         match self.phase {
             // It is nobody who only holds a place: its value comes in.
-            Phase::Open if self.upload.is_some() => Activity::Owed,
+            Phase::Open if self.upload.is_some() => Activity::Pending,
             Phase::Open if self.quiet() && !self.unread => {
                 if self.input.is_empty() {
                     Activity::Idle
@@ -210,8 +210,8 @@
                     Activity::Unfinished
                 }
             }
-            _ if self.lingers() => Activity::Over,
-            _ => Activity::Owed,
+            _ if self.lingers() => Activity::Closing,
+            _ => Activity::Pending,
         }
     }
 
@@ -252,15 +252,15 @@
     }
 
     /// Its peer has gone, seen past what is not read. Where that cannot be told, it is to be asked again.
-    pub fn has_left(&mut self) -> Look {
+    pub fn has_left(&mut self) -> Probe {
         let left = self.socket.is_ended();
-        self.later |= left == Look::Unknown;
+        self.later |= left == Probe::Unknown;
         left
     }
 
     /// Puts its socket on the loop, if that was not allowed before.
     pub fn ensure_watched(&mut self) {
-        self.later |= !self.socket.ensure();
+        self.later |= !self.socket.ensure_enabled();
     }
 
     /// Takes no more commands.
@@ -307,8 +307,8 @@
         match () {
             () if self.lingers() => State::Lingering,
             () if open && self.upload.is_some() => State::Unfinished,
-            () if !self.slots.is_empty() && !self.is_sending() && open && unread => State::OwedUnread,
-            () if !self.slots.is_empty() && !self.is_sending() => State::Owed,
+            () if !self.slots.is_empty() && !self.is_sending() && open && unread => State::PendingUnread,
+            () if !self.slots.is_empty() && !self.is_sending() => State::Pending,
             () if self.is_sending() => State::Sending,
             () if unread => State::Unread,
             () if !self.input.is_empty() => State::Unfinished,
@@ -353,7 +353,7 @@
             Read::End | Read::Broken(_) => return None,
             Read::Bytes(n) => {
                 // Danger: few bytes were taken for all, and the rest of a command waited for an edge that had been spent.
-                self.unread = held + n == scratch.len() || self.socket.has_unread() != Look::No;
+                self.unread = held + n == scratch.len() || self.socket.has_unread() != Probe::No;
                 self.since_arrival = Micros::MIN;
                 n
             }
@@ -368,7 +368,7 @@
         };
         if self.unread {
             // Guards one that sends without end, whose first bytes came long ago: what is left came since, or in a hold-up.
-            self.came_after = self.came_after.map(|after| after.max(now - HOLD_UP));
+            self.came_after = self.came_after.map(|after| after.max(now - MAX_STALL));
         } else {
             (self.came_after, self.emptied) = (None, now);
         }
--- a/src/net/fleet/look.rs
+++ b/src/net/fleet/look.rs
@@ -1,7 +1,7 @@
 //! Where operators look inside: one line comes in on a connection; `members` gets one line of JSON, `watch` the same and
 //! then a line a change for as long as the caller stays.
 
-use super::super::callers::{Arrival, Callers};
+use super::super::control_listener::{AcceptOutcome, ControlListener};
 use super::super::{Handle, Owner, Socket};
 use lapisrudder_io::{Read, Written};
 use std::collections::{BTreeMap, VecDeque};
@@ -28,7 +28,7 @@
 
 /// The listener and who looks.
 pub struct Look {
-    door: Callers,
+    door: ControlListener,
     callers: BTreeMap<u64, Caller>,
     /// Callers whose line is whole.
     whole: Vec<(u64, String)>,
@@ -36,7 +36,7 @@
 
 impl Look {
     pub fn new(at: SocketAddr, handle: &Handle) -> io::Result<Look> {
-        let door = Callers::new(at, Owner::Look, handle)?;
+        let door = ControlListener::new(at, Owner::FleetView, handle)?;
         Ok(Look { door, callers: BTreeMap::new(), whole: Vec::new() })
     }
 
@@ -47,21 +47,21 @@
 
     /// Comes back to what failed for a moment.
     pub fn retry(&mut self) {
-        self.door.behind().into_iter().for_each(|id| self.on_ready(id));
+        self.door.take_retries().into_iter().for_each(|id| self.on_ready(id));
     }
 
     /// What the loop would have told of any caller may have been lost.
     pub fn look_at_all(&mut self) {
-        self.callers.keys().for_each(|id| self.door.come_back_to(*id));
+        self.callers.keys().for_each(|id| self.door.schedule_retry(*id));
     }
 
     /// Takes those who have come.
     pub fn accept(&mut self) {
         for _ in 0..CALLERS {
-            let (id, socket) = match self.door.accept(Owner::Looker) {
-                Arrival::Came(id, socket) => (id, socket),
-                Arrival::Missed => continue,
-                Arrival::Nobody => return,
+            let (id, socket) = match self.door.accept(Owner::FleetViewClient) {
+                AcceptOutcome::Connection(id, socket) => (id, socket),
+                AcceptOutcome::Failed => continue,
+                AcceptOutcome::Empty => return,
             };
             let (input, output) = (Vec::new(), VecDeque::new());
             self.callers.insert(id, Caller { socket, input, output, answered: false, watches: false });
@@ -75,15 +75,15 @@
     /// A caller has something to say, or takes more, or has gone.
     pub fn on_ready(&mut self, id: u64) {
         let Some(caller) = self.callers.get_mut(&id) else { return };
-        if !caller.socket.ensure() {
-            self.door.come_back_to(id);
+        if !caller.socket.ensure_enabled() {
+            self.door.schedule_retry(id);
         }
         let mut buffer = [0; MOST_CALL];
         let gone = loop {
             match caller.socket.read(&mut buffer) {
                 Read::NotReady => break false,
                 Read::Later(_) => {
-                    self.door.come_back_to(id);
+                    self.door.schedule_retry(id);
                     break false;
                 }
                 Read::End | Read::Broken(_) => break true,
@@ -137,7 +137,7 @@
                 Written::Full => break caller.output.len() > MOST_WAITING,
                 Written::Bytes(n) => drop(caller.output.drain(..n)),
                 Written::Later(_) => {
-                    self.door.come_back_to(id);
+                    self.door.schedule_retry(id);
                     break false;
                 }
                 Written::Broken(_) => break true,
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -6,7 +6,7 @@
 use super::{Handle, Owner, Ready};
 use lapisrudder::Micros;
 use lapisrudder_config::Fleet as Section;
-use lapisrudder_host::Watched;
+use lapisrudder_host::RegisteredSource;
 use lapisrudder_io::{Datagrams, Received};
 use lapisrudder_membership::{
     Census, Change, Config, Counts, Envelope, Inherited, MOST_DATAGRAM, Membership, Output, State, View,
@@ -95,7 +95,7 @@
 /// The node's place in its fleet.
 pub struct Fleet {
     section: Section,
-    socket: Watched<Ready, Datagrams>,
+    socket: RegisteredSource<Ready, Datagrams>,
     envelope: Envelope,
     core: Membership,
     census: Census,
@@ -123,8 +123,8 @@
             Some((inherited, socket)) => (Some(inherited), Datagrams::adopt(socket)),
             None => (None, Datagrams::bind(section.listen)),
         };
-        let mut socket = Watched::level(socket.map_err(listen)?, handle, Owner::Fleet);
-        socket.ensure();
+        let mut socket = RegisteredSource::level(socket.map_err(listen)?, handle, Owner::Fleet);
+        socket.ensure_enabled();
         let look = section
             .look
             .map(|at| Look::new(at, handle).map_err(|source| Error::Look { at, source }))
@@ -232,12 +232,12 @@
 
     /// Something is to be come back to by [`Fleet::retry`].
     pub fn is_behind(&self) -> bool {
-        !self.socket.is_telling() || self.look.as_ref().is_some_and(Look::is_behind)
+        !self.socket.is_enabled() || self.look.as_ref().is_some_and(Look::is_behind)
     }
 
     /// Comes back to what failed for a moment.
     pub fn retry(&mut self) {
-        self.socket.ensure();
+        self.socket.ensure_enabled();
         self.look.iter_mut().for_each(Look::retry);
     }
 
--- a/src/net/management.rs
+++ b/src/net/management.rs
@@ -1,6 +1,6 @@
 //! The operators' address: one line comes in on a connection, one goes out. What a call does is the node's matter.
 
-use super::callers::{Arrival, Callers};
+use super::control_listener::{AcceptOutcome, ControlListener};
 use super::deadlines::{Deadline, Deadlines};
 use super::{Handle, Owner, Socket};
 use lapisrudder::Micros;
@@ -36,7 +36,7 @@
 
 /// The listener and who has called.
 pub struct Management {
-    door: Callers,
+    door: ControlListener,
     /// By number: the first has been here for longest.
     callers: BTreeMap<u64, Caller>,
     /// Callers whose line is whole, or is none, and since when that can have come.
@@ -56,7 +56,7 @@
 
 impl Management {
     pub fn new(at: SocketAddr, handle: &Handle, now: Micros) -> io::Result<Management> {
-        let door = Callers::new(at, Owner::Management, handle)?;
+        let door = ControlListener::new(at, Owner::Management, handle)?;
         let (callers, whole) = (BTreeMap::new(), Vec::new());
         Ok(Management { door, callers, whole, looked: now, waiting_since: None })
     }
@@ -77,24 +77,24 @@
 
     /// Comes back to what failed for a moment.
     pub fn retry(&mut self) {
-        self.door.behind().into_iter().for_each(|id| self.on_ready(id));
+        self.door.take_retries().into_iter().for_each(|id| self.on_ready(id));
     }
 
     /// What the loop would have told of any caller may have been lost.
     pub fn look_at_all(&mut self) {
-        self.callers.keys().for_each(|id| self.door.come_back_to(*id));
+        self.callers.keys().for_each(|id| self.door.schedule_retry(*id));
     }
 
     /// Takes those who have come.
     pub fn accept(&mut self, now: Micros, deadlines: &mut Deadlines) {
         for _ in 0..A_TURN {
-            let (id, socket) = match self.door.accept(Owner::Caller) {
-                Arrival::Came(id, socket) => (id, socket),
-                Arrival::Missed => {
+            let (id, socket) = match self.door.accept(Owner::ManagementClient) {
+                AcceptOutcome::Connection(id, socket) => (id, socket),
+                AcceptOutcome::Failed => {
                     self.waiting_since.get_or_insert(self.looked);
                     continue;
                 }
-                Arrival::Nobody => {
+                AcceptOutcome::Empty => {
                     self.waiting_since = None;
                     return;
                 }
@@ -120,8 +120,8 @@
         let mut whole = self.is_whole(id);
         let Some(caller) = self.callers.get_mut(&id) else { return };
         let came_after = *caller.came_after.get_or_insert(self.looked);
-        if !caller.socket.ensure() {
-            self.door.come_back_to(id);
+        if !caller.socket.ensure_enabled() {
+            self.door.schedule_retry(id);
         }
         let mut buffer = [0; MAX_CALL];
         for _ in 0..A_TURN {
@@ -131,7 +131,7 @@
                     return self.flush(id);
                 }
                 Read::Later(_) => {
-                    self.door.come_back_to(id);
+                    self.door.schedule_retry(id);
                     return self.flush(id);
                 }
                 Read::End if caller.answered && !caller.output.is_empty() => return self.flush(id),
@@ -155,7 +155,7 @@
         if caller.answered {
             self.callers.remove(&id);
         } else {
-            self.door.come_back_to(id);
+            self.door.schedule_retry(id);
         }
     }
 
@@ -167,7 +167,7 @@
                 // Danger: a short write cut the line.
                 Written::Bytes(n) => drop(caller.output.drain(..n)),
                 Written::Full => return,
-                Written::Later(_) => return self.door.come_back_to(id),
+                Written::Later(_) => return self.door.schedule_retry(id),
                 Written::Broken(_) => return drop(self.callers.remove(&id)),
             }
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,6 +1,6 @@
 //! The node on real sockets: one thread, one loop.
 
-mod callers;
+mod control_listener;
 mod classes;
 mod client;
 mod deadlines;
@@ -15,8 +15,8 @@
 use calloop::{EventLoop, LoopHandle};
 use lapisrudder_config::{self as config, Config, Platform, Sources};
 use lapisrudder_engine::Conn;
-use lapisrudder_host::Noted;
-use lapisrudder_io::{Operation, is_momentary, keep_trying};
+use lapisrudder_host::ReadinessHandler;
+use lapisrudder_io::{Operation, is_momentary, retry_with_backoff};
 use lapisrudder_log::{self as log, Log};
 use node::{Node, START_PATIENCE};
 use std::io;
@@ -66,7 +66,7 @@
     signals: Vec<Signal>,
 }
 
-impl Noted for Ready {
+impl ReadinessHandler for Ready {
     type Owner = Owner;
 
     fn ready(&mut self, owner: Owner) {
@@ -105,9 +105,9 @@
 /// Runs the node until it is told to stop and has answered all that it took. On SIGHUP the sources are read again.
 pub fn serve(sources: Sources, config: Config) -> Result<(), Error> {
     let mut events: EventLoop<Ready> =
-        keep_trying(START_PATIENCE, EventLoop::try_new, may_pass).map_err(Error::Start)?;
+        retry_with_backoff(START_PATIENCE, EventLoop::try_new, may_pass).map_err(Error::Start)?;
     let told = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP];
-    let signals = keep_trying(START_PATIENCE, || Signals::new(&told), may_pass).map_err(Error::Signals)?;
+    let signals = retry_with_backoff(START_PATIENCE, || Signals::new(&told), may_pass).map_err(Error::Signals)?;
     // Danger: threads begun before the signals are blocked would take them, and SIGTERM would kill the node.
     let log = Log::start(log_settings(&config.operators.log), io::stderr())?;
     watch_signals(&events.handle(), signals)?;
@@ -154,7 +154,7 @@
             failed.error
         })
     };
-    keep_trying(START_PATIENCE, insert, may_pass).map_err(Error::Signals)
+    retry_with_backoff(START_PATIENCE, insert, may_pass).map_err(Error::Signals)
 }
 
 /// A failure of the loop at the start that the next try may not meet.
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -22,9 +22,9 @@
 use lapisrudder_config::{Config, Platform, Target};
 use lapisrudder_engine::recorder::EndReason;
 use lapisrudder_engine::{Engine, Final, Limits, Member, Order};
-use lapisrudder_host::{Attention, Clock, Discovery, Members, News};
-use lapisrudder_io::{FailedCalls, Operation, is_momentary, keep_trying, read_text, write_line};
-use lapisrudder_limits::{Admission, Resources, Used};
+use lapisrudder_host::{PollTracker, Clock, Discovery, Members, DiscoveryUpdate};
+use lapisrudder_io::{FailedCalls, Operation, is_momentary, retry_with_backoff, read_text, write_line};
+use lapisrudder_limits::{Admission, Resources, Usage};
 use lapisrudder_takeover::{DrainCall, Lender};
 use replacing::{list_of, of_gone};
 use report::Told;
@@ -103,7 +103,7 @@
     name: String,
     clock: Clock,
     /// When what the sockets have brought can have come.
-    attention: Attention,
+    attention: PollTracker,
     /// What was told of violations.
     told: Told,
     /// Failed calls that were told.
@@ -154,7 +154,7 @@
         let settings = config.options.on_sockets();
         let bounds = &config.options.bounds;
         let manage = |at| {
-            let listens = keep_trying(START_PATIENCE, || Management::new(at, handle, now), may_pass);
+            let listens = retry_with_backoff(START_PATIENCE, || Management::new(at, handle, now), may_pass);
             listens.map_err(|source| super::Error::Management { at, source })
         };
         let management = config.management.map(manage).transpose()?;
@@ -181,13 +181,13 @@
         };
         let may_listen =
             |e: &super::Error| matches!(e, super::Error::Listen { source, .. } if may_pass(source));
-        let server = keep_trying(START_PATIENCE, listen, may_listen)?;
+        let server = retry_with_backoff(START_PATIENCE, listen, may_listen)?;
         let fleet_section = operators.fleet;
         // A process before this one hands its place among the others over when clients go to this one.
         let alone = fleet_section.clone().filter(|_| predecessor.is_none());
         let begin = |section: lapisrudder_config::Fleet| {
             let fleet = || Fleet::new(section.clone(), &config.name, None, handle, now);
-            keep_trying(START_PATIENCE, fleet, |e| e.source_io().is_some_and(may_pass))
+            retry_with_backoff(START_PATIENCE, fleet, |e| e.source_io().is_some_and(may_pass))
         };
         let fleet = alone.map(begin);
         // The list of the process before is newer than what the platform remembers.
@@ -207,7 +207,7 @@
             own,
             all_descriptors: config.sockets,
             clock,
-            attention: Attention::new(now),
+            attention: PollTracker::new(now),
             told: Told::default(),
             failed_calls_told: FailedCalls::default(),
             scratch: vec![0; SCRATCH],
@@ -270,7 +270,7 @@
     /// The loop has waited, and found something or not. What it found came after the time that this gives.
     pub fn end_wait(&mut self, found: bool) -> Micros {
         let look = self.attention.end(self.clock.now(), found);
-        if let Some(held_up) = look.held_up {
+        if let Some(held_up) = look.stalled_for {
             info!(ms = held_up / 1000, open = self.engine.open(), "held up");
         }
         look.came_after
@@ -306,11 +306,11 @@
                 let (management, deadlines) = (self.management.iter_mut(), &mut self.deadlines);
                 management.for_each(|m| m.accept(now, deadlines));
             }
-            Owner::Caller(id) => self.management.iter_mut().for_each(|m| m.on_ready(id)),
+            Owner::ManagementClient(id) => self.management.iter_mut().for_each(|m| m.on_ready(id)),
             Owner::Fleet => self.fleet.iter_mut().for_each(|f| f.on_ready(now)),
-            Owner::Look => self.fleet.iter_mut().for_each(Fleet::on_look),
-            Owner::Looker(id) => self.fleet.iter_mut().for_each(|f| f.on_looker(id)),
-            Owner::Door => self.somebody_knocks(),
+            Owner::FleetView => self.fleet.iter_mut().for_each(Fleet::on_look),
+            Owner::FleetViewClient(id) => self.fleet.iter_mut().for_each(|f| f.on_looker(id)),
+            Owner::TakeoverListener => self.somebody_knocks(),
             Owner::Successor => self.hear_successor(now),
             Owner::Predecessor => self.hear_predecessor(now),
             Owner::Discovery => {
@@ -358,10 +358,10 @@
     // ---- What happens goes to the engine --------------------------------------------------------------
 
     fn discovery_news(&mut self) {
-        while let Some(news) = self.discovery.poll_news() {
+        while let Some(news) = self.discovery.poll_update() {
             match news {
-                News::List { scope, targets } => self.listed(scope, targets),
-                News::Failed => self.engine.list_failed(),
+                DiscoveryUpdate::List { scope, targets } => self.listed(scope, targets),
+                DiscoveryUpdate::Failed => self.engine.list_failed(),
             }
         }
     }
@@ -431,16 +431,16 @@
             },
             clients_room: (self.all_descriptors / CLIENTS_SHARE).saturating_sub(self.clients_elsewhere),
             in_flight: self.most_held,
-            aim: self.shortest_aim,
+            latency_target: self.shortest_aim,
             buffer_bytes: self.most_bytes,
             // What clients may hold leaves the others theirs; EMFILE tells if something else took them.
-            descriptors: Used::default(),
-            memory: Used { used: self.resident.1, limit: self.memory },
+            descriptors: Usage::default(),
+            memory: Usage { used: self.resident.1, limit: self.memory },
             // As if all went to the busiest member: no fewer are used than are told.
-            ports: Used { used: self.engine.connections() as u64, limit: self.ports },
+            ports: Usage { used: self.engine.connections() as u64, limit: self.ports },
         };
         self.server.resources(now, &resources);
-        if let Some(own) = self.members.took_shortage() {
+        if let Some(own) = self.members.take_descriptor_shortage() {
             self.server.short(own, now);
         }
         self.server.keep_limits(now, &mut self.deadlines);
@@ -507,9 +507,9 @@
     fn carry_out(&mut self, order: Order, now: Micros) {
         match order {
             Order::Connect { conn, to } => self.members.connect(conn, to, &mut self.engine, now),
-            Order::Write { conn, look } => {
+            Order::Write { conn, probe } => {
                 let Node { members, engine, requests, .. } = self;
-                members.write(conn, look, engine, |id| requests.is_open(id), now);
+                members.write(conn, probe, engine, |id| requests.is_open(id), now);
             }
             Order::Close { conn } => self.members.close(conn),
             Order::Answer { transaction, answer } => match answer {
--- a/src/net/node/come_back.rs
+++ b/src/net/node/come_back.rs
@@ -6,7 +6,7 @@
 use crate::net::management::Management;
 use crate::net::requests::Front;
 use crate::net::takeover::{Door, Link};
-use lapisrudder_host::COME_BACK;
+use lapisrudder_host::RETRY_INTERVAL;
 use std::time::Duration;
 
 impl Node {
@@ -14,8 +14,8 @@
     pub(super) fn is_behind(&self) -> bool {
         let links = [&self.predecessor, &self.knocking];
         let link = links.into_iter().flatten().chain(self.successor.as_ref().map(|s| &s.link));
-        self.members.is_behind()
-            || self.discovery.is_behind()
+        self.members.needs_retry()
+            || self.discovery.needs_retry()
             || self.management.as_ref().is_some_and(Management::is_behind)
             || self.fleet.as_ref().is_some_and(Fleet::is_behind)
             || self.door.as_ref().is_some_and(|door| !door.is_telling())
@@ -45,15 +45,15 @@
     /// The loop has failed, and may have lost what it had to tell: edges come once. All is looked at.
     pub fn look_at_all(&mut self) {
         self.server.look_at_all();
-        self.members.look_at_all();
-        self.discovery.look_again();
+        self.members.recheck_all();
+        self.discovery.recheck();
         self.management.iter_mut().for_each(Management::look_at_all);
         self.fleet.iter_mut().for_each(Fleet::look_at_all);
         let links = [&mut self.predecessor, &mut self.knocking];
         links.into_iter().flatten().for_each(Link::look_again);
         self.successor.iter_mut().for_each(|s| s.link.look_again());
         // Danger: while the loop only fails, it tells of nobody who comes.
-        for owner in [Owner::Listener, Owner::Management, Owner::Door, Owner::Fleet, Owner::Look] {
+        for owner in [Owner::Listener, Owner::Management, Owner::TakeoverListener, Owner::Fleet, Owner::FleetView] {
             self.ready(owner);
         }
     }
@@ -62,7 +62,7 @@
         if !self.server.resumed.is_empty() {
             return Some(Duration::ZERO);
         }
-        let behind = self.is_behind().then_some(COME_BACK);
+        let behind = self.is_behind().then_some(RETRY_INTERVAL);
         let comes_back = behind.into_iter().chain(self.server.comes_back_in()).min();
         let next = self.until_next_deadline();
         let comes_back = comes_back.map(|wait| Duration::from_micros(wait.max(0) as u64));
--- a/src/net/node/intake.rs
+++ b/src/net/node/intake.rs
@@ -8,8 +8,8 @@
 use lapisrudder::{Micros, RequestId};
 use lapisrudder_codec::memcache::{MAX_WHOLE, OwnedRequest};
 use lapisrudder_engine::recorder::EndReason;
-use lapisrudder_engine::{LONGEST_HELD, Request, TakeError};
-use lapisrudder_limits::{Facts, Intake};
+use lapisrudder_engine::{MAX_TRANSACTION_TIME, Request, TakeError};
+use lapisrudder_limits::{RequestInfo, Intake};
 use tracing::debug;
 
 impl Node {
@@ -50,11 +50,11 @@
         let Some(wait) = request.wait_ms() else {
             return self.server.reject(client, id, "bad time to wait", now);
         };
-        if self.engine.is_named(request.id) {
+        if self.engine.is_id_in_use(request.id) {
             return self.server.reject(client, id, TakeError::IdInUse, now);
         }
         // Danger: a time that counted from when a request was read was over before its answer came.
-        let time = RequestTime::new(came_after, (wait as Micros).saturating_mul(1000).clamp(0, LONGEST_HELD));
+        let time = RequestTime::new(came_after, (wait as Micros).saturating_mul(1000).clamp(0, MAX_TRANSACTION_TIME));
         let due = time.answer_by.max(now);
         debug!(
             request = %String::from_utf8_lossy(request.id),
@@ -67,7 +67,7 @@
         );
         // Large values have a budget of their own.
         let bytes = command.bytes().min(MAX_WHOLE);
-        let facts = Facts { worth, left: due - now, bytes, class, recallable };
+        let facts = RequestInfo { worth, left: due - now, bytes, class, recallable };
         let ticket = match self.server.intake(client, &facts, now) {
             Intake::Take { ticket } => ticket,
             Intake::Refuse { retry_ms, .. } => {
