--- a/src/net/node/replacing.rs
+++ b/src/net/node/replacing.rs
@@ -24,7 +24,7 @@
     /// Holds so many descriptors from now on; the rest are another process's.
     pub(super) fn hold_to(&mut self, descriptors: usize, now: Micros) {
         self.sockets = descriptors.saturating_sub(self.own);
-        self.engine.hold_connections(self.sockets / 2, now);
+        self.engine.limit_connections(self.sockets / 2, now);
     }
 
     pub(super) fn open_door(&mut self) {
@@ -169,8 +169,8 @@
             bans: maintenance.bans().map(|(id, ban)| of_ban(id, ban)).collect(),
             discovery: self.discovery.address().to_string(),
             revision: self.discovery.revision(),
-            members: maintenance.told().map(|(listed, at)| of_member(listed, *at)).collect(),
-            gone: maintenance.gone().take(GONE).map(|(id, since)| talk::Gone { id: id.0, since }).collect(),
+            members: maintenance.known_servers().map(|(listed, at)| of_member(listed, *at)).collect(),
+            gone: maintenance.unlisted_servers().take(GONE).map(|(id, since)| talk::Gone { id: id.0, since }).collect(),
             grant: lender.grant(self.server.count()),
         };
         link.say(&Message::State(state), Some(listener));
@@ -213,7 +213,7 @@
         successor.clients = clients + room;
         // Until the other serves, this process goes on with as many connections to members as it has.
         let members = if successor.ready { 0 } else { self.engine.connections() + room };
-        self.engine.hold_connections(members, now);
+        self.engine.limit_connections(members, now);
         if let Some(grant) = successor.lender.holds(held, clients) {
             successor.link.say(&Message::Grant(grant), None);
         }
--- a/src/net/node/report.rs
+++ b/src/net/node/report.rs
@@ -50,7 +50,7 @@
     pub(super) fn tell_state(&self, moment: &str) {
         let mut requests = RequestStates::default();
         for (id, open) in self.requests.iter() {
-            let attempts = self.engine.attempts_out(*id);
+            let attempts = self.engine.open_attempts(*id);
             let count = match () {
                 () if open.streams => &mut requests.streaming,
                 () if attempts.is_empty() => &mut requests.without_attempt,
@@ -79,7 +79,7 @@
             let name = String::from_utf8_lossy(command.id);
             let _ = write!(text, " id={name} class={class} left_ms={}", (request.due - now) / 1000);
         }
-        for attempt in self.engine.attempts_out(id) {
+        for attempt in self.engine.open_attempts(id) {
             let state = if attempt.sent { "sent" } else { "unsent" };
             match attempt.endpoint {
                 Some(at) => _ = write!(text, " {state}@{at}"),
--- a/src/net/takeover.rs
+++ b/src/net/takeover.rs
@@ -2,8 +2,8 @@
 //! said is [`lapisrudder_takeover`]'s matter; what follows from it, the node's.
 
 use super::{Handle, Owner, Ready};
-use lapisrudder_host::Watched;
-use lapisrudder_io::{Knock, Listener, LocalListener, LocalStream, Message as Heard, Sent, Sibling, knock};
+use lapisrudder_host::RegisteredSource;
+use lapisrudder_io::{PeerProbe, Listener, LocalListener, LocalStream, Message as Heard, Sent, LocalAccepted, probe_peer};
 use lapisrudder_takeover::{BadFrame, Message, State, decode, encode};
 use std::collections::VecDeque;
 use std::io;
@@ -54,7 +54,7 @@
 
 /// One end of the talk.
 pub struct Link {
-    stream: Watched<Ready, LocalStream>,
+    stream: RegisteredSource<Ready, LocalStream>,
     outgoing: VecDeque<Outgoing>,
     input: Vec<u8>,
     /// Sockets that came along, in order.
@@ -73,13 +73,13 @@
 impl Link {
     fn new(stream: LocalStream, handle: &Handle, owner: Owner) -> Link {
         let (outgoing, input, came) = (VecDeque::new(), Vec::new(), VecDeque::new());
-        let stream = Watched::edge(stream, handle, owner);
+        let stream = RegisteredSource::edge(stream, handle, owner);
         Link { stream, outgoing, input, came, again: false }
     }
 
     /// Puts it on the loop.
     fn watch(&mut self) -> io::Result<()> {
-        self.stream.never_block()?;
+        self.stream.set_nonblocking()?;
         self.again = true;
         Ok(())
     }
@@ -162,7 +162,7 @@
     pub fn hear(&mut self) -> (Vec<(Message, Option<OwnedFd>)>, Option<Error>) {
         let mut heard = Vec::new();
         let mut over = None;
-        self.again = !self.stream.ensure();
+        self.again = !self.stream.ensure_enabled();
         loop {
             let more = self.read();
             loop {
@@ -197,8 +197,8 @@
 /// Asks the process that serves at present for what it has. `None` where there is none; gives what it said, the
 /// clients' listener, and the talk, which goes on.
 pub fn ask(place: &Path, name: &str, handle: &Handle) -> Result<Option<(State, Listener, Link)>, Error> {
-    let Knock::Somebody(stream) = knock(place, ASKS_FOR)? else { return Ok(None) };
-    stream.block_for(ANSWERS_IN)?;
+    let PeerProbe::Listening(stream) = probe_peer(place, ASKS_FOR)? else { return Ok(None) };
+    stream.set_io_timeout(ANSWERS_IN)?;
     let mut link = Link::new(stream, handle, Owner::Predecessor);
     link.say(&Message::Hello { name: name.into() }, None);
     let until = Instant::now() + ANSWERS_IN;
@@ -219,7 +219,7 @@
 
 /// Where the next process of this node can ask.
 pub struct Door {
-    listener: Watched<Ready, LocalListener>,
+    listener: RegisteredSource<Ready, LocalListener>,
 }
 
 impl Door {
@@ -227,24 +227,24 @@
     pub fn open(place: &Path, handle: &Handle) -> io::Result<Door> {
         let beside = place.with_extension(std::process::id().to_string());
         let listener = LocalListener::bind(place, &beside)?;
-        let mut listener = Watched::level(listener, handle, Owner::Door);
-        listener.ensure();
+        let mut listener = RegisteredSource::level(listener, handle, Owner::TakeoverListener);
+        listener.ensure_enabled();
         Ok(Door { listener })
     }
 
     /// The loop tells of it.
     pub fn is_telling(&self) -> bool {
-        self.listener.is_telling()
+        self.listener.is_enabled()
     }
 
     /// Has the loop tell of it, if that can be by now.
     pub fn ensure(&mut self) {
-        self.listener.ensure();
+        self.listener.ensure_enabled();
     }
 
     /// Whoever has come. Who cannot be taken for now waits; the loop tells again.
     pub fn accept(&self, handle: &Handle) -> Option<Link> {
-        let Sibling::Came(stream) = self.listener.accept() else { return None };
+        let LocalAccepted::Connection(stream) = self.listener.accept() else { return None };
         let mut link = Link::new(stream, handle, Owner::Successor);
         match link.watch() {
             Ok(()) => Some(link),
--- a/src/net/virtual_server.rs
+++ b/src/net/virtual_server.rs
@@ -11,12 +11,12 @@
 use lapisrudder::permit::{Close, Denial, Violations};
 use lapisrudder::{Micros, RequestId};
 use lapisrudder_codec::memcache::{self, Command, OwnedRequest};
-use lapisrudder_host::{COME_BACK, Watched};
-use lapisrudder_io::{Listener, Look, Shortage as Failures};
+use lapisrudder_host::{RETRY_INTERVAL, RegisteredSource};
+use lapisrudder_io::{Listener, Probe, Shortage as Failures};
 use lapisrudder_limits::budget::Budget;
 use lapisrudder_limits::drain::Drain;
 use lapisrudder_limits::{
-    Admission, ConnId, EventKind, Facts, Intake, Order, Resources, SettingsError, Ticket,
+    Admission, ConnId, EventKind, RequestInfo, Intake, Order, Resources, SettingsError, Ticket,
 };
 use rustc_hash::FxHashMap;
 use states::ConnectionStates;
@@ -92,7 +92,7 @@
     /// Who they are in the books.
     names: FxHashMap<ConnId, u64>,
     admission: Admission,
-    listener: Option<Watched<Ready, Listener>>,
+    listener: Option<RegisteredSource<Ready, Listener>>,
     /// New connections are this process's.
     accepting: bool,
     /// Failures of `accept` in a row.
@@ -162,7 +162,7 @@
             Some(listener) => listener,
             None => Listener::bind(at, BACKLOG, true)?,
         };
-        let listener = Watched::level(listener, handle, Owner::Listener);
+        let listener = RegisteredSource::level(listener, handle, Owner::Listener);
         let mut server = VirtualServer {
             clients: FxHashMap::default(),
             names: FxHashMap::default(),
@@ -210,7 +210,7 @@
 
     /// Room that was set aside is free again.
     fn free(&mut self, bytes: usize) {
-        let next = self.uploads.free(bytes);
+        let next = self.uploads.release(bytes);
         self.admit(next);
     }
 
@@ -296,8 +296,8 @@
         if !self.touched.is_empty() {
             return Some(0);
         }
-        let unwatched = self.wants_connections() && self.listener.as_ref().is_some_and(|l| !l.is_telling());
-        (unwatched || !self.later.is_empty()).then_some(COME_BACK)
+        let unwatched = self.wants_connections() && self.listener.as_ref().is_some_and(|l| !l.is_enabled());
+        (unwatched || !self.later.is_empty()).then_some(RETRY_INTERVAL)
     }
 
     /// The loop has failed: what it would have told of any client may have been lost.
@@ -317,7 +317,7 @@
 
     /// What the node can bear now.
     pub fn resources(&mut self, now: Micros, resources: &Resources) {
-        self.admission.resources(now, resources);
+        self.admission.set_resources(now, resources);
     }
 
     /// When the limits want to be asked again, or a client is to be looked at.
@@ -345,7 +345,7 @@
                     if linger {
                         self.part(id, now, deadlines);
                     } else if !self.close_idle(id, now, deadlines) {
-                        self.admission.spoke(now, conn);
+                        self.admission.on_close_aborted(now, conn);
                     }
                 }
                 Order::Expire { conn } => {
@@ -387,7 +387,7 @@
 
     /// The node is stopping: its clients have only the connections that stay open.
     pub fn stopping(&mut self) {
-        self.admission.stopping();
+        self.admission.set_stopping();
     }
 
     /// Closes a connection, unless something has come on it meanwhile: that is seen to first.
@@ -406,7 +406,7 @@
         let Some(client) = self.clients.get_mut(&id) else { return };
         if let Err(denial) = client.permit_close() {
             debug!(client = id, %denial, "stays open");
-            self.admission.spoke(now, client.conn);
+            self.admission.on_close_aborted(now, client.conn);
             self.touched.push(id);
         } else if client.part(now).is_err() {
             self.remove(id, Closed::PeerEnded, now, deadlines);
@@ -418,11 +418,11 @@
     fn remove(&mut self, id: u64, why: Closed, now: Micros, deadlines: &mut Deadlines) {
         let Some(mut client) = self.clients.remove(&id) else { return };
         if why == Closed::ForRoom && !client.lingers() {
-            self.violations.note(Close { owed: !client.quiet(), unread: false }.check());
+            self.violations.record(Close { owed: !client.quiet(), unread: false }.check());
         }
         self.unread -= client.counted;
         self.names.remove(&client.conn);
-        self.admission.left(now, client.conn);
+        self.admission.on_closed(now, client.conn);
         deadlines.remove(client.deadline.take());
         let left = client.slots.iter().filter_map(|s| match s {
             Slot::Waiting(request) | Slot::Stream { request, over: false, .. } if request.0 != READY => {
@@ -437,7 +437,7 @@
         match client.upload {
             Some(upload) if upload.admitted => self.free(upload.needs()),
             Some(_) => {
-                let next = self.uploads.leave(id);
+                let next = self.uploads.cancel(id);
                 self.admit(next);
             }
             None => {}
@@ -446,7 +446,7 @@
     }
 
     /// Whether a command is taken in as a transaction.
-    pub fn intake(&mut self, id: u64, facts: &Facts, now: Micros) -> Intake {
+    pub fn intake(&mut self, id: u64, facts: &RequestInfo, now: Micros) -> Intake {
         let conn = self.clients.get(&id).map_or(ConnId(u64::MAX), |c| c.conn);
         self.admission.request(now, conn, facts)
     }
@@ -484,7 +484,7 @@
                 Drained::Ended => State::Over(Closed::PeerEnded),
                 Drained::Crossed => {
                     debug!(client = id, "a request crossed the close");
-                    self.admission.crossed(now, client.conn);
+                    self.admission.on_request_crossed(now, client.conn);
                     State::Open
                 }
             },
@@ -510,7 +510,7 @@
         if blind && !std::mem::replace(&mut client.listed, true) {
             self.blind.push_back((now + LOOK_AGAIN, id));
         }
-        self.admission.state(now, client.conn, client.activity());
+        self.admission.set_activity(now, client.conn, client.activity());
         self.watch(id, deadlines);
     }
 
@@ -533,7 +533,7 @@
                 let drained = client.is_past_drain(now);
                 if drained && !client.lingers() {
                     warn!(about = %format_args!("connection {id}"), state = %client.describe(now), "held past a drain");
-                    self.violations.note(Err(Denial::HeldPastDrain));
+                    self.violations.record(Err(Denial::OpenAfterDrain));
                 }
                 self.remove(id, if drained { Closed::DrainOver } else { Closed::Stalled }, now, deadlines);
             }
@@ -546,14 +546,14 @@
         // Danger: what had been taken was sent on long after its client had left, since nothing was read that told of it.
         if client.is_blind() {
             client.forget_arrival();
-            return if client.has_left() == Look::Yes { State::Over(Closed::PeerEnded) } else { State::Open };
+            return if client.has_left() == Probe::Yes { State::Over(Closed::PeerEnded) } else { State::Open };
         }
         // Danger: it left while its connection waited to be accepted, or the node stood still, and what it had asked was sent on.
         let waited = client.is_fresh() || now - self.turned > STOOD_STILL;
-        match if waited { client.has_left() } else { Look::No } {
-            Look::No => {}
-            Look::Yes => return State::Over(Closed::PeerEnded),
-            Look::Unknown => return State::Open,
+        match if waited { client.has_left() } else { Probe::No } {
+            Probe::No => {}
+            Probe::Yes => return State::Over(Closed::PeerEnded),
+            Probe::Unknown => return State::Open,
         }
         // How long the first bytes of a large value have been here says nothing of its last.
         let large = client.upload.is_some();
@@ -631,7 +631,7 @@
         let rest = &buffer[taken..];
         if let Some(total) = memcache::large_command(rest).filter(|_| client.room()) {
             let mut upload = Upload { bytes: rest.to_vec(), total, admitted: false };
-            upload.admitted = self.uploads.ask(id, upload.needs());
+            upload.admitted = self.uploads.acquire(id, upload.needs());
             client.upload = Some(upload);
             client.unread = true;
             client.keep(&[]);
@@ -677,7 +677,7 @@
             if client.later {
                 self.later.push(id);
             }
-            self.admission.state(now, client.conn, client.activity());
+            self.admission.set_activity(now, client.conn, client.activity());
             self.watch(id, deadlines);
         }
     }
--- a/src/net/virtual_server/accepting.rs
+++ b/src/net/virtual_server/accepting.rs
@@ -5,8 +5,8 @@
 use crate::net::deadlines::{Deadline, Deadlines};
 use crate::net::{Owner, Socket};
 use lapisrudder::Micros;
-use lapisrudder::time_limits::HOLD_UP;
-use lapisrudder_io::{Accepted, Lack, Listener, Next, Read, Stream, Written, count_of, open_file};
+use lapisrudder::time_limits::MAX_STALL;
+use lapisrudder_io::{Accepted, Scarce, Listener, Next, Read, Stream, Written, usage_of, open_file};
 use lapisrudder_limits::{Accepting, Shortage, Verdict};
 use std::io::{self, IoSlice};
 use std::net::SocketAddr;
@@ -36,9 +36,9 @@
         let wanted = self.wants_connections();
         let Some(listener) = &mut self.listener else { return };
         if wanted {
-            listener.ensure();
+            listener.ensure_enabled();
         } else {
-            listener.silence();
+            listener.disable();
         }
     }
 
@@ -54,7 +54,7 @@
     /// Who is accepted now came after this. Where many wait, for long, it is not known who came when: then no more than a
     /// hold-up is taken for granted.
     pub(super) fn queued_after(&self, now: Micros) -> Micros {
-        let known = if self.queue_in_arrears { now - HOLD_UP } else { self.came_after };
+        let known = if self.queue_in_arrears { now - MAX_STALL } else { self.came_after };
         known.max(self.queue_emptied)
     }
 
@@ -106,7 +106,7 @@
                     self.failures.worked();
                     return Queue::Empty;
                 }
-                Accepted::Lacking(lack) => match self.failures.failed(now, count_of(lack)) {
+                Accepted::Exhausted(lack) => match self.failures.failed(now, usage_of(lack)) {
                     Next::AtOnce => in_vain += 1,
                     Next::After(wait) => {
                         self.pause(now + wait, deadlines);
@@ -138,8 +138,8 @@
         now: Micros,
         deadlines: &mut Deadlines,
     ) -> Option<u64> {
-        let speaks = stream.speaks();
-        let (conn, mut victim) = match self.admission.arrived(now, peer.ip(), speaks) {
+        let speaks = stream.has_input();
+        let (conn, mut victim) = match self.admission.on_accepted(now, peer.ip(), speaks) {
             Verdict::Keep { conn } => (conn, None),
             Verdict::KeepAndClose { conn, victim } => (conn, Some(victim)),
             Verdict::Refuse { retry_ms, .. } => {
@@ -152,7 +152,7 @@
             if id.is_none_or(|id| self.close_idle(id, now, deadlines)) {
                 break;
             }
-            victim = self.admission.instead(now, conn, other);
+            victim = self.admission.replace_victim(now, conn, other);
             if victim.is_none() {
                 tell_busy(&stream, None);
                 return None;
@@ -177,15 +177,15 @@
     pub(super) fn ran_out(
         &mut self,
         listener: &Listener,
-        lack: Lack,
+        lack: Scarce,
         now: Micros,
         deadlines: &mut Deadlines,
     ) {
-        let own = lack == Lack::ProcessDescriptors;
-        if !own && lack != Lack::SystemDescriptors {
+        let own = lack == Scarce::ProcessDescriptors;
+        if !own && lack != Scarce::SystemDescriptors {
             return self.pause(now + ACCEPT_AGAIN, deadlines);
         }
-        match self.admission.ran_out(now, own) {
+        match self.admission.on_descriptor_shortage(now, own) {
             Shortage::Pause { until } => self.pause(until, deadlines),
             Shortage::UseSpare { retry_ms } => {
                 self.spare = None;
@@ -200,12 +200,12 @@
     /// A connect to a member found no descriptor: clients make room, so that the next one finds it.
     pub fn short(&mut self, own: bool, now: Micros) {
         // Nobody waits to be told; the spare one stays.
-        let _ = self.admission.ran_out(now, own);
+        let _ = self.admission.on_descriptor_shortage(now, own);
     }
 
     pub(super) fn take_spare(&mut self) {
         self.spare = open_file(Path::new(SPARE)).ok();
-        self.admission.spare(self.spare.is_some());
+        self.admission.set_spare_descriptor(self.spare.is_some());
     }
 
     pub(super) fn pause(&mut self, until: Micros, deadlines: &mut Deadlines) {
@@ -248,7 +248,7 @@
                     self.arrived(stream, peer, came_after, now, deadlines);
                 }
                 Accepted::Empty => break Queue::Empty,
-                Accepted::Gone | Accepted::Lacking(_) | Accepted::Broken(_) => in_vain += 1,
+                Accepted::Gone | Accepted::Exhausted(_) | Accepted::Broken(_) => in_vain += 1,
             }
             if in_vain == IN_VAIN {
                 break Queue::Waiting;
--- a/src/net/virtual_server/release.rs
+++ b/src/net/virtual_server/release.rs
@@ -3,10 +3,10 @@
 use super::{NOT_READY, News, READY, VirtualServer};
 use crate::net::client::{Client, Slot};
 use crate::net::deadlines::{Deadline, Deadlines};
-use lapisrudder::time_limits::HOLD_UP;
+use lapisrudder::time_limits::MAX_STALL;
 use lapisrudder::{Micros, RequestId};
 use lapisrudder_io::Stream;
-use lapisrudder_limits::drain::{Drain, Phase, Release};
+use lapisrudder_limits::drain::{Drain, Phase, DrainAction};
 use std::os::fd::OwnedFd;
 
 /// So much of a command goes along with its connection to another process at the most.
@@ -54,7 +54,7 @@
                 Ok(parts) => {
                     self.unread -= counted;
                     self.names.remove(&conn);
-                    self.admission.left(now, conn);
+                    self.admission.on_closed(now, conn);
                     deadlines.remove(deadline);
                     Some(parts)
                 }
@@ -79,12 +79,12 @@
             return;
         }
         // The process that had it may have been held up before it sent it on.
-        let came_after = now - HOLD_UP;
+        let came_after = now - MAX_STALL;
         let Some(id) = self.arrived(stream, peer, came_after, now, deadlines) else { return };
         if let Some(client) = self.clients.get_mut(&id) {
             client.has_come(came_after);
             (client.input, client.since_arrival) = (input, Micros::MIN);
-            self.admission.spoke(now, client.conn);
+            self.admission.on_close_aborted(now, client.conn);
             self.touched.push(id);
         }
     }
@@ -112,7 +112,7 @@
         for id in ids {
             self.close_in_time(id, EARLIER, deadlines);
         }
-        deadlines.add(drain.empties_queue_at(), Deadline::EmptyQueue);
+        deadlines.add(drain.accept_backlog_at(), Deadline::EmptyQueue);
         self.let_go(now, deadlines);
     }
 
@@ -134,7 +134,7 @@
     /// The process must end soon: clients' connections go at once, each between requests.
     pub(super) fn begin_end(&mut self, now: Micros, deadlines: &mut Deadlines) {
         if self.ends.is_none() {
-            self.ends = Some(Drain::at_once(now));
+            self.ends = Some(Drain::immediate(now));
             self.let_go(now, deadlines);
         }
     }
@@ -143,7 +143,7 @@
     pub(super) fn close_in_time(&mut self, id: u64, arrived: Micros, deadlines: &mut Deadlines) {
         let Some(drain) = self.standby else { return };
         if let Some(client) = self.clients.get_mut(&id) {
-            client.close_by = drain.closes(arrived);
+            client.close_by = drain.close_deadline(arrived);
             self.watch(id, deadlines);
         }
     }
@@ -166,18 +166,18 @@
             let phases = drains.iter().flatten().map(|drain| drain.phase(*id, client.since_arrival, now));
             let phase = phases.max().unwrap_or(Phase::Before);
             let release =
-                if phase == Phase::Before { Release::Stays } else { phase.release(client.drain_state()) };
-            (release != Release::Stays).then_some((*id, release))
+                if phase == Phase::Before { DrainAction::Keep } else { phase.action(client.drain_state()) };
+            (release != DrainAction::Keep).then_some((*id, release))
         };
         let released: Vec<_> = self.clients.iter_mut().filter_map(release).collect();
         for (id, release) in released {
             match release {
-                Release::Stays => {}
-                Release::Read => self.touched.push(id),
-                Release::Close => self.part(id, now, deadlines),
-                Release::Expire => self.expire(id),
-                Release::Finish => self.clients.get_mut(&id).into_iter().for_each(Client::finish),
-                Release::Fail => self.fail(id),
+                DrainAction::Keep => {}
+                DrainAction::Read => self.touched.push(id),
+                DrainAction::Close => self.part(id, now, deadlines),
+                DrainAction::Expire => self.expire(id),
+                DrainAction::Finish => self.clients.get_mut(&id).into_iter().for_each(Client::finish),
+                DrainAction::Fail => self.fail(id),
             }
         }
         deadlines.remove(self.round.take());
--- a/src/net/virtual_server/states.rs
+++ b/src/net/virtual_server/states.rs
@@ -21,8 +21,8 @@
         let state = match client.activity() {
             Activity::Idle => &mut self.idle,
             Activity::Unfinished => &mut self.unfinished,
-            Activity::Owed => &mut self.owed,
-            Activity::Over => &mut self.over,
+            Activity::Pending => &mut self.owed,
+            Activity::Closing => &mut self.over,
         };
         *state += 1;
         self.leaving += usize::from(client.leaving);
