--- a/crates/client/src/thread.rs
+++ b/crates/client/src/thread.rs
@@ -11,7 +11,7 @@
 use lapisrudder_config::{Options, Target};
 use lapisrudder_decisions::{Micros, RequestId, Scope, ServerId, Stage};
 use lapisrudder_engine::{self as engine, Answers, Conn, Engine, Final, Member, Order, TakeError};
-use lapisrudder_host::{RETRY_INTERVAL, Clock, Discovery, Members, DiscoveryUpdate, ReadinessHandler};
+use lapisrudder_host::{Clock, Discovery, DiscoveryUpdate, Members, RETRY_INTERVAL, ReadinessHandler};
 use lapisrudder_io::{Operation, is_momentary, retry_with_backoff};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
@@ -59,7 +59,8 @@
 
 /// Starts the thread, and gives the first client.
 pub(crate) fn start(plan: Plan, classes: Vec<ClassName>, in_flight: usize) -> Result<Client, StartError> {
-    let (ping, pinged) = retry_with_backoff(START_PATIENCE, ping::make_ping, |e| is_momentary(Operation::Open, e))?;
+    let (ping, pinged) =
+        retry_with_backoff(START_PATIENCE, ping::make_ping, |e| is_momentary(Operation::Open, e))?;
     let queue = Arc::new(Queue::new(ping, std::process::id()));
     let places = Arc::new(Semaphore::new(in_flight.min(Semaphore::MAX_PERMITS)));
     let clock = Clock::default();
@@ -253,7 +254,8 @@
         let held = self.held.values().map(|request| request.due).min();
         let discovery = self.discovery.as_ref().and_then(Discovery::next_wake);
         let tell = self.untold.then_some(self.told + TELL_EVERY);
-        let behind = self.members.needs_retry() || self.discovery.as_ref().is_some_and(Discovery::needs_retry);
+        let behind =
+            self.members.needs_retry() || self.discovery.as_ref().is_some_and(Discovery::needs_retry);
         // Danger: a caller's call to wake the thread that failed for a moment would be heard by nobody.
         let comes_back = Some(self.clock.now() + if behind { RETRY_INTERVAL } else { LOOKS_EVERY });
         let next = [self.engine.next_wake(), held, discovery, tell, comes_back].into_iter().flatten().min();
--- a/crates/decisions/src/rules.rs
+++ b/crates/decisions/src/rules.rs
@@ -694,7 +694,8 @@
     /// Held requests are looked at when there is room, if that needs no attempt to end.
     fn drain_later(&mut self, out: &mut Vec<Action>) {
         let waiting = !self.origin.held.is_empty();
-        let at = self.origin.follow.next_send_at(self.now).filter(|at| waiting && *at != self.origin.drain_at);
+        let at =
+            self.origin.follow.next_send_at(self.now).filter(|at| waiting && *at != self.origin.drain_at);
         if let Some(at) = at {
             self.origin.drain_at = at;
             self.later(at, Task::Drain, out);
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -7,7 +7,7 @@
 use crate::time_limits;
 use crate::turns::Turns;
 use lapisrudder_limits::adaptive_limit::{self, AdaptiveLimit, Sent};
-use lapisrudder_limits::held::Held;
+use lapisrudder_limits::coalescing_queue::CoalescingQueue;
 use lru::LruCache;
 use rustc_hash::FxHashMap;
 use std::cmp::Reverse;
@@ -639,7 +639,7 @@
     /// Fetches out by key, with the requests that wait for them.
     pub joined: FxHashMap<Key, Vec<RequestId>>,
     /// Requests that wait for room.
-    pub held: Held<Wanted, RequestId>,
+    pub held: CoalescingQueue<Wanted, RequestId>,
     /// The last look at those that was asked for.
     pub drain_at: Micros,
 }
@@ -650,7 +650,7 @@
             follow: AdaptiveLimit::new(settings, now),
             told: false,
             joined: FxHashMap::default(),
-            held: Held::new(HELD_MOST),
+            held: CoalescingQueue::new(HELD_MOST),
             drain_at: Micros::MIN,
         }
     }
--- a/crates/engine/src/audit.rs
+++ b/crates/engine/src/audit.rs
@@ -1,52 +1,53 @@
-//! What an engine holds, for checks that nothing leaks and that its books agree. Reads only; walks everything.
+//! Counts of the engine's contents, for tests that nothing leaks and that its counters agree. Read-only;
+//! visits every item.
 
 use crate::engine::Engine;
 use lapisrudder_decisions as decisions;
 
-/// Counts of everything that grows. See [`Engine::audit`].
+/// Counts of everything that can grow. See [`Engine::audit`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Audit {
-    /// Transactions, those included that are answered and have flows out.
+    /// Transactions, including answered ones that still have flows.
     pub transactions: usize,
-    /// Ids of clients that are in use.
-    pub names: usize,
-    /// Transactions that are owed a final answer.
+    /// Client ids in use.
+    pub client_ids: usize,
+    /// Transactions without a final answer.
     pub open: usize,
-    /// Flows whose end has not been told to the decisions.
+    /// Flows whose end has not been reported to the decisions.
     pub flows: usize,
-    /// Flows that somebody waits for, on connections.
+    /// Flows on connections that are not abandoned.
     pub carried: usize,
     /// Flows that wait for a connection.
     pub waiting: usize,
-    /// Places on connections, those included that nobody waits for.
-    pub places: usize,
+    /// Slots on connections, including those of abandoned flows.
+    pub slots: usize,
     /// Deadlines.
     pub deadlines: usize,
     /// Connections.
     pub connections: usize,
-    /// Members that are remembered.
+    /// Members, including removed ones that still have connections.
     pub members: usize,
-    /// Bytes of answers that are not whole, and of flows that are not written.
+    /// Bytes of incomplete answers and of unwritten flows.
     pub bytes: usize,
-    /// What was written although it was not allowed to begin.
+    /// Attempts that were written although they were not allowed to begin.
     pub violations: u64,
-    /// What the decisions hold.
+    /// Counts of the decisions.
     pub decisions: decisions::Audit,
 }
 
 impl Engine {
-    /// What a member has in flight as the decisions count it.
+    /// The decisions' count of requests in flight at a member.
     pub fn in_flight(&self, server: decisions::ServerId) -> f64 {
         self.balancer.in_flight(server)
     }
 
-    /// Counts everything. For the end of a turn, when [`Engine::poll_order`] has given none: then `flows` is
-    /// `carried` and `waiting` together, and `decisions.in_flight`.
+    /// Counts everything. Meant for the end of an event-loop iteration, when [`Engine::poll_order`] has
+    /// returned none: then `flows` equals `carried` plus `waiting`, and `decisions.in_flight`.
     pub fn audit(&self) -> Audit {
-        let (connections, members, carried, waiting, places, bytes) = self.pool.audit();
+        let (connections, members, carried, waiting, slots, bytes) = self.pool.audit();
         Audit {
             transactions: self.transactions.all.len(),
-            names: self.transactions.ids(),
+            client_ids: self.transactions.client_id_count(),
             open: self.transactions.open,
             flows: self
                 .transactions
@@ -57,7 +58,7 @@
                 .count(),
             carried,
             waiting,
-            places,
+            slots,
             deadlines: self.deadlines.len(),
             connections,
             members,
--- a/crates/engine/src/connection.rs
+++ b/crates/engine/src/connection.rs
@@ -1,4 +1,5 @@
-//! A connection to a pool member and the server-side flows on it, as the protocol has them: no socket.
+//! A connection to a pool member and the server-side flows on it: the state of the protocol, without the
+//! socket.
 
 use crate::deadlines::Key;
 use crate::flow::{Flow, FlowId};
@@ -10,74 +11,78 @@
 use std::net::SocketAddr;
 use tracing::warn;
 
-/// Buffers larger than this are given back once empty.
-const KEPT: usize = 4 << 10;
-/// Bytes of answers that are not whole at the most. Guards memory: a peer may send on and on where nothing is due.
-const HELD: usize = 2 * (MAX_LINE + MAX_WHOLE + 2);
-/// So many bytes at first are put behind a part of an answer, to see whether it is whole with them.
-const STEP: usize = 4 << 10;
-
-/// A connection is given nothing new for this long after an answer that does not name its request: all of the origin's, and
-/// refusals and failures of others. Danger: an answer may come twice, the second one some milliseconds late (4 were seen). Who
-/// asked next on the connection was given the value of the one before, or told that it never ran.
-pub(crate) const SETTLES: Micros = 20_000;
-
-/// The time that an attempt tells its server is worked out anew if it has waited so long to be written.
-const TOLD_FOR: Micros = 20_000;
-
-/// What comes of a flow on a connection.
-pub(crate) enum Heard<'a> {
-    /// Its answer, or the head of one whose value follows.
+/// A buffer that has grown beyond this is not kept for reuse.
+const MAX_RETAINED_CAPACITY: usize = 4 << 10;
+/// Maximum number of buffered bytes of incomplete answers: a peer may send endlessly although no answer is
+/// pending.
+const MAX_BUFFERED: usize = 2 * (MAX_LINE + MAX_WHOLE + 2);
+/// This many new bytes are first appended to an incomplete answer, to see whether they complete it; then
+/// twice as many each time.
+const FIRST_STEP: usize = 4 << 10;
+
+/// No new flow is assigned to a connection for this long after an answer that does not name its request: all
+/// answers of the origin, and refusals and failures of other members. An answer may arrive twice, the second
+/// copy some milliseconds late (4 ms were seen); the next request on the connection would get the value of
+/// the one before, or be reported as not run.
+pub(crate) const SETTLE_TIME: Micros = 20_000;
+
+/// The remaining time that an attempt states to its server is recomputed if the attempt has waited for this
+/// long to be written.
+const MAX_WAIT_AGE: Micros = 20_000;
+
+/// A part of the answer to a flow.
+pub(crate) enum AnswerPart<'a> {
+    /// A complete answer, or the head of one whose value follows in pieces.
     Answer(Answer<'a>),
     /// A piece of that value.
     Piece(&'a [u8]),
-    /// All of it has come.
+    /// The value is complete.
     End(Option<ReadNote>),
 }
 
-/// How far a flow was when nobody waited for it any more.
+/// How much of a flow was written when it was abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Abandoned {
-    /// Nothing of it was written.
+    /// No byte was written.
     Unbegun,
-    /// Some of it was; the rest goes out if the connection lives on.
+    /// A part was written; the rest is still written if the connection stays open.
     Begun,
-    /// All of it was.
+    /// It was written completely.
     Sent,
 }
 
-/// The value of the first flow comes in pieces.
+/// State of the first flow's value while it is passed on in pieces.
 struct Body {
     left: usize,
-    /// Of the line end behind it.
+    /// What remains of the line end that follows the value.
     tail: &'static [u8],
     note: Option<ReadNote>,
     keep: bool,
 }
 
-/// A flow on a connection. Its answer comes after those of the flows before it.
-struct Place {
+/// A flow on a connection. Answers arrive in the order of the slots.
+struct Slot {
     flow: Flow,
-    /// Its bytes, of which `written` are; empty once all are.
+    /// The bytes of the flow, the first `written` of which have been written; empty once all are.
     bytes: Vec<u8>,
     written: usize,
-    /// Nobody waits for it any more; its answer is read and dropped.
+    /// No client waits for the flow any more; its answer is read and dropped.
     abandoned: bool,
-    /// When it was put here.
-    put: Micros,
-    /// When the time that it tells its server was worked out.
-    told: Micros,
+    /// When the flow was assigned to the connection.
+    assigned_at: Micros,
+    /// When `bytes` was composed, with the time that remained then.
+    composed_at: Micros,
 }
 
-impl Place {
-    /// Whether it may begin.
+impl Slot {
+    /// Whether the flow may begin.
     fn permit(&self, now: Micros, server_open: bool) -> Result<(), Denial> {
         let Flow { call, until, begin_by, .. } = &self.flow;
         Begin { now, owed: !call.answered(), until: *until, begin_by: *begin_by, server_open }.check()
     }
 }
 
-/// Checks that what is written may begin, at the write itself.
+/// Checks at the write itself that each flow whose first byte is written may begin.
 pub(crate) struct WriteChecks<'a> {
     pub now: Micros,
     pub server_open: bool,
@@ -91,28 +96,30 @@
     pub endpoint: SocketAddr,
     pub origin: bool,
     pub up: bool,
-    /// The time to be up by, or the end of its idle time.
+    /// The deadline for the connect, or the end of the settle time or of the idle time.
     pub deadline: Option<Key>,
     input: Vec<u8>,
-    /// Room for the bytes of the next flow.
+    /// A buffer for the bytes of the next flow.
     spare: Vec<u8>,
-    places: VecDeque<Place>,
+    slots: VecDeque<Slot>,
     body: Option<Body>,
-    /// Nothing is to be read: the value's client takes no more for now.
-    pub held: bool,
-    /// It has brought an answer.
-    proven: bool,
-    /// The request that its last answer named, and whether that was a write.
-    named: (Vec<u8>, bool),
-    /// When its last answer came, if that did not name its request.
-    pub unnamed: Option<Micros>,
-    /// An answer that named no request came right behind another: either may have been a second copy. Before an answer names
-    /// the request that is due no refusal proves anything, and nothing new goes on it.
-    pub doubtful: bool,
-    /// Nothing new goes on it before then: what still comes would be taken for the answer.
-    pub settles: Option<Micros>,
-    /// It is to be seen to at the end of the turn.
-    pub queued: bool,
+    /// Reading is paused: the client of the large value takes no more for now.
+    pub read_paused: bool,
+    /// The connection has brought an answer before.
+    has_answered: bool,
+    /// The request that the last answer named, and whether it was a write.
+    last_named: (Vec<u8>, bool),
+    /// When the last answer came, if it did not name its request.
+    pub last_unnamed: Option<Micros>,
+    /// An answer that names no request followed right after another such answer: either may have been a
+    /// second copy. Until an answer names the pending request, no refusal on this connection proves that a
+    /// request did not run, and no new flow is assigned to it.
+    pub ambiguous: bool,
+    /// No new flow is assigned before this time: a late copy of the last answer would be taken for its
+    /// answer.
+    pub settles_at: Option<Micros>,
+    /// The connection is to be flushed at the end of the event-loop iteration.
+    pub write_pending: bool,
 }
 
 impl Connection {
@@ -125,90 +132,101 @@
             deadline: None,
             input: Vec::new(),
             spare: Vec::new(),
-            places: VecDeque::new(),
+            slots: VecDeque::new(),
             body: None,
-            held: false,
-            proven: false,
-            named: (Vec::new(), false),
-            unnamed: None,
-            doubtful: false,
-            settles: None,
-            queued: false,
+            read_paused: false,
+            has_answered: false,
+            last_named: (Vec::new(), false),
+            last_unnamed: None,
+            ambiguous: false,
+            settles_at: None,
+            write_pending: false,
         }
     }
 
-    /// It may be given a flow of its own.
-    pub(crate) fn ready(&self) -> bool {
-        self.idle() && self.settles.is_none()
+    /// It is idle, and a flow may be assigned to it.
+    pub(crate) fn is_ready(&self) -> bool {
+        self.is_idle() && self.settles_at.is_none()
     }
 
-    pub(crate) fn idle(&self) -> bool {
-        self.up && self.places.is_empty()
+    pub(crate) fn is_idle(&self) -> bool {
+        self.up && self.slots.is_empty()
     }
 
-    /// The flow whose turn it is was put here before that time.
-    pub(crate) fn stalls(&self, before: Micros) -> bool {
-        self.places.front().is_some_and(|p| p.put < before)
+    /// The first flow was assigned before this time, and has no answer yet.
+    pub(crate) fn is_stalled(&self, before: Micros) -> bool {
+        self.slots.front().is_some_and(|slot| slot.assigned_at < before)
     }
 
-    /// Flows on it, if another may go behind them, and how long the first has been here, negated. Guards against
-    /// a connection whose answers have stopped: where one stalls, or was given up, nothing new waits.
-    pub(crate) fn load(&self, most: usize, stalled: Micros) -> Option<(usize, Micros)> {
+    /// The number of flows on the connection, if another may be assigned behind them, and the negated time at
+    /// which the first was assigned. Nothing is assigned behind a flow that stalls or was abandoned: the
+    /// answers on this connection may have stopped.
+    pub(crate) fn load(&self, max: usize, stalled: Micros) -> Option<(usize, Micros)> {
         let takes = self.up
             && self.body.is_none()
-            && self.settles.is_none()
-            && !self.doubtful
-            && self.places.len() < most
-            && self.places.iter().all(|p| !p.abandoned);
-        let first = self.places.front().map_or(0, |p| -p.put);
-        (takes && !self.stalls(stalled)).then_some((self.places.len(), first))
+            && self.settles_at.is_none()
+            && !self.ambiguous
+            && self.slots.len() < max
+            && self.slots.iter().all(|slot| !slot.abandoned);
+        let first = self.slots.front().map_or(0, |slot| -slot.assigned_at);
+        (takes && !self.is_stalled(stalled)).then_some((self.slots.len(), first))
     }
 
-    /// A large value comes on it: nothing else does until its end.
-    pub(crate) fn streams(&self) -> bool {
+    /// A large value is arriving, and occupies the connection until its end.
+    pub(crate) fn is_streaming(&self) -> bool {
         self.body.is_some()
     }
 
-    /// Flows that somebody waits for, all places, and bytes held.
+    /// Flows that are not abandoned, all slots, and buffered bytes.
     pub(crate) fn audit(&self) -> (usize, usize, usize) {
-        let unwritten: usize = self.places.iter().map(|p| p.bytes.len()).sum();
-        let carried = self.places.iter().filter(|p| !p.abandoned).count();
-        (carried, self.places.len(), unwritten + self.input.len())
+        let unwritten: usize = self.slots.iter().map(|slot| slot.bytes.len()).sum();
+        let carried = self.slots.iter().filter(|slot| !slot.abandoned).count();
+        (carried, self.slots.len(), unwritten + self.input.len())
     }
 
-    /// It was given its first flow in this turn, and may be given another.
-    pub(crate) fn shares(&self, most: usize) -> bool {
-        let unbegun = |p: &Place| p.written == 0 && !p.bytes.is_empty() && !p.abandoned;
-        self.queued && !self.places.is_empty() && self.places.len() < most && self.places.iter().all(unbegun)
+    /// The connection got its first flow in this event-loop iteration, and may get another.
+    pub(crate) fn can_share(&self, max: usize) -> bool {
+        let unbegun = |slot: &Slot| slot.written == 0 && !slot.bytes.is_empty() && !slot.abandoned;
+        self.write_pending
+            && !self.slots.is_empty()
+            && self.slots.len() < max
+            && self.slots.iter().all(unbegun)
     }
 
     pub(crate) fn carries(&self, flow: FlowId) -> bool {
-        self.places.iter().any(|p| p.flow.id == flow)
+        self.slots.iter().any(|slot| slot.flow.id == flow)
     }
 
-    /// All of a flow on it is written.
+    /// The flow is on this connection, and has been written completely.
     pub(crate) fn is_sent(&self, flow: FlowId) -> bool {
-        self.places.iter().any(|p| p.flow.id == flow && p.bytes.is_empty())
+        self.slots.iter().any(|slot| slot.flow.id == flow && slot.bytes.is_empty())
     }
 
-    /// Some flow on it that somebody waits for is written whole.
-    pub(crate) fn expects_wanted(&self) -> bool {
-        self.places.iter().any(|p| !p.abandoned && p.bytes.is_empty())
+    /// At least one flow that is not abandoned has been written completely.
+    pub(crate) fn expects_awaited(&self) -> bool {
+        self.slots.iter().any(|slot| !slot.abandoned && slot.bytes.is_empty())
     }
 
-    /// Nobody waits for anything on it.
-    pub(crate) fn is_useless(&self) -> bool {
-        !self.places.is_empty() && self.places.iter().all(|p| p.abandoned)
+    /// All flows on the connection are abandoned.
+    pub(crate) fn is_abandoned(&self) -> bool {
+        !self.slots.is_empty() && self.slots.iter().all(|slot| slot.abandoned)
     }
 
-    /// Puts a flow behind the others; it is written at the end of the turn.
-    pub(crate) fn put(&mut self, flow: Flow, now: Micros) {
+    /// Assigns a flow behind the others; it is written at the end of the event-loop iteration.
+    pub(crate) fn assign(&mut self, flow: Flow, now: Micros) {
         let mut bytes = std::mem::take(&mut self.spare);
         self.compose(&flow, now, &mut bytes);
-        self.places.push_back(Place { flow, bytes, written: 0, abandoned: false, put: now, told: now });
+        self.slots.push_back(Slot {
+            flow,
+            bytes,
+            written: 0,
+            abandoned: false,
+            assigned_at: now,
+            composed_at: now,
+        });
     }
 
-    /// The attempt as it is written: it tells its server how long its answer is waited for from now on.
+    /// Encodes an attempt, with the time from now on for which its answer is awaited.
     fn compose(&self, flow: &Flow, now: Micros, bytes: &mut Vec<u8>) {
         let command = &flow.call.request.command;
         bytes.clear();
@@ -221,113 +239,117 @@
         }
     }
 
-    /// Tells anew how long answers are waited for where that has waited to be written. Danger: what lay behind a full socket
-    /// told its server of time that its client no longer had.
-    pub(crate) fn tell_anew(&mut self, now: Micros) {
-        let old = |p: &Place| p.written == 0 && !p.bytes.is_empty() && now - p.told > TOLD_FOR;
-        let mut places = std::mem::take(&mut self.places);
-        for place in places.iter_mut().filter(|p| old(p)) {
-            self.compose(&place.flow, now, &mut place.bytes);
-            place.told = now;
+    /// Encodes unwritten attempts again whose stated time is out of date. A request that waits behind a full
+    /// socket would otherwise state more time to its server than its client has left.
+    pub(crate) fn refresh_wait(&mut self, now: Micros) {
+        let old = |slot: &Slot| {
+            slot.written == 0 && !slot.bytes.is_empty() && now - slot.composed_at > MAX_WAIT_AGE
+        };
+        let mut slots = std::mem::take(&mut self.slots);
+        for slot in slots.iter_mut().filter(|slot| old(slot)) {
+            self.compose(&slot.flow, now, &mut slot.bytes);
+            slot.composed_at = now;
         }
-        self.places = places;
+        self.slots = slots;
     }
 
-    /// Takes off what may not begin any more: a send counts from its first byte. Gives those that somebody
-    /// still waited for.
+    /// Removes the flows that may not begin any more; a flow counts as sent from its first byte on. Reports
+    /// those that were not abandoned.
     pub(crate) fn drop_unbegun(&mut self, now: Micros, server_open: bool, mut dropped: impl FnMut(FlowId)) {
-        self.places.retain(|p| {
-            let late = p.written == 0 && (p.abandoned || p.permit(now, server_open).is_err());
-            if late && !p.abandoned {
-                dropped(p.flow.id);
+        self.slots.retain(|slot| {
+            let late = slot.written == 0 && (slot.abandoned || slot.permit(now, server_open).is_err());
+            if late && !slot.abandoned {
+                dropped(slot.flow.id);
             }
             !late
         });
     }
 
-    /// Takes off what has not begun and has no open request at the host, and tells of it.
+    /// Removes and reports the flows that have not begun and have no open request at the host.
     pub(crate) fn deny_unbegun(
         &mut self,
         is_open: impl Fn(RequestId) -> bool,
         mut denied: impl FnMut(FlowId),
     ) {
-        self.places.retain(|p| {
-            let denies = p.written == 0 && !p.bytes.is_empty() && !is_open(p.flow.id.request);
+        self.slots.retain(|slot| {
+            let denies = slot.written == 0 && !slot.bytes.is_empty() && !is_open(slot.flow.id.request);
             if denies {
-                denied(p.flow.id);
+                denied(slot.flow.id);
             }
             !denies
         });
     }
 
-    /// Its peer has spoken on out of turn, while nothing was asked for.
-    pub(crate) fn is_stale(&self) -> bool {
-        self.is_fresh() && !self.input.is_empty()
+    /// The peer has sent something while no answer was pending.
+    pub(crate) fn has_stray_input(&self) -> bool {
+        self.front_is_unsent() && !self.input.is_empty()
     }
 
-    /// What is to be written next begins a flow, and nothing is due before it. Guards against a flow that would
-    /// count as sent, and fail: the peer may have closed, or spoken out of turn, and nobody has told of it yet.
-    pub(crate) fn is_fresh(&self) -> bool {
-        self.places.front().is_some_and(|p| p.written == 0 && !p.bytes.is_empty())
+    /// The next byte to be written begins a flow, and no answer is pending before it. Before such a write the
+    /// host checks the socket: the peer may have closed or sent something unasked that has not been read yet,
+    /// and the flow would count as sent, and fail.
+    pub(crate) fn front_is_unsent(&self) -> bool {
+        self.slots.front().is_some_and(|slot| slot.written == 0 && !slot.bytes.is_empty())
     }
 
-    /// Flows on it, those that nobody waits for any more included.
+    /// Number of flows on the connection, including abandoned ones.
     pub(crate) fn flows(&self) -> usize {
-        self.places.len()
+        self.slots.len()
     }
 
-    /// Answers are due: some flow has begun.
+    /// An answer is pending: the first flow has begun.
     pub(crate) fn expects(&self) -> bool {
-        self.places.front().is_some_and(|p| p.written > 0)
+        self.slots.front().is_some_and(|slot| slot.written > 0)
     }
 
-    /// What is to be written, in order.
+    /// The bytes to be written, in order.
     pub(crate) fn transmit(&self) -> impl Iterator<Item = &[u8]> {
-        self.places.iter().filter_map(|p| p.bytes.get(p.written..)).filter(|rest| !rest.is_empty())
+        self.slots.iter().filter_map(|slot| slot.bytes.get(slot.written..)).filter(|rest| !rest.is_empty())
     }
 
-    /// So many bytes of that were written.
+    /// The socket has taken this many bytes of [`transmit`](Connection::transmit).
     pub(crate) fn transmitted(&mut self, mut bytes: usize, checks: &mut WriteChecks) {
-        for place in self.places.iter_mut().filter(|p| !p.bytes.is_empty()) {
-            let taken = bytes.min(place.bytes.len() - place.written);
-            if place.written == 0 && taken > 0 {
-                let permitted = place.permit(checks.now, checks.server_open);
+        for slot in self.slots.iter_mut().filter(|slot| !slot.bytes.is_empty()) {
+            let taken = bytes.min(slot.bytes.len() - slot.written);
+            if slot.written == 0 && taken > 0 {
+                let permitted = slot.permit(checks.now, checks.server_open);
                 checks.violations.record(permitted);
-                checks.begun.push((place.flow.id, permitted));
+                checks.begun.push((slot.flow.id, permitted));
             }
-            place.written += taken;
+            slot.written += taken;
             bytes -= taken;
-            if place.written < place.bytes.len() {
+            if slot.written < slot.bytes.len() {
                 return;
             }
-            let mut bytes = std::mem::take(&mut place.bytes);
-            if bytes.capacity() <= KEPT {
+            let mut bytes = std::mem::take(&mut slot.bytes);
+            if bytes.capacity() <= MAX_RETAINED_CAPACITY {
                 bytes.clear();
                 self.spare = bytes;
             }
         }
     }
 
-    /// Takes the answers that are whole with what has come; `ended` tells that no more will. False if the connection
-    /// is of no further use. Answers are slices of `bytes`, but for one whose first part came earlier.
+    /// Takes the answers that are complete with these bytes; `ended` says that no more will arrive. False if
+    /// the connection is of no further use. Answers are slices of `bytes`, except one whose first part was
+    /// buffered.
     pub(crate) fn received(
         &mut self,
         bytes: &[u8],
         ended: bool,
         now: Micros,
-        answered: &mut impl FnMut(&Flow, Heard) -> bool,
+        answered: &mut impl FnMut(&Flow, AnswerPart) -> bool,
     ) -> bool {
         let keep = match self.take(bytes, ended, now, answered) {
             Ok(keep) => keep,
             Err(what) => {
-                warn!(about = %self.endpoint, "an answer cannot be read: {what}");
+                warn!(about = %self.endpoint, "malformed answer, closing the connection: {what}");
                 return false;
             }
         };
-        // Guards the next flow: bytes that no flow has asked for would be taken for its answer.
-        let stray = self.places.front().is_none_or(|p| p.written == 0) && !self.input.is_empty();
-        let doubtful = self.doubtful && self.places.is_empty();
-        keep && !ended && !stray && !doubtful && !self.is_useless()
+        // Bytes that no flow has asked for would be taken for the answer to the next flow.
+        let stray = self.slots.front().is_none_or(|slot| slot.written == 0) && !self.input.is_empty();
+        let ambiguous = self.ambiguous && self.slots.is_empty();
+        keep && !ended && !stray && !ambiguous && !self.is_abandoned()
     }
 
     fn take(
@@ -335,9 +357,9 @@
         mut bytes: &[u8],
         ended: bool,
         now: Micros,
-        answered: &mut impl FnMut(&Flow, Heard) -> bool,
+        answered: &mut impl FnMut(&Flow, AnswerPart) -> bool,
     ) -> Result<bool, &'static str> {
-        let (mut keep, mut step) = (true, STEP);
+        let (mut keep, mut step) = (true, FIRST_STEP);
         while keep && !self.input.is_empty() && (ended || !bytes.is_empty()) {
             let (more, behind) = bytes.split_at(step.min(bytes.len()));
             let mut input = std::mem::take(&mut self.input);
@@ -352,10 +374,10 @@
                 bytes = behind;
                 input.drain(..taken);
             }
-            input.shrink_to(KEPT);
+            input.shrink_to(MAX_RETAINED_CAPACITY);
             self.input = input;
-            if self.input.len() > HELD {
-                return Err("too long");
+            if self.input.len() > MAX_BUFFERED {
+                return Err("the incomplete answer is too long");
             }
             if behind.is_empty() {
                 break;
@@ -370,22 +392,23 @@
         Ok(keep)
     }
 
-    /// Takes whole answers off the buffer. Gives the bytes taken and whether the connection may be kept.
+    /// Takes complete answers off the buffer. Returns the number of bytes taken, and whether the connection
+    /// may be kept.
     fn take_answers(
         &mut self,
         buffer: &[u8],
         ended: bool,
         now: Micros,
-        answered: &mut impl FnMut(&Flow, Heard) -> bool,
+        answered: &mut impl FnMut(&Flow, AnswerPart) -> bool,
     ) -> Result<(usize, bool), &'static str> {
         let (mut taken, mut keep) = (0, true);
-        while let Some(place) = self.places.front().filter(|p| keep && p.bytes.is_empty()) {
+        while let Some(slot) = self.slots.front().filter(|slot| keep && slot.bytes.is_empty()) {
             let rest = &buffer[taken..];
             if let Some(body) = &mut self.body {
                 let piece = &rest[..body.left.min(rest.len())];
                 if !piece.is_empty() {
-                    // What nobody waits for is skipped: others wait behind it.
-                    self.held = !place.abandoned && !answered(&place.flow, Heard::Piece(piece));
+                    // The value of an abandoned flow is skipped: other flows wait behind it.
+                    self.read_paused = !slot.abandoned && !answered(&slot.flow, AnswerPart::Piece(piece));
                 }
                 body.left -= piece.len();
                 let line_end = &rest[piece.len()..];
@@ -398,15 +421,15 @@
                     break;
                 }
                 taken += line_end.len();
-                if !place.abandoned {
-                    answered(&place.flow, Heard::End(body.note));
+                if !slot.abandoned {
+                    answered(&slot.flow, AnswerPart::End(body.note));
                 }
-                (keep, self.body, self.held, self.proven) = (body.keep, None, false, true);
-                self.places.pop_front();
+                (keep, self.body, self.read_paused, self.has_answered) = (body.keep, None, false, true);
+                self.slots.pop_front();
                 continue;
             }
-            let command = &place.flow.call.request.command;
-            let mut pass = |answer| !place.abandoned && answered(&place.flow, Heard::Answer(answer));
+            let command = &slot.flow.call.request.command;
+            let mut pass = |answer| !slot.abandoned && answered(&slot.flow, AnswerPart::Answer(answer));
             taken += if self.origin {
                 let response = http::parse_response_or_head(rest, ended, MAX_WHOLE, MAX_VALUE)?;
                 let Some((response, used)) = response else { break };
@@ -415,13 +438,13 @@
                     if response.status != 200 || command.is_write() {
                         return Err("body too long");
                     }
-                    self.unnamed = Some(now);
+                    self.last_unnamed = Some(now);
                     let wanted = pass(Answer::Begins { length: left, note: None });
-                    self.begin(Body { left, tail: b"", note: None, keep }, wanted);
+                    self.start_body(Body { left, tail: b"", note: None, keep }, wanted);
                     taken += used;
                     continue;
                 }
-                (keep, self.unnamed) = (response.keep, Some(now));
+                (keep, self.last_unnamed) = (response.keep, Some(now));
                 pass(match response.status {
                     200 if command.is_write() && !memcache::is_receipt(&response.body) => {
                         return Err("bad receipt");
@@ -434,73 +457,79 @@
                 used
             } else {
                 let parsed = memcache::parse_answer(rest, command.id(), command.is_write());
-                // Danger: a second copy, some milliseconds late, cost who asked next this connection.
+                // A second copy of the last answer, some milliseconds late, is skipped: taken for a bad
+                // answer, it would close the connection under the next request.
                 let (parsed, copy) = match parsed {
-                    Err(what) if !self.named.0.is_empty() => {
-                        (memcache::parse_answer(rest, &self.named.0, self.named.1).or(Err(what)), true)
-                    }
+                    Err(what) if !self.last_named.0.is_empty() => (
+                        memcache::parse_answer(rest, &self.last_named.0, self.last_named.1).or(Err(what)),
+                        true,
+                    ),
                     parsed => (parsed, false),
                 };
                 let Some((answer, used)) = parsed? else { break };
                 if copy {
                     if matches!(answer, Answer::Begins { .. }) {
-                        return Err("a large answer came twice");
+                        return Err("second copy of a large answer");
                     }
                     taken += used;
                     continue;
                 }
                 if let Answer::Begins { length, note } = answer {
-                    (self.unnamed, self.doubtful) = (None, false);
+                    (self.last_unnamed, self.ambiguous) = (None, false);
                     let wanted = pass(answer);
-                    self.begin(Body { left: length, tail: b"\r\n", note, keep: true }, wanted);
+                    self.start_body(Body { left: length, tail: b"\r\n", note, keep: true }, wanted);
                     taken += used;
                     continue;
                 }
                 let named = !matches!(answer, Answer::Busy | Answer::Failed);
-                let close = self.unnamed.is_some_and(|at| now - at < SETTLES);
-                self.doubtful = !named && (self.doubtful || close);
-                self.unnamed = Some(now).filter(|_| !named);
+                let close = self.last_unnamed.is_some_and(|at| now - at < SETTLE_TIME);
+                self.ambiguous = !named && (self.ambiguous || close);
+                self.last_unnamed = Some(now).filter(|_| !named);
                 if named {
-                    self.named.0.clear();
-                    self.named.0.extend_from_slice(command.id());
-                    self.named.1 = command.is_write();
+                    self.last_named.0.clear();
+                    self.last_named.0.extend_from_slice(command.id());
+                    self.last_named.1 = command.is_write();
                 }
-                // Danger: the second copy of a refusal was taken for the next flow's, which runs: its effect came twice.
-                pass(if self.doubtful { Answer::Failed } else { answer });
+                // What looks like a refusal may be a second copy of the last one, and the request may still
+                // run. Passed on as a refusal, it would be repeated and have its effect twice.
+                pass(if self.ambiguous { Answer::Failed } else { answer });
                 used
             };
-            self.proven = true;
-            self.places.pop_front();
+            self.has_answered = true;
+            self.slots.pop_front();
         }
         Ok((taken, keep))
     }
 
-    /// The value of the first flow follows. It is read past where it is not wanted.
-    fn begin(&mut self, body: Body, wanted: bool) {
+    /// The value of the first flow follows. If it is not wanted, it is read and dropped.
+    fn start_body(&mut self, body: Body, wanted: bool) {
         self.body = Some(body);
-        self.places.iter_mut().take(1).for_each(|place| place.abandoned |= !wanted);
+        self.slots.iter_mut().take(1).for_each(|slot| slot.abandoned |= !wanted);
     }
 
-    /// Stops waiting for a flow; tells how far it was. One that has not begun leaves.
+    /// Stops waiting for a flow, and returns how much of it was written. A flow that has not begun is
+    /// removed.
     pub(crate) fn abandon(&mut self, flow: FlowId) -> Abandoned {
-        let Some(i) = self.places.iter().position(|p| p.flow.id == flow) else { return Abandoned::Sent };
-        if self.places[i].written == 0 && !self.places[i].bytes.is_empty() {
-            self.places.remove(i);
+        let Some(i) = self.slots.iter().position(|slot| slot.flow.id == flow) else { return Abandoned::Sent };
+        if self.slots[i].written == 0 && !self.slots[i].bytes.is_empty() {
+            self.slots.remove(i);
             return Abandoned::Unbegun;
         }
-        self.places[i].abandoned = true;
-        if self.places[i].bytes.is_empty() { Abandoned::Sent } else { Abandoned::Begun }
+        self.slots[i].abandoned = true;
+        if self.slots[i].bytes.is_empty() { Abandoned::Sent } else { Abandoned::Begun }
     }
 
-    /// What becomes of the flows on a connection that is over: how they end, or that they may go on another.
-    /// They may do so once, and only where nothing of them was sent and the connection had worked before. Guards
-    /// the decisions against taking an idle connection's close for a failure of its member.
+    /// Closes the connection. Each flow that is not abandoned either ends or is returned, to be assigned to
+    /// another connection: once only, and only if no byte of it was sent and the connection had worked before.
+    /// This way the close of an idle connection does not count as a failure of its member.
     pub(crate) fn close(self) -> impl Iterator<Item = Result<Flow, (FlowId, Outcome)>> {
-        let proven = self.proven;
-        self.places.into_iter().filter(|p| !p.abandoned).map(move |p| match p {
-            p if p.bytes.is_empty() => Err((p.flow.id, Outcome::Broken)),
-            p if p.written == 0 && proven && !p.flow.moved => Ok(Flow { moved: true, ..p.flow }),
-            p => Err((p.flow.id, Outcome::ConnectFailed)),
+        let has_answered = self.has_answered;
+        self.slots.into_iter().filter(|slot| !slot.abandoned).map(move |slot| match slot {
+            slot if slot.bytes.is_empty() => Err((slot.flow.id, Outcome::Broken)),
+            slot if slot.written == 0 && has_answered && !slot.flow.moved => {
+                Ok(Flow { moved: true, ..slot.flow })
+            }
+            slot => Err((slot.flow.id, Outcome::ConnectFailed)),
         })
     }
 }
--- a/crates/engine/src/deadlines.rs
+++ b/crates/engine/src/deadlines.rs
@@ -1,27 +1,28 @@
-//! Deadlines, sorted by time and swept each turn of the host's loop.
+//! Deadlines in order of time, handled in each iteration of the host's event loop.
 
 use crate::flow::FlowId;
 use crate::order::Conn;
 use lapisrudder_decisions::{Micros, RequestId};
 use std::collections::BTreeMap;
 
-/// Names one deadline, to take it back: when it is, and which of those.
+/// Identifies a deadline, to remove it: its time, and a sequence number.
 pub type Key = (Micros, u64);
 
-/// The engine's own.
+/// The deadlines of the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Deadline {
-    /// The decisions asked to be woken.
+    /// The decisions asked to be called.
     Wake,
-    /// The wait for a server-side flow ends.
+    /// The answer to a server-side flow is awaited no longer.
     Flow(FlowId),
-    /// A transaction still lacks its final answer.
+    /// A transaction is overdue for its final answer.
     Transaction(RequestId),
-    /// A connection to a pool member is not up yet, or has been idle for long.
+    /// The connect, settle or idle time of a connection to a pool member is over.
     Connection(Conn),
 }
 
-/// Deadlines for things of type `T`. Those at one time come in the order in which they were added.
+/// Deadlines for items of type `T`. Those with the same time are returned in the order in which they were
+/// added.
 #[derive(Debug)]
 pub struct Deadlines<T> {
     sorted: BTreeMap<Key, T>,
@@ -35,35 +36,35 @@
 }
 
 impl<T> Deadlines<T> {
-    /// Adds one.
+    /// Adds a deadline.
     pub fn add(&mut self, at: Micros, deadline: T) -> Key {
         self.count += 1;
         self.sorted.insert((at, self.count), deadline);
         (at, self.count)
     }
 
-    /// Takes one back; nothing happens if it was swept.
+    /// Removes a deadline, if it has not been returned yet.
     pub fn remove(&mut self, key: Option<Key>) {
         key.map(|key| self.sorted.remove(&key));
     }
 
-    /// When the earliest is.
+    /// Time of the earliest deadline.
     pub fn next(&self) -> Option<Micros> {
         self.sorted.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// The earliest deadline, if it is due.
+    /// Removes and returns the earliest deadline, if it is due.
     pub fn pop_due(&mut self, now: Micros) -> Option<T> {
         let entry = self.sorted.first_entry().filter(|e| e.key().0 <= now)?;
         Some(entry.remove())
     }
 
-    /// How many there are.
+    /// Number of deadlines.
     pub fn len(&self) -> usize {
         self.sorted.len()
     }
 
-    /// There are none.
+    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
         self.sorted.is_empty()
     }
@@ -74,12 +75,12 @@
     use super::*;
 
     #[test]
-    fn the_sweep_gives_what_is_due_in_order_and_nothing_taken_back() {
+    fn due_deadlines_are_returned_in_order_without_removed_ones() {
         let mut deadlines = Deadlines::default();
         deadlines.add(30, "last");
-        let taken_back = deadlines.add(10, "taken back");
+        let removed = deadlines.add(10, "removed");
         deadlines.add(20, "first");
-        deadlines.remove(Some(taken_back));
+        deadlines.remove(Some(removed));
         assert_eq!(deadlines.next(), Some(20));
         assert_eq!(deadlines.pop_due(19), None);
         assert_eq!(deadlines.pop_due(30), Some("first"));
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,7 +1,8 @@
-//! The one type that hosts drive: where happenings become events, and actions orders.
+//! [`Engine`], the type that hosts drive: turns reports of the host into events for the decisions, and their
+//! actions into orders for the host.
 
 use crate::config::{Config, Limits};
-use crate::connection::Heard;
+use crate::connection::AnswerPart;
 use crate::deadlines::{Deadline, Deadlines};
 use crate::flow::{Call, Flow, FlowId};
 use crate::generations::Generations;
@@ -11,7 +12,7 @@
 use crate::request::Request;
 use crate::transactions::{FlowState, Transaction, Transactions};
 use lapisrudder_codec::memcache::{self, ReadNote};
-use lapisrudder_decisions::maintenance::{Ban, Maintenance, BanError};
+use lapisrudder_decisions::maintenance::{Ban, BanError, Maintenance};
 use lapisrudder_decisions::permit::{Begin, Violations};
 use lapisrudder_decisions::{
     Action, Balancer, CacheNote, Event, Listed, Micros, Outcome, RequestId, Scope, ServerId, Settings,
@@ -21,38 +22,39 @@
 use thiserror::Error;
 use tracing::debug;
 
-/// A transaction that has no final answer this long after its time gets one from the engine itself.
+/// A transaction that the decisions have not ended this long after its deadline gets its final answer from
+/// the engine.
 pub const OVERDUE_GRACE: Micros = 10_000;
-/// No transaction is held for longer, whatever its client says.
+/// Longest time for which a transaction is held, whatever deadline its client asks for.
 pub const MAX_TRANSACTION_TIME: Micros = 3_600_000_000;
 
-/// A pool member as discovery has it, and where it answers.
+/// A pool member as discovery lists it, and its address.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// What the decisions take of it.
+    /// The properties that the decisions use.
     pub listed: Listed,
-    /// Where it answers.
+    /// Address of the member.
     pub endpoint: SocketAddr,
 }
 
-/// Where the answers of members go that serve a transaction: its one final answer.
+/// Receives the answers of members that are the final answer of a transaction.
 pub trait Answers {
-    /// Passes it on while the buffer lives. Slices that are kept are copied by the host.
+    /// A complete answer. It borrows the host's read buffer: the host copies what it keeps.
     fn served(&mut self, transaction: RequestId, request: &Request, answer: Answer<'_>);
 
-    /// A value that is too large to be passed on whole begins: it comes in pieces from here on, and is the transaction's
-    /// one final answer. False if that is not wanted; the flow has failed then.
+    /// A value that is too large to be passed on as one slice begins; it follows in pieces, and is the
+    /// transaction's final answer. False if the host does not take it: the flow has then failed.
     fn begins(&mut self, _transaction: RequestId, _request: &Request, _length: usize) -> bool {
         false
     }
 
-    /// A piece of such a value. False if the host has no room for more: nothing is read from that connection until
-    /// [`Engine::resume`].
+    /// A piece of such a value. False if the host cannot buffer more: nothing is read from that connection
+    /// until [`Engine::resume`].
     fn piece(&mut self, _transaction: RequestId, _bytes: &[u8]) -> bool {
         true
     }
 
-    /// All pieces of it have come.
+    /// The value is complete.
     fn ends(&mut self, _transaction: RequestId) {}
 }
 
@@ -62,16 +64,16 @@
     }
 }
 
-/// Why a request cannot be a transaction.
+/// Why a request is not taken as a transaction.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum TakeError {
-    /// Its client gave it the id of another that is in hand.
+    /// Another open transaction has the same client's id.
     #[error("request id in use")]
     IdInUse,
-    /// The settings have no such class.
+    /// The settings have no class at this index.
     #[error("unknown class")]
     UnknownClass,
-    /// The host has given that number to another.
+    /// The host has already used this number for another transaction.
     #[error("transaction number in use")]
     NumberInUse,
 }
@@ -82,40 +84,41 @@
     pub(crate) pool: Pool,
     pub(crate) transactions: Transactions,
     pub(crate) balancer: Balancer,
-    /// Room for what the decisions say, and for flows that a read has ended.
+    /// Reused buffers: actions of the decisions, and flows that a read has ended or whose large value it has
+    /// begun.
     actions: Vec<Action>,
     ended: Vec<(FlowId, Outcome, Option<CacheNote>)>,
     begun: Vec<FlowId>,
-    /// What discovery tells, and who is out by hand.
+    /// The list from discovery, and the servers that operators have taken out of service.
     maintenance: Maintenance<SocketAddr>,
     classes: Generations,
-    /// Two attempts of a request may be out together.
+    /// Two attempts of a request may be in flight at the same time.
     second_copies: bool,
     attempts: Attempts,
 }
 
-/// How many server-side flows there were.
+/// Numbers of server-side flows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Attempts {
-    /// Begun so far.
+    /// Flows started so far.
     pub begun: u64,
-    /// Of these, a transaction's second or later.
-    pub further: u64,
+    /// Of these, retries and hedged attempts: the second or a later flow of a transaction.
+    pub additional: u64,
 }
 
 /// An attempt that has not ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AttemptOut {
-    /// Its server.
+pub struct OpenAttempt {
+    /// Server of the attempt.
     pub server: ServerId,
-    /// Where that answers, if the list has it.
+    /// Address of that server, if the list has it.
     pub endpoint: Option<SocketAddr>,
-    /// All of it is written.
+    /// It has been written completely.
     pub sent: bool,
 }
 
 impl Engine {
-    /// Begins with no member.
+    /// An engine without members.
     pub fn new(config: Config, now: Micros) -> Engine {
         let Config { mut settings, seed, limits } = config;
         let classes = Generations::new(&mut settings);
@@ -134,37 +137,38 @@
         }
     }
 
-    /// Takes other settings on, and gives the place of each of their classes, by which requests of theirs are taken
-    /// from here on. Transactions in hand go on under the class that they were taken under.
+    /// Applies new settings. Returns the index of each of their classes, which later requests use. Open
+    /// transactions keep the class under which they were taken.
     pub fn reconfigure(&mut self, mut settings: Settings, limits: Limits) -> Vec<usize> {
         let open: Vec<usize> = self.transactions.all.values().map(|t| t.call.request.class).collect();
-        let places = self.classes.next(&mut settings, |place| open.contains(&place));
+        let indices = self.classes.next(&mut settings, |index| open.contains(&index));
         self.second_copies = settings.second_copies;
         self.maintenance.set_origin_kind(settings.origin_kind);
-        self.pool.relimit(limits);
+        self.pool.set_limits(limits);
         self.balancer.reconfigure(settings);
-        places
+        indices
     }
 
     // ---- Clients --------------------------------------------------------------------------------------
 
-    /// A transaction in hand has this id of a client's: [`Engine::take`] would refuse another.
+    /// An open transaction has this client's id: [`Engine::take`] would refuse another.
     pub fn is_id_in_use(&self, id: &[u8]) -> bool {
         self.transactions.is_id_in_use(id)
     }
 
-    /// Takes a transaction: from here on it is owed one final answer. The host gives it a number that it never uses
+    /// Takes a transaction: it gets exactly one final answer. The host gives it a number that it never uses
     /// again.
     ///
     /// # Errors
-    /// It cannot be one; nothing is owed.
+    /// The request is not taken, and gets no answer from the engine.
     pub fn take(
         &mut self,
         now: Micros,
         transaction: RequestId,
         mut request: Request,
     ) -> Result<(), TakeError> {
-        // Guards against two transactions that take each other's answers: members tell them apart by this.
+        // Members repeat the id in their answers: two transactions with the same id could get each other's
+        // answers.
         if self.is_id_in_use(request.command.id()) {
             return Err(TakeError::IdInUse);
         }
@@ -181,14 +185,14 @@
         self.transactions.recorder.note(now, transaction, None, Step::Taken(id));
         let call = Arc::new(Call::new(request));
         self.transactions
-            .add(transaction, Transaction { call, due, deadline, flows: Vec::new(), streams: None });
+            .add(transaction, Transaction { call, due, deadline, flows: Vec::new(), stream: None });
         Ok(())
     }
 
-    /// The client of a transaction has left, or the host has answered it itself: nothing more is owed, and what is
-    /// out is called off. False if it had its answer before.
+    /// The client of a transaction has left, or the host has answered it itself: no answer is needed any
+    /// more, and its flows are cancelled. False if it had its final answer already.
     pub fn left(&mut self, now: Micros, transaction: RequestId) -> bool {
-        if let Some(flow) = self.transactions.streams(transaction) {
+        if let Some(flow) = self.transactions.streaming_flow(transaction) {
             self.give_up(flow, Outcome::Cancelled, now);
             return true;
         }
@@ -201,52 +205,54 @@
 
     // ---- Connections to members -----------------------------------------------------------------------
 
-    /// A connect has come up.
+    /// A connection is established.
     pub fn connected(&mut self, now: Micros, conn: Conn) {
         self.pool.connected(conn, now, &mut self.deadlines);
     }
 
-    /// A connection may be written to again.
+    /// A connection can be written to again.
     pub fn writable(&mut self, conn: Conn) {
         self.pool.writable(conn);
     }
 
-    /// The host has room again for the pieces of a value: where to read on.
+    /// The host can buffer pieces of a value again. Returns the connection to continue reading from.
     pub fn resume(&mut self, transaction: RequestId) -> Option<Conn> {
-        let flow = self.transactions.streams(transaction)?;
+        let flow = self.transactions.streaming_flow(transaction)?;
         let server = self.transactions.all.get(&transaction)?.flows.get(flow.attempt as usize)?.server;
         self.pool.resume(server, flow)
     }
 
-    /// Nothing is to be read from a connection now: its value's client takes no more for the time being.
-    pub fn holds(&self, conn: Conn) -> bool {
-        self.pool.holds(conn)
+    /// Reading from a connection is paused, since the client of its large value takes no more for now.
+    pub fn is_read_paused(&self, conn: Conn) -> bool {
+        self.pool.is_read_paused(conn)
     }
 
-    /// Bytes have come on a connection. False if it is of no further use: nothing more need be read from it.
+    /// Bytes have arrived on a connection. False if the connection is of no further use and need not be read
+    /// any more.
     pub fn received(&mut self, now: Micros, conn: Conn, bytes: &[u8], answers: &mut impl Answers) -> bool {
         self.read(now, conn, bytes, false, answers)
     }
 
-    /// Answers are due on a connection. Where none is, a host may stop reading once a read has not filled its buffer,
-    /// though the peer may have closed behind the last bytes: it is told to look before anything is written again.
+    /// Answers are pending on a connection. Where none is, the host may stop reading after a read that did
+    /// not fill its buffer, although the peer may have closed behind the last bytes: it is ordered to check
+    /// before the next write.
     pub fn expects(&self, conn: Conn) -> bool {
         self.pool.expects(conn)
     }
 
-    /// The peer has ended its sending, in order.
+    /// The peer has closed its sending side in an orderly way.
     pub fn ended(&mut self, now: Micros, conn: Conn, answers: &mut impl Answers) {
         self.read(now, conn, &[], true, answers);
     }
 
-    /// The host could not open a connection for want of something of its own, such as a descriptor: nobody was asked,
-    /// and its member is not to blame.
+    /// The host could not open a connection because it is out of a resource of its own, such as descriptors.
+    /// Nothing was sent, and the member has not failed.
     pub fn not_opened(&mut self, now: Micros, conn: Conn) {
         self.pool.not_opened(conn, now, &mut self.deadlines);
     }
 
-    /// A connection did not come up, was reset, could not be written to, or was found with something on it before a
-    /// write ([`Order::Write`]).
+    /// A connect failed, or a connection was reset, could not be written to, or had unread input or an end of
+    /// stream before a write ([`Order::Write`]).
     pub fn broken(&mut self, now: Micros, conn: Conn) {
         self.pool.close(conn, now, &mut self.deadlines);
     }
@@ -261,21 +267,21 @@
     ) -> bool {
         let Engine { pool, deadlines, transactions, ended, begun, second_copies, .. } = self;
         let mut unwanted = false;
-        let of_use = pool.received(conn, bytes, over, now, deadlines, |flow, heard| {
+        let usable = pool.received(conn, bytes, over, now, deadlines, |flow, heard| {
             let id = flow.id.request;
             let answer = match heard {
-                Heard::Answer(answer) => answer,
-                Heard::Piece(bytes) => {
-                    transactions.got_on(id, now);
+                AnswerPart::Answer(answer) => answer,
+                AnswerPart::Piece(bytes) => {
+                    transactions.piece_received(id, now);
                     return answers.piece(id, bytes);
                 }
-                Heard::End(note) => {
+                AnswerPart::End(note) => {
                     answers.ends(id);
-                    ended.push((flow.id, Outcome::Served, told(&note)));
+                    ended.push((flow.id, Outcome::Served, cache_note(&note)));
                     return true;
                 }
             };
-            let (outcome, note) = judge(&answer);
+            let (outcome, note) = flow_outcome(&answer);
             let request = &flow.call.request;
             if let memcache::Answer::Begins { length, .. } = answer
                 && !flow.call.answered()
@@ -285,7 +291,7 @@
                 unwanted = true;
                 return false;
             }
-            // The first that serves is passed on; what comes later for the same transaction is dropped.
+            // The first answer that serves the transaction is passed on; later ones are dropped.
             if outcome == Outcome::Served && flow.call.answer() {
                 transactions.open -= 1;
                 transactions.answered.push(id);
@@ -304,111 +310,113 @@
                 }
             }
             ended.push((flow.id, outcome, note));
-            // A large value that nobody waits for is not read.
+            // A large value for which no client waits is not read.
             !matches!(answer, memcache::Answer::Begins { .. })
         });
-        // Danger: where two copies may not be out together, what goes elsewhere next would be a second one.
-        let closes = of_use && !*second_copies && (unwanted || pool.is_doubtful(conn));
+        // A flow that ended here is still out on the connection. Where a second copy is not allowed, the connection
+        // closes before the request is sent elsewhere.
+        let closes = usable && !*second_copies && (unwanted || pool.is_ambiguous(conn));
         if closes {
             pool.close(conn, now, deadlines);
         }
         for flow in begun.drain(..) {
-            transactions.begun(flow, now, deadlines);
+            transactions.stream_started(flow, now, deadlines);
         }
         for (flow, outcome, note) in ended.drain(..) {
             transactions.flow_ended(flow, outcome, note, now, deadlines);
         }
-        of_use && !closes
+        usable && !closes
     }
 
     // ---- The list of members --------------------------------------------------------------------------
 
-    /// News of the list.
+    /// Applies an update of the list of members.
     pub fn listed(&mut self, scope: Scope, members: Vec<Member>) {
-        let told = members.into_iter().map(|m| (m.listed, m.endpoint)).collect();
-        let members = self.maintenance.apply_list(scope, told);
-        self.effective(scope, members);
+        let listed = members.into_iter().map(|m| (m.listed, m.endpoint)).collect();
+        let members = self.maintenance.apply_list(scope, listed);
+        self.apply_list(scope, members);
     }
 
-    /// Takes a member out by hand: from here on nothing new goes to it, whatever the list says, until
-    /// [`put_back`](Engine::put_back).
+    /// Takes a member out of service by an operator's order: nothing new is sent to it, whatever the list
+    /// says, until [`put_back`](Engine::put_back).
     ///
     /// # Errors
-    /// It cannot be.
+    /// The server cannot be taken out.
     pub fn take_out(&mut self, server: ServerId, ban: Ban) -> Result<(), BanError> {
         let seen = self.maintenance.ban(server, ban)?;
-        self.changed(seen);
+        self.apply_maintenance(seen);
         Ok(())
     }
 
-    /// The same as another process of the node has it: the member may not have been listed here yet.
+    /// Takes over another process's order to take a member out of service. This process may not know the
+    /// member yet.
     pub fn adopt_ban(&mut self, server: ServerId, ban: Ban) {
         let seen = self.maintenance.adopt(server, ban);
-        self.changed(seen);
+        self.apply_maintenance(seen);
     }
 
-    /// A member may serve again.
+    /// Puts a member back into service.
     ///
     /// # Errors
-    /// It never was listed.
+    /// The member was never listed.
     pub fn put_back(&mut self, now: Micros, server: ServerId) -> Result<(), BanError> {
         let seen = self.maintenance.lift(server, now)?;
-        self.changed(seen);
+        self.apply_maintenance(seen);
         Ok(())
     }
 
-    /// What discovery has told, and who is out by hand.
+    /// The list from discovery, and the servers that operators have taken out of service.
     pub fn maintenance(&self) -> &Maintenance<SocketAddr> {
         &self.maintenance
     }
 
-    fn changed(&mut self, seen: Option<(Listed, SocketAddr)>) {
+    fn apply_maintenance(&mut self, seen: Option<(Listed, SocketAddr)>) {
         if let Some(member) = seen {
-            self.effective(Scope::Changes, vec![member]);
+            self.apply_list(Scope::Changes, vec![member]);
         }
     }
 
-    /// The list as the rules and the pool are to see it.
-    fn effective(&mut self, scope: Scope, members: Vec<(Listed, SocketAddr)>) {
+    /// Passes a list on to the pool and to the decisions, with the operators' orders applied.
+    fn apply_list(&mut self, scope: Scope, members: Vec<(Listed, SocketAddr)>) {
         if scope != Scope::Changes {
             for server in self.pool.servers() {
                 if !members.iter().any(|(listed, _)| listed.server == server) {
-                    self.pool.gone(server, &mut self.deadlines);
+                    self.pool.remove_member(server, &mut self.deadlines);
                 }
             }
         }
         for (listed, endpoint) in &members {
             let origin = self.maintenance.is_origin(listed);
-            self.pool.list(listed.server, *endpoint, origin, listed.stage, &mut self.deadlines);
+            self.pool.update_member(listed.server, *endpoint, origin, listed.stage, &mut self.deadlines);
         }
-        self.pool.recount();
+        self.pool.recompute_limits();
         let list = members.into_iter().map(|(listed, _)| listed).collect();
         self.transactions.events.push_back(Event::Servers { scope, list });
     }
 
-    /// A call to discovery failed, or the watch broke; the list in hand still holds.
+    /// A call to discovery failed, or the watch broke; the current list remains valid.
     pub fn list_failed(&mut self) {
         self.transactions.events.push_back(Event::Servers { scope: Scope::Lost, list: Vec::new() });
     }
 
     // ---- Time -----------------------------------------------------------------------------------------
 
-    /// When [`Engine::wake`] is due.
+    /// Time at which [`Engine::wake`] is due.
     pub fn next_wake(&self) -> Option<Micros> {
         self.deadlines.next()
     }
 
-    /// The sweep: each deadline that has come, in order. Costs nothing when none has.
+    /// Handles each deadline that has passed, in order. Cheap when there is none.
     pub fn wake(&mut self, now: Micros) {
         while let Some(deadline) = self.deadlines.pop_due(now) {
             match deadline {
                 Deadline::Wake => self.transactions.events.push_back(Event::Wake),
-                Deadline::Flow(flow) => match self.transactions.waits_until(flow) {
-                    Some(at) if at > now => self.sent_or_never(flow, at, now),
+                Deadline::Flow(flow) => match self.transactions.wait_deadline(flow) {
+                    Some(at) if at > now => self.extend_or_discard(flow, at, now),
                     _ => self.give_up(flow, Outcome::TimedOut, now),
                 },
                 Deadline::Transaction(id) => {
-                    self.end(id, |may_have_run| Final::Overdue { may_have_run });
+                    self.finish(id, |may_have_run| Final::Overdue { may_have_run });
                     self.transactions.events.push_back(Event::ClientLeft { request: id });
                 }
                 Deadline::Connection(conn) => self.pool.on_deadline(conn, now, &mut self.deadlines),
@@ -418,21 +426,21 @@
 
     // ---- Orders ---------------------------------------------------------------------------------------
 
-    /// What is to be done next; none when all has been said for this turn. Events go to the decisions first; only
-    /// when nothing is left for them is anything written. Guards against a flow that goes out beside the final
-    /// answer of its transaction.
+    /// The next order; none when this event-loop iteration has no more. Events are handled by the decisions
+    /// first, and only when there are none left is anything written: otherwise a flow could be sent together
+    /// with the final answer of its transaction.
     pub fn poll_order(&mut self, now: Micros) -> Option<Order> {
         loop {
             if let Some(order) = self.pool.orders.pop_front() {
                 return Some(order);
             }
             while let Some(request) = self.transactions.answered.pop() {
-                self.call_off_unsent(request, now);
+                self.cancel_unsent(request, now);
             }
             while let Some((flow, outcome)) = self.pool.lost.pop_front() {
                 self.transactions.flow_ended(flow, outcome, None, now, &mut self.deadlines);
             }
-            if let Some(transaction) = self.transactions.torn.pop() {
+            if let Some(transaction) = self.transactions.truncated.pop() {
                 return Some(Order::Break { transaction });
             }
             if let Some(event) = self.transactions.events.pop_front() {
@@ -442,20 +450,20 @@
                 self.actions = actions;
             } else {
                 self.transactions.drop_over();
-                if !self.pool.write_out(now, &mut self.deadlines) {
+                if !self.pool.flush_next(now, &mut self.deadlines) {
                     return None;
                 }
             }
         }
     }
 
-    /// What is to be written on a connection, in order: all flows that wait, as one write where the host can.
+    /// The bytes to write on a connection, in order: all waiting flows, in a single write where the host can.
     pub fn transmit(&self, conn: Conn) -> impl Iterator<Item = &[u8]> {
         self.pool.transmit(conn)
     }
 
-    /// The host is about to write on a connection. Attempts that have not begun are taken off it where the host has no open
-    /// request for them, or their time is over.
+    /// Called right before the host writes on a connection. Removes attempts that have not begun and that
+    /// have no open request at the host, or whose time is over.
     pub fn check_write(&mut self, now: Micros, conn: Conn, is_open: impl Fn(RequestId) -> bool) {
         self.pool.check_write(conn, now, is_open, &mut self.deadlines);
         for flow in std::mem::take(&mut self.pool.denied) {
@@ -463,17 +471,17 @@
         }
     }
 
-    /// Attempts that were kept from beginning since the host had no open request for them.
+    /// Number of attempts that were not allowed to begin because the host had no open request for them.
     pub fn denied(&self) -> u64 {
         self.transactions.denied
     }
 
-    /// So many bytes of that were taken.
+    /// The socket has taken this many bytes of [`transmit`](Engine::transmit).
     pub fn transmitted(&mut self, conn: Conn, bytes: usize) {
         self.pool.transmitted(conn, bytes);
-        let at = self.pool.checked();
+        let at = self.pool.last_check();
         for (flow, permitted) in self.pool.begun.drain(..) {
-            self.transactions.begins(flow, permitted, at);
+            self.transactions.first_byte_written(flow, permitted, at);
         }
     }
 
@@ -485,9 +493,9 @@
             }
             Action::Refuse { request, retry_in } => {
                 let retry_in = Some(retry_in).filter(|t| *t != 0);
-                self.end(request, |_| Final::Refused { retry_in });
+                self.finish(request, |_| Final::Refused { retry_in });
             }
-            Action::Fail { request } => self.end(request, |may_have_run| Final::Failed { may_have_run }),
+            Action::Fail { request } => self.finish(request, |may_have_run| Final::Failed { may_have_run }),
             Action::Wake { after } => {
                 self.deadlines.add(now + after, Deadline::Wake);
             }
@@ -499,7 +507,7 @@
         let Some(transaction) = self.transactions.all.get_mut(&request) else { return };
         let id = FlowId { request, attempt: transaction.flows.len() as u32 };
         self.attempts.begun += 1;
-        self.attempts.further += u64::from(id.attempt > 0);
+        self.attempts.additional += u64::from(id.attempt > 0);
         let until = if until <= 0 { transaction.due } else { until.min(transaction.due) };
         let deadline = Some(self.deadlines.add(until.min(begin), Deadline::Flow(id)));
         transaction.flows.push(FlowState { server, sent: now, until, deadline, ended: None });
@@ -514,22 +522,23 @@
         self.transactions.recorder.note(now, request, Some(id.attempt), Step::Chosen(server));
         let begin_by = begin;
         let permit = Begin { now, owed: !call.answered(), until, begin_by, server_open: true };
-        // Whether its server is open is the pool's to say.
+        // The pool checks whether the server may be sent anything new.
         if permit.check().is_err() {
             return self.transactions.flow_ended(id, Outcome::NeverSent, None, now, &mut self.deadlines);
         }
         self.pool.send(server, Flow { id, call, until, begin_by, moved: false }, now, &mut self.deadlines);
     }
 
-    /// The answer to a flow is waited for on, unless it has not been sent and may not be any more. Danger: a repeat waited for a
-    /// connection until servers had forgotten what it repeats, and its effect came twice.
-    fn sent_or_never(&mut self, flow: FlowId, at: Micros, now: Micros) {
+    /// At the deadline of a flow that may still be answered: waits until `at`, but discards the flow if it
+    /// has not been written completely. A repeat that waited for a connection for longer than servers
+    /// remember the original would have its effect twice.
+    fn extend_or_discard(&mut self, flow: FlowId, at: Micros, now: Micros) {
         let state = self.transactions.all.get(&flow.request).and_then(|t| t.flows.get(flow.attempt as usize));
         let Some(server) = state.map(|f| f.server) else { return };
-        if self.pool.forgo(server, flow, now, &mut self.deadlines) {
+        if self.pool.discard_unsent(server, flow, now, &mut self.deadlines) {
             self.transactions.flow_ended(flow, Outcome::NeverSent, None, now, &mut self.deadlines);
         } else {
-            self.transactions.wait_on(flow, at, &mut self.deadlines);
+            self.transactions.set_flow_deadline(flow, at, &mut self.deadlines);
         }
     }
 
@@ -538,8 +547,8 @@
         let transaction = self.transactions.all.get(&flow.request);
         let state = transaction.and_then(|t| t.flows.get(flow.attempt as usize));
         let Some(server) = state.filter(|f| f.ended.is_none()).map(|f| f.server) else { return };
-        // Danger: where two copies may not be out together, what is sent elsewhere next would be a second one while this
-        // connection stays open for the other flows on it.
+        // Without permission for a second copy, the next attempt elsewhere would be one as long as this
+        // connection stays open for the other flows on it: closing the connection ends this attempt.
         let owed = transaction.is_some_and(|t| !t.call.answered());
         let closes = owed && outcome == Outcome::TimedOut && !self.second_copies;
         let unsent = self.pool.abandon(server, flow, closes, now, &mut self.deadlines);
@@ -547,9 +556,9 @@
         self.transactions.flow_ended(flow, outcome, None, now, &mut self.deadlines);
     }
 
-    /// A request has got its end: its attempts that are not written whole never will be. What servers have whole is the
-    /// decisions' matter.
-    fn call_off_unsent(&mut self, request: RequestId, now: Micros) {
+    /// A request has its final answer: discards its attempts that are not written completely. The decisions
+    /// cancel those that are.
+    fn cancel_unsent(&mut self, request: RequestId, now: Micros) {
         let flows = self.transactions.all.get(&request).into_iter().flat_map(|t| t.flows.iter());
         let out = (0..).zip(flows).filter(|(_, flow)| flow.ended.is_none());
         let unsent = out.map(|(attempt, flow)| (FlowId { request, attempt }, flow.server));
@@ -559,92 +568,93 @@
         }
     }
 
-    /// The final answer that is no member's.
-    fn end(&mut self, transaction: RequestId, answer: impl FnOnce(bool) -> Final) {
+    /// Ends a transaction with a final answer that does not come from a member.
+    fn finish(&mut self, transaction: RequestId, answer: impl FnOnce(bool) -> Final) {
         if let Some(may_have_run) = self.transactions.answer(transaction, &mut self.deadlines) {
             let answer = answer(may_have_run);
             self.pool.orders.push_back(Order::Answer { transaction, answer });
         }
     }
 
-    // ---- What there is --------------------------------------------------------------------------------
+    // ---- State ----------------------------------------------------------------------------------------
 
-    /// The list names a member that may be used.
+    /// At least one listed member may be used.
     pub fn any_open(&self) -> bool {
         self.pool.any_open()
     }
 
-    /// Connections that the members there are may take, within the limit for all: what a host keeps free for them.
+    /// Number of connections that the current members may take, within the limit for all: the host reserves
+    /// as many.
     pub fn reserve(&self) -> usize {
         self.pool.reserve()
     }
 
-    /// Holds so many connections to members at the most from now on: another process of the node holds others. Flows
-    /// that are out stay.
+    /// Limits the connections to all members from now on: another process of the node has the others. Flows
+    /// in flight continue.
     pub fn limit_connections(&mut self, in_all: usize, now: Micros) {
-        self.pool.hold_to(in_all, now, &mut self.deadlines);
+        self.pool.limit_connections(in_all, now, &mut self.deadlines);
     }
 
-    /// What was written to members although it was not allowed to begin, by reason.
+    /// Attempts that were written although they were not allowed to begin, by reason.
     pub fn violations(&self) -> &Violations {
         self.pool.violations()
     }
 
-    /// The last steps of requests.
+    /// The flight recorder with the last steps of requests.
     pub fn recorder(&self) -> &Recorder {
         &self.transactions.recorder
     }
 
-    /// A request that is in hand, be it answered already.
+    /// A request that the engine holds, also when it has been answered.
     pub fn request(&self, transaction: RequestId) -> Option<&Request> {
         self.transactions.all.get(&transaction).map(|t| &t.call.request)
     }
 
     /// The attempts of a request that have not ended.
-    pub fn open_attempts(&self, transaction: RequestId) -> Vec<AttemptOut> {
+    pub fn open_attempts(&self, transaction: RequestId) -> Vec<OpenAttempt> {
         let flows = self.transactions.all.get(&transaction).into_iter().flat_map(|t| t.flows.iter());
         let out = (0..).zip(flows).filter(|(_, flow)| flow.ended.is_none());
         let describe = |(attempt, flow): (u32, &FlowState)| {
             let id = FlowId { request: transaction, attempt };
             let sent = self.pool.is_sent(flow.server, id);
-            AttemptOut { server: flow.server, endpoint: self.pool.endpoint(flow.server), sent }
+            OpenAttempt { server: flow.server, endpoint: self.pool.endpoint(flow.server), sent }
         };
         out.map(describe).collect()
     }
 
-    /// It is owed a final answer.
+    /// The transaction has no final answer yet.
     pub fn is_open(&self, transaction: RequestId) -> bool {
         self.transactions.all.get(&transaction).is_some_and(|t| !t.call.answered())
     }
 
-    /// All that are owed a final answer.
+    /// All transactions that have no final answer yet.
     pub fn open_requests(&self) -> impl Iterator<Item = RequestId> {
         let all = self.transactions.all.iter();
         all.filter(|(_, t)| !t.call.answered()).map(|(id, _)| *id)
     }
 
-    /// Transactions that are owed a final answer.
+    /// Number of transactions that have no final answer yet.
     pub fn open(&self) -> usize {
         self.transactions.open
     }
 
-    /// Server-side flows so far.
+    /// Numbers of server-side flows so far.
     pub fn attempts(&self) -> Attempts {
         self.attempts
     }
 
-    /// Flows that have begun, or wait for a connection, and those whose answer is read for nobody.
+    /// Flows that wait for a connection or are on one, including those whose answer is read and discarded.
     pub fn flows(&self) -> usize {
         self.pool.flows()
     }
 
-    /// Connections that the engine holds, those that are coming up included.
+    /// Open connections, including those that are being established.
     pub fn connections(&self) -> usize {
         self.pool.connections()
     }
 }
 
-fn told(note: &Option<ReadNote>) -> Option<CacheNote> {
+fn cache_note(note: &Option<ReadNote>) -> Option<CacheNote> {
     note.map(|note| match note {
         ReadNote::Hit => CacheNote::Hit,
         ReadNote::Fetched => CacheNote::Fetched,
@@ -652,13 +662,13 @@
     })
 }
 
-/// What an answer means for a flow.
-fn judge(answer: &memcache::Answer) -> (Outcome, Option<CacheNote>) {
+/// The outcome of a flow, and the note on the cache, that an answer stands for.
+fn flow_outcome(answer: &memcache::Answer) -> (Outcome, Option<CacheNote>) {
     match answer {
         memcache::Answer::Value { note, .. }
         | memcache::Answer::Begins { note, .. }
-        | memcache::Answer::Receipt { note, .. } => (Outcome::Served, told(note)),
-        memcache::Answer::Miss { note } => (Outcome::Miss, told(note)),
+        | memcache::Answer::Receipt { note, .. } => (Outcome::Served, cache_note(note)),
+        memcache::Answer::Miss { note } => (Outcome::Miss, cache_note(note)),
         memcache::Answer::Busy => (Outcome::Full, None),
         memcache::Answer::Failed => (Outcome::Error, None),
     }
--- a/crates/engine/src/flow.rs
+++ b/crates/engine/src/flow.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 
-/// A server-side flow: the attempt of that number for that transaction.
+/// Identifies a server-side flow: the transaction, and the number of the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FlowId {
     pub request: RequestId,
@@ -16,8 +16,8 @@
 #[derive(Debug)]
 pub(crate) struct Call {
     pub request: Request,
-    /// The final answer has gone out, or nobody waits for one: nothing more may be sent for it. Only one thread
-    /// drives an engine; it is atomic so that engines may be moved between threads.
+    /// The final answer has been given, or is not needed any more: nothing more may be sent. An engine is
+    /// driven by one thread; the flag is atomic so that engines can move between threads.
     answered: AtomicBool,
 }
 
@@ -30,7 +30,7 @@
         self.answered.load(Relaxed)
     }
 
-    /// Marks it; true if it was not before.
+    /// Marks it as answered; true if it was not before.
     pub(crate) fn answer(&self) -> bool {
         let before = self.answered();
         self.answered.store(true, Relaxed);
@@ -38,14 +38,14 @@
     }
 }
 
-/// What is to be sent, and for how long its answer is waited for.
+/// An attempt to be sent, and how long its answer is awaited.
 #[derive(Debug)]
 pub(crate) struct Flow {
     pub id: FlowId,
     pub call: Arc<Call>,
     pub until: Micros,
-    /// It may begin until then.
+    /// Latest time at which it may begin.
     pub begin_by: Micros,
-    /// It was put on a connection that turned out to be dead.
+    /// It has been moved once, from a connection that turned out to be closed.
     pub moved: bool,
 }
--- a/crates/engine/src/generations.rs
+++ b/crates/engine/src/generations.rs
@@ -1,56 +1,56 @@
-//! Settings by generation: a transaction goes by the class that it was taken under, to its last attempt, however often
-//! settings have changed since. Classes have places; one that is no longer named keeps its place until nothing is open
-//! under it.
+//! Settings by generation: a transaction keeps the class under which it was taken until its last attempt
+//! ends, however often the settings change. Classes are identified by their index; the index of a class that
+//! the settings no longer have is reused only when no transaction is open under it.
 
 use lapisrudder_decisions::{Class, Settings};
 
 /// The classes of all generations that are in use.
 #[derive(Debug)]
 pub(crate) struct Generations {
-    places: Vec<Class>,
+    slots: Vec<Class>,
 }
 
 impl Generations {
-    /// The first generation: each class has the place that the settings give it.
+    /// The first generation: each class keeps its index in the settings.
     pub(crate) fn new(settings: &mut Settings) -> Generations {
         stamp(settings);
-        Generations { places: settings.classes.clone() }
+        Generations { slots: settings.classes.clone() }
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.places.len()
+        self.slots.len()
     }
 
-    /// Takes other settings on, and gives where each of their classes has its place. `open` tells the places under
-    /// which something is open.
+    /// Applies new settings, and returns the index of each of their classes. `open` says whether a
+    /// transaction is open under an index.
     pub(crate) fn next(&mut self, settings: &mut Settings, open: impl Fn(usize) -> bool) -> Vec<usize> {
         stamp(settings);
-        let mut places: Vec<Option<usize>> = Vec::with_capacity(settings.classes.len());
-        // One that is as before keeps its place, and what was learnt of it.
+        let mut slots: Vec<Option<usize>> = Vec::with_capacity(settings.classes.len());
+        // An unchanged class keeps its index, and with it what the decisions have learned about it.
         for class in &settings.classes {
-            let same = |(place, old): (usize, &Class)| {
-                (old == class && !places.contains(&Some(place))).then_some(place)
-            };
-            let place = self.places.iter().enumerate().find_map(same);
-            places.push(place);
+            let same =
+                |(slot, old): (usize, &Class)| (old == class && !slots.contains(&Some(slot))).then_some(slot);
+            let slot = self.slots.iter().enumerate().find_map(same);
+            slots.push(slot);
         }
         for (i, class) in settings.classes.iter().enumerate() {
-            if places.get(i).is_some_and(Option::is_none) {
-                let free = (0..self.places.len()).find(|p| !open(*p) && !places.contains(&Some(*p)));
-                let place = free.unwrap_or(self.places.len());
-                match self.places.get_mut(place) {
+            if slots.get(i).is_some_and(Option::is_none) {
+                let free = (0..self.slots.len()).find(|p| !open(*p) && !slots.contains(&Some(*p)));
+                let slot = free.unwrap_or(self.slots.len());
+                match self.slots.get_mut(slot) {
                     Some(old) => *old = class.clone(),
-                    None => self.places.push(class.clone()),
+                    None => self.slots.push(class.clone()),
                 }
-                places[i] = Some(place);
+                slots[i] = Some(slot);
             }
         }
-        settings.classes = self.places.clone();
-        places.into_iter().flatten().collect()
+        settings.classes = self.slots.clone();
+        slots.into_iter().flatten().collect()
     }
 }
 
-/// Writes the settings' attempts into their classes: later settings may say others.
+/// Writes the settings' maximum number of attempts into each class, since later settings may have another
+/// one.
 fn stamp(settings: &mut Settings) {
     let most = settings.max_attempts;
     settings.classes.iter_mut().for_each(|c| _ = c.max_attempts.get_or_insert(most));
@@ -60,17 +60,18 @@
 mod tests {
     use super::*;
 
-    fn settings(max_attempts: u32, aims: &[i64]) -> Settings {
-        let classes = aims.iter().map(|aim| Class { latency_target: *aim, ..Class::default() }).collect();
+    fn settings(max_attempts: u32, targets: &[i64]) -> Settings {
+        let classes =
+            targets.iter().map(|target| Class { latency_target: *target, ..Class::default() }).collect();
         Settings { classes, max_attempts, ..Settings::default() }
     }
 
     #[test]
-    fn what_is_open_keeps_its_class_and_what_is_free_is_used_again() {
+    fn classes_with_open_transactions_are_kept_and_free_indices_reused() {
         let mut first = settings(3, &[10, 20]);
         let mut generations = Generations::new(&mut first);
         let all = |_| true;
-        // One is added; then attempts change, so that all are new; then one is dropped.
+        // A class is added; then the attempts change, so that all classes are new; then one is dropped.
         let mut added = settings(3, &[10, 20, 20]);
         assert_eq!(generations.next(&mut added, all), [0, 1, 2]);
         let mut fewer = settings(2, &[10, 20]);
@@ -82,7 +83,7 @@
         let mut dropped = settings(2, &[20]);
         assert_eq!(generations.next(&mut dropped, |_| false), [3]);
         let mut again = settings(5, &[7]);
-        assert_eq!(generations.next(&mut again, |p| p == 3), [0], "the first free place");
+        assert_eq!(generations.next(&mut again, |p| p == 3), [0], "the first free index");
         assert_eq!(again.classes[0].latency_target, 7);
         assert_eq!(generations.len(), 4);
     }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,33 +1,37 @@
-//! The node's core apart from its sockets: transactions, server-side flows, pool members with the protocol state of
-//! their connections, deadlines, and the decisions, behind one type, [`Engine`].
+//! The node's core without its sockets: transactions, server-side flows, pool members with the protocol state
+//! of their connections, deadlines, and the balancing decisions, behind one type, [`Engine`].
 //!
-//! In the manner of `quinn-proto`: what happened goes in with the time it happened, orders come out, and the caller
-//! owns sockets, clock and loop. The daemon, the plug-in and a simulated day drive the same engine.
+//! It is a state machine without I/O, in the manner of `quinn-proto`: the caller, called the host, reports
+//! each event with the time at which it happened, takes orders in return, and owns the sockets, the clock and
+//! the event loop. The daemon, the plug-in and the simulator drive the same engine.
 //!
-//! # What the host owes
+//! # What the host has to do
 //!
-//! A turn of its loop is:
+//! One iteration of its event loop is:
 //!
-//! 1. **Read first.** Tell all that has come by now: [`connected`](Engine::connected),
+//! 1. **Read first.** Report everything that has arrived: [`connected`](Engine::connected),
 //!    [`received`](Engine::received), [`ended`](Engine::ended), [`broken`](Engine::broken),
 //!    [`writable`](Engine::writable), [`listed`](Engine::listed), [`list_failed`](Engine::list_failed),
-//!    [`take`](Engine::take), [`left`](Engine::left); and [`wake`](Engine::wake) when
-//!    [`next_wake`](Engine::next_wake) has come. A flow that goes out while its transaction's answer waits unread in
-//!    a socket is work for nothing.
-//! 2. **Then carry out** what [`poll_order`](Engine::poll_order) gives, each at once, until it gives none. Before a
-//!    write the host tells which requests are open by its own record ([`check_write`](Engine::check_write)). What
-//!    carrying out brings (a connect that fails, a write that does) is told at once, and may bring more orders.
-//! 3. Wait until something happens or [`next_wake`](Engine::next_wake) has come.
+//!    [`take`](Engine::take), [`left`](Engine::left); and call [`wake`](Engine::wake) when
+//!    [`next_wake`](Engine::next_wake) is due. A flow that is sent while the answer to its transaction waits
+//!    unread in a socket is wasted work.
+//! 2. **Then carry out** the orders of [`poll_order`](Engine::poll_order), each as soon as it is returned,
+//!    until it returns none. Before a write the host states which requests are open by its own record
+//!    ([`check_write`](Engine::check_write)). Results of an order (a failed connect, a finished write) are
+//!    reported immediately, and may lead to more orders.
+//! 3. Wait until a socket is ready or [`next_wake`](Engine::next_wake) is due.
 //!
-//! Time comes in with the calls, in microseconds on any clock that does not go back; members' start times and the
-//! deadlines of requests are on the same clock. Answers of members come out while they are read, as slices of the
-//! host's buffer, through [`Answers`]; all else comes out of `poll_order`. Each transaction that was taken gets one
-//! final answer: by [`Answers::served`] or by [`Order::Answer`], unless the host said that its client has left.
+//! Time is an argument of the calls, in microseconds of any clock that never goes backwards; the start times
+//! of members and the deadlines of requests use the same clock. Answers of members are passed on while they
+//! are read, as slices of the host's buffer, through [`Answers`]; everything else is returned by
+//! `poll_order`. Each transaction that was taken gets exactly one final answer, by [`Answers::served`] or by
+//! [`Order::Answer`], unless the host has reported that its client has left.
 //!
-//! A host that is late breaks no rule: what it tells late counts from when it tells it, deadlines that have passed
-//! meanwhile are swept before anything new is sent, and nothing piles up for the time in which it was silent.
+//! A host that is late breaks no rule: an event counts from the time at which it is reported, deadlines that
+//! have passed in the meantime are handled before anything new is sent, and no work accumulates while the
+//! host is stalled.
 //!
-//! # An example
+//! # Example
 //!
 //! ```
 //! use lapisrudder_codec::memcache::{OwnedRequest, Parts};
@@ -40,12 +44,12 @@
 //! };
 //! let mut engine = Engine::new(Config { settings, ..Config::default() }, 0);
 //!
-//! // Discovery names a member.
+//! // Discovery lists a member.
 //! let listed = Listed { server: ServerId(7), weight: 1.0, ..Listed::default() };
 //! let endpoint = ([127, 0, 0, 1], 11211).into();
 //! engine.listed(Scope::Full, vec![Member { listed, endpoint }]);
 //!
-//! // A request is taken: the engine wants a connection.
+//! // A request is taken: the engine orders a connection.
 //! let parts = Parts { key: b"teacher-12", id: b"a1", class: b"read", wait_ms: 900, ..Parts::default() };
 //! let command = OwnedRequest::compose(&parts)?;
 //! let request = Request::new(command, Key(12), 0, 900_000);
@@ -53,9 +57,9 @@
 //! let Some(Order::Connect { conn, to }) = engine.poll_order(10) else { panic!() };
 //! assert_eq!((to, engine.poll_order(10)), (endpoint, None));
 //!
-//! // It has come up: the engine wants to write.
+//! // The connection is established: the engine orders a write.
 //! engine.connected(300, conn);
-//! assert_eq!(engine.poll_order(300), Some(Order::Write { conn, look: true }));
+//! assert_eq!(engine.poll_order(300), Some(Order::Write { conn, probe: true }));
 //! let bytes: Vec<u8> = engine.transmit(conn).flatten().copied().collect();
 //! assert_eq!(bytes, b"mg teacher-12 v Oa1 Pc=read,d=899\r\n");
 //! engine.transmitted(conn, bytes.len());
@@ -70,12 +74,12 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 //!
-//! # What it is not
+//! # What it does not do
 //!
-//! Not a front: it does not read clients' commands or word their answers. Not admission: how much is taken in, and
-//! from whom, is the host's matter (`lapisrudder-limits`). Not discovery: the host
-//! asks (the protocol of that is [`Watch`]), and tells the list. Not the
-//! stop of a process: that is the host's, too.
+//! It does not parse the commands of clients or encode their answers. It does no admission control: how much
+//! is accepted, and from whom, is the host's decision (`lapisrudder-limits`). It does not ask discovery: the
+//! host does that (the protocol is [`Watch`]), and reports the list. It does not stop the process; the host
+//! does.
 #![forbid(unsafe_code)]
 #![warn(missing_docs, unreachable_pub)]
 
@@ -96,7 +100,9 @@
 pub use audit::Audit;
 pub use config::{Config, Limits};
 pub use deadlines::{Deadlines, Key as DeadlineKey};
-pub use engine::{Answers, AttemptOut, Attempts, Engine, MAX_TRANSACTION_TIME, Member, OVERDUE_GRACE, TakeError};
+pub use engine::{
+    Answers, Attempts, Engine, MAX_TRANSACTION_TIME, Member, OVERDUE_GRACE, OpenAttempt, TakeError,
+};
 pub use order::{Answer, Conn, Final, Order};
 pub use request::Request;
 pub use watch::{DiscoveryAnswer, Watch, WatchEvent, WatchOrder};
--- a/crates/engine/src/order.rs
+++ b/crates/engine/src/order.rs
@@ -1,78 +1,79 @@
-//! What an engine has its host do.
+//! Orders of the engine to its host.
 
 use lapisrudder_decisions::{Micros, RequestId};
 use std::net::SocketAddr;
 
-/// A connection to a member, as engine and host name it. Never used twice.
+/// A connection to a member, as engine and host identify it. A number is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Conn(pub u64);
 
 /// What a host is to do. See the [crate](crate) for the order in which it does so.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    /// Begin to connect. The host tells of the end: [`connected`](crate::Engine::connected) or
+    /// Start to connect. The host reports the result: [`connected`](crate::Engine::connected) or
     /// [`broken`](crate::Engine::broken).
     Connect {
-        /// What the connection is to be called.
+        /// Identifier of the new connection.
         conn: Conn,
-        /// Where to.
+        /// Address to connect to.
         to: SocketAddr,
     },
-    /// Write what [`transmit`](crate::Engine::transmit) gives, as far as it is taken, at once.
+    /// Write the bytes of [`transmit`](crate::Engine::transmit) at once, as far as the socket takes them.
     Write {
         /// The connection.
         conn: Conn,
-        /// Look first whether something waits to be read on it, or it has ended: then write nothing and tell
-        /// [`broken`](crate::Engine::broken). Guards against a flow that would count as sent, and fail: nothing is
-        /// due on this connection, and no callback may have told of its end yet.
-        look: bool,
+        /// Check first whether the socket has unread input or its end: then write nothing, and report
+        /// [`broken`](crate::Engine::broken). No answer is pending on this connection, and the event loop may
+        /// not have reported its end yet; a flow written to it would count as sent, and fail.
+        probe: bool,
     },
-    /// Close a connection, whatever was on it. Nothing the host tells of it later is heard.
+    /// Close a connection, whatever is on it. Later reports on it are ignored.
     Close {
         /// The connection.
         conn: Conn,
     },
-    /// The final answer of a transaction, where no member served it.
+    /// Send the final answer of a transaction that no member has served.
     Answer {
         /// The transaction.
         transaction: RequestId,
         /// The answer.
         answer: Final,
     },
-    /// A value that has begun to be passed on ends short of its length: its client must see that.
+    /// Close the client's connection: the value that is being passed on ends short of its length, and the
+    /// client must see that it is incomplete.
     Break {
         /// The transaction.
         transaction: RequestId,
     },
-    /// Ask discovery to be told of changes to the list from now on; nothing if that runs already.
+    /// Start a watch on discovery for changes to the list, unless one is running.
     Watch,
 }
 
-/// A final answer that is no member's.
+/// A final answer that does not come from a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Final {
-    /// Turned away: a repeat does no harm.
+    /// The request was refused and did not run: a repeat does no harm.
     Refused {
-        /// When to come again, where the settings let that be told.
+        /// When the client may try again, if the settings allow to state it.
         retry_in: Option<Micros>,
     },
-    /// It failed; nothing is promised.
+    /// The request failed.
     Failed {
-        /// Some server may have run it, or may yet.
+        /// A server may have run it, or may still run it.
         may_have_run: bool,
     },
-    /// Nothing came of it in time, and the decisions did not end it either.
+    /// The deadline passed without an answer, and the decisions did not end the transaction.
     Overdue {
-        /// Some server may have run it, or may yet.
+        /// A server may have run it, or may still run it.
         may_have_run: bool,
     },
 }
 
-/// A member's answer that serves a transaction, as slices of the buffer that it was read into.
+/// The answer of a member that serves a transaction, as a slice of the buffer that it was read into.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer<'a> {
-    /// A read's value.
+    /// The value of a read.
     Value(&'a [u8]),
-    /// A write's receipt: 1 to 511 printable characters.
+    /// The receipt of a write: 1 to 511 printable characters.
     Receipt(&'a [u8]),
 }
--- a/crates/engine/src/pool/mod.rs
+++ b/crates/engine/src/pool/mod.rs
@@ -1,7 +1,7 @@
-//! Pool members: whom flows may go to, and the connections that they go on.
+//! Pool members: which flows wait for which member, and the connections that carry them.
 
 use crate::config::Limits;
-use crate::connection::{Abandoned, Connection, Heard, SETTLES, WriteChecks};
+use crate::connection::{Abandoned, AnswerPart, Connection, SETTLE_TIME, WriteChecks};
 use crate::deadlines::{self, Deadline};
 use crate::flow::{Flow, FlowId};
 use crate::order::{Conn, Order};
@@ -14,50 +14,51 @@
 
 type Deadlines = deadlines::Deadlines<Deadline>;
 
-/// A turn that puts more flows than this on connections is a burst: from there on those to one member go on one
-/// connection, up to so many. In calm times each has its own, so that none waits for the answer of another.
-const BURST: usize = 16;
-const SHARED: usize = 8;
+/// An event-loop iteration that assigns more flows than this is a burst: from there on up to
+/// [`FLOWS_PER_BURST_CONNECTION`] flows to the same member share a connection. Otherwise each flow has its
+/// own, so that none waits for the answer to another.
+const BURST_FLOWS: usize = 16;
+const FLOWS_PER_BURST_CONNECTION: usize = 8;
 
 struct PoolMember {
     endpoint: SocketAddr,
     origin: bool,
-    /// Draining or gone: nothing new may be written to it.
+    /// The member drains or is no longer listed: nothing new may be written to it.
     closed: bool,
     connections: Vec<Conn>,
     /// Flows that wait for a connection, oldest first.
     waiting: VecDeque<Flow>,
-    /// The connection that was last given a flow.
+    /// The connection that a flow was last assigned to.
     latest: Option<Conn>,
 }
 
-/// How a flow has ended without an answer.
-pub(crate) type Lost = (FlowId, Outcome);
+/// A flow that ended without an answer, and how.
+pub(crate) type LostFlow = (FlowId, Outcome);
 
 pub(crate) struct Pool {
     members: FxHashMap<ServerId, PoolMember>,
     connections: FxHashMap<Conn, Connection>,
     limits: Limits,
-    next: u64,
-    /// Flows that were put on connections in this turn.
-    put: usize,
-    /// Connections with something to write at the end of the turn.
+    next_conn: u64,
+    /// Number of flows assigned to connections in this event-loop iteration.
+    assigned: usize,
+    /// Connections with something to write at the end of the iteration.
     unwritten: Vec<Conn>,
-    /// Idle connections to members other than the origin, the one that is to close first in front.
+    /// Idle connections to members other than the origin, the next one to close first.
     idle: BTreeSet<(deadlines::Key, Conn)>,
-    /// So many of them are kept.
-    idle_most: usize,
-    /// Connections to the origin at the most.
+    /// Maximum number of those.
+    max_idle: usize,
+    /// Maximum number of connections to the origin.
     to_origin: usize,
-    /// When what is to be written was last checked, and what was written all the same.
-    checked: Micros,
+    /// Time of the last check of the flows to be written, and the flows that were written against a rule.
+    last_check: Micros,
     violations: Violations,
     /// Attempts whose first byte was written, and whether they were allowed to begin.
     pub(crate) begun: Vec<(FlowId, Result<(), Denial>)>,
-    /// Attempts that were kept from beginning since the host had no open request for them.
+    /// Attempts that were not allowed to begin because the host had no open request for them.
     pub(crate) denied: Vec<FlowId>,
-    pub(crate) lost: VecDeque<Lost>,
-    /// What the host is to do.
+    pub(crate) lost: VecDeque<LostFlow>,
+    /// Orders for the host.
     pub(crate) orders: VecDeque<Order>,
 }
 
@@ -68,12 +69,12 @@
             connections: FxHashMap::default(),
             to_origin: limits.to_origin,
             limits,
-            next: 0,
-            put: 0,
+            next_conn: 0,
+            assigned: 0,
             unwritten: Vec::new(),
             idle: BTreeSet::new(),
-            idle_most: usize::MAX,
-            checked: Micros::MIN,
+            max_idle: usize::MAX,
+            last_check: Micros::MIN,
             violations: Violations::default(),
             begun: Vec::new(),
             denied: Vec::new(),
@@ -82,8 +83,9 @@
         }
     }
 
-    /// What the list says of a member. Flows not yet begun never go to one that drains or is gone.
-    pub(crate) fn list(
+    /// Applies what the list says of a member. A flow that has not begun is never sent to a member that
+    /// drains or is gone.
+    pub(crate) fn update_member(
         &mut self,
         server: ServerId,
         endpoint: SocketAddr,
@@ -92,7 +94,7 @@
         deadlines: &mut Deadlines,
     ) {
         if stage == Stage::Gone {
-            return self.gone(server, deadlines);
+            return self.remove_member(server, deadlines);
         }
         let member = self.members.entry(server).or_insert_with(|| PoolMember {
             endpoint,
@@ -108,8 +110,8 @@
         }
     }
 
-    /// The list no longer has it. It is forgotten with its last connection.
-    pub(crate) fn gone(&mut self, server: ServerId, deadlines: &mut Deadlines) {
+    /// The list no longer has the member. Its entry is removed with its last connection.
+    pub(crate) fn remove_member(&mut self, server: ServerId, deadlines: &mut Deadlines) {
         if let Some(member) = self.members.get_mut(&server) {
             member.closed = true;
             self.retire(server, deadlines);
@@ -119,26 +121,26 @@
         }
     }
 
-    /// The list has been told of: shares out what depends on the number of members.
-    pub(crate) fn recount(&mut self) {
+    /// Recomputes the limits that depend on the number of members, after a change of the list.
+    pub(crate) fn recompute_limits(&mut self) {
         let open = self.members.values().filter(|m| !m.closed && !m.origin).count() as f64;
-        self.idle_most = (self.limits.idle_per_member * open).ceil().max(1.0) as usize;
+        self.max_idle = (self.limits.idle_per_member * open).ceil().max(1.0) as usize;
         self.to_origin = ((self.limits.to_origin_per_member * open) as usize).max(self.limits.to_origin);
     }
 
-    /// Connections to a member at the most.
-    fn most(&self, member: &PoolMember) -> usize {
+    /// Maximum number of connections to a member.
+    fn max_connections(&self, member: &PoolMember) -> usize {
         if member.origin { self.to_origin } else { self.limits.per_member }
     }
 
-    /// Other limits from now on, but for how many connections there may be in all.
-    pub(crate) fn relimit(&mut self, limits: Limits) {
+    /// Applies new limits, except the one on all connections.
+    pub(crate) fn set_limits(&mut self, limits: Limits) {
         self.limits = Limits { in_all: self.limits.in_all, ..limits };
-        self.recount();
+        self.recompute_limits();
     }
 
-    /// So many connections to all of them at the most from now on; idle ones beyond close.
-    pub(crate) fn hold_to(&mut self, in_all: usize, now: Micros, deadlines: &mut Deadlines) {
+    /// Limits the number of connections to all members from now on, and closes idle ones beyond it.
+    pub(crate) fn limit_connections(&mut self, in_all: usize, now: Micros, deadlines: &mut Deadlines) {
         self.limits.in_all = in_all;
         while self.connections.len() > in_all
             && let Some((_, id)) = self.idle.pop_first()
@@ -147,11 +149,11 @@
         }
     }
 
-    /// Nothing new goes to a member: what waits ends, and connections without a flow close.
+    /// Sends nothing new to a member: waiting flows end, and connections without a flow close.
     fn retire(&mut self, server: ServerId, deadlines: &mut Deadlines) {
         let Some(member) = self.members.get_mut(&server) else { return };
         self.lost.extend(member.waiting.drain(..).map(|f| (f.id, Outcome::NeverSent)));
-        let free = |c: &Connection| c.idle() || !c.up;
+        let free = |c: &Connection| c.is_idle() || !c.up;
         let ids = member.connections.iter().copied();
         let ids: Vec<Conn> = ids.filter(|id| self.connections.get(id).is_some_and(free)).collect();
         ids.into_iter().for_each(|id| {
@@ -163,9 +165,9 @@
         self.members.keys().copied().collect()
     }
 
-    /// Connections that the members there are may take, within the limit for all.
+    /// Number of connections that the current members may take, within the limit for all.
     pub(crate) fn reserve(&self) -> usize {
-        let needs = |m: &PoolMember| if m.closed { m.connections.len() } else { self.most(m) };
+        let needs = |m: &PoolMember| if m.closed { m.connections.len() } else { self.max_connections(m) };
         self.members.values().map(needs).sum::<usize>().min(self.limits.in_all)
     }
 
@@ -173,13 +175,14 @@
         self.connections.len()
     }
 
-    /// Connections, members, flows carried that somebody waits for, flows waiting, places, and bytes held.
+    /// Connections, members, flows on connections that are not abandoned, waiting flows, slots, and buffered
+    /// bytes.
     pub(crate) fn audit(&self) -> (usize, usize, usize, usize, usize, usize) {
         let mut sums = (self.connections.len(), self.members.len(), 0, 0, 0, 0);
         sums.3 = self.members.values().map(|m| m.waiting.len()).sum();
         for c in self.connections.values() {
-            let (carried, places, bytes) = c.audit();
-            (sums.2, sums.4, sums.5) = (sums.2 + carried, sums.4 + places, sums.5 + bytes);
+            let (carried, slots, bytes) = c.audit();
+            (sums.2, sums.4, sums.5) = (sums.2 + carried, sums.4 + slots, sums.5 + bytes);
         }
         sums
     }
@@ -193,7 +196,7 @@
         self.members.values().any(|m| !m.closed)
     }
 
-    /// Begins a flow.
+    /// Starts a flow.
     pub(crate) fn send(&mut self, server: ServerId, flow: Flow, now: Micros, deadlines: &mut Deadlines) {
         match self.members.get_mut(&server).filter(|m| !m.closed) {
             Some(member) => member.waiting.push_back(flow),
@@ -202,38 +205,44 @@
         self.dispatch(server, now, deadlines);
     }
 
-    /// Finds connections for the flows that wait: an idle one, else a new one, else behind the fewest others.
+    /// Finds connections for the waiting flows: an idle one, else a new one, else the one with the fewest
+    /// flows.
     fn dispatch(&mut self, server: ServerId, now: Micros, deadlines: &mut Deadlines) {
         while let Some(member) = self.members.get(&server).filter(|m| !m.closed && !m.waiting.is_empty()) {
             let known = |id: &Conn| self.connections.get(id).filter(|c| c.endpoint == member.endpoint);
             let stalled = now - self.limits.connect_timeout;
-            // Guards the node's processor in a burst: what many clients have asked for at once goes out in few writes,
-            // and comes back in few reads.
-            let shares = |id: &Conn| known(id).is_some_and(|c| c.shares(SHARED.min(self.limits.multiplex)));
-            let burst = self.put >= BURST && !member.origin;
+            // In a burst, sharing connections saves processor time: many requests go out in few writes, and
+            // their answers arrive in few reads.
+            let shares = |id: &Conn| {
+                known(id).is_some_and(|c| c.can_share(FLOWS_PER_BURST_CONNECTION.min(self.limits.multiplex)))
+            };
+            let burst = self.assigned >= BURST_FLOWS && !member.origin;
             let shared = member.latest.filter(|id| burst && shares(id));
-            // The one used last: those that few requests need stay idle, and close before their member does so.
+            // The idle connection used last: connections that the load does not need then stay idle, and are
+            // closed here before their member closes them.
             let idle = || {
-                let idle = member.connections.iter().filter(|id| known(id).is_some_and(Connection::ready));
+                let idle = member.connections.iter().filter(|id| known(id).is_some_and(Connection::is_ready));
                 idle.max_by_key(|id| known(id).and_then(|c| c.deadline)).copied()
             };
             let mut to = shared.or_else(idle);
             if to.is_none() {
-                let coming = member.connections.iter().filter(|id| known(id).is_some_and(|c| !c.up)).count();
-                if coming >= member.waiting.len() {
+                let connecting =
+                    member.connections.iter().filter(|id| known(id).is_some_and(|c| !c.up)).count();
+                if connecting >= member.waiting.len() {
                     return;
                 }
-                // Guards against connections that fall silent while their member answers on others: up to as many
-                // again may take their place.
-                let stalls = |id: &&Conn| known(id).is_some_and(|c| c.stalls(stalled));
-                let most = self.most(member);
-                let most = most + member.connections.iter().filter(stalls).count().min(most);
-                // Guards small requests against slow readers of large values, who would have all connections.
-                let streams = |id: &&Conn| known(id).is_some_and(Connection::streams);
+                // A connection may fall silent while its member answers on others: stalled ones may be
+                // replaced, up to the same limit again.
+                let stalls = |id: &&Conn| known(id).is_some_and(|c| c.is_stalled(stalled));
+                let max = self.max_connections(member);
+                let max = max + member.connections.iter().filter(stalls).count().min(max);
+                // Connections with a large value do not count: slow readers of large values would otherwise
+                // use up all connections, and small requests would have none.
+                let streams = |id: &&Conn| known(id).is_some_and(Connection::is_streaming);
                 let streams = member.connections.iter().filter(streams).count();
-                let room =
-                    member.connections.len() - streams < most && self.connections.len() < self.limits.in_all;
-                if room || member.connections.is_empty() {
+                let has_capacity =
+                    member.connections.len() - streams < max && self.connections.len() < self.limits.in_all;
+                if has_capacity || member.connections.is_empty() {
                     self.connect(server, now, deadlines);
                     continue;
                 }
@@ -241,29 +250,31 @@
             }
             let Some(id) = to else { return };
             let flow = self.members.get_mut(&server).and_then(|m| m.waiting.pop_front());
-            flow.into_iter().for_each(|flow| self.put(id, flow, now, deadlines));
+            flow.into_iter().for_each(|flow| self.assign(id, flow, now, deadlines));
         }
     }
 
-    /// The connection with the fewest flows that may take another; of those the one that got on last.
+    /// The connection with the fewest flows that may take another; of several, the one whose first flow was
+    /// assigned last.
     fn least_busy(&self, server: ServerId, now: Micros) -> Option<Conn> {
         let member = self.members.get(&server)?;
-        // Guards against a request that runs after its final answer: over HTTP the origin begins a request only
-        // when the one before it is answered, and one called off meanwhile could not be taken back.
-        let most = if member.origin { 1 } else { self.limits.multiplex };
+        // Over HTTP the origin starts a request only when the one before it is answered. One that was
+        // cancelled while it waited behind another could not be taken back, and would run after its final
+        // answer.
+        let max = if member.origin { 1 } else { self.limits.multiplex };
         let known = |id: &Conn| self.connections.get(id).filter(|c| c.endpoint == member.endpoint);
         let loads = member
             .connections
             .iter()
-            .filter_map(|id| Some((known(id)?.load(most, now - self.limits.connect_timeout)?, *id)));
+            .filter_map(|id| Some((known(id)?.load(max, now - self.limits.connect_timeout)?, *id)));
         loads.min().map(|(_, id)| id)
     }
 
-    /// Begins to connect.
+    /// Orders a new connection.
     fn connect(&mut self, server: ServerId, now: Micros, deadlines: &mut Deadlines) {
         let Some(member) = self.members.get_mut(&server) else { return };
-        let id = Conn(self.next);
-        self.next += 1;
+        let id = Conn(self.next_conn);
+        self.next_conn += 1;
         self.orders.push_back(Order::Connect { conn: id, to: member.endpoint });
         let mut connection = Connection::new(server, member.endpoint, member.origin);
         let at = now + self.limits.connect_timeout;
@@ -272,81 +283,82 @@
         self.connections.insert(id, connection);
     }
 
-    /// The host found nothing to connect with: flows that have no other connection to wait for were never sent.
-    /// Guards members against being blamed for what the node itself lacks.
+    /// The host is out of a resource that a connect needs. Flows that have no other connection to wait for
+    /// end as never sent, so that the member is not blamed for a shortage of this node.
     pub(crate) fn not_opened(&mut self, id: Conn, now: Micros, deadlines: &mut Deadlines) {
         if let Some((server, _)) = self.remove(id, deadlines) {
             self.not_connected(server, Outcome::NeverSent, now, deadlines);
         }
     }
 
-    /// A connection did not come up. Flows beyond those that still have one to wait for go behind others, or
-    /// wait on, where the member has connections; the rest end with this outcome. Guards against taking a full table
-    /// for a dead machine.
+    /// A connect failed. Flows that cannot wait for another pending connect are assigned to established
+    /// connections, and end with this outcome if there is none: a member whose connection table is full
+    /// refuses connects, and must not be taken for dead.
     fn not_connected(&mut self, server: ServerId, outcome: Outcome, now: Micros, deadlines: &mut Deadlines) {
         loop {
             let Some(member) = self.members.get_mut(&server) else { return };
-            let coming = |id: &&Conn| self.connections.get(id).is_some_and(|c| !c.up || c.origin);
-            if member.waiting.len() <= member.connections.iter().filter(coming).count() {
+            let connecting = |id: &&Conn| self.connections.get(id).is_some_and(|c| !c.up || c.origin);
+            if member.waiting.len() <= member.connections.iter().filter(connecting).count() {
                 return;
             }
             let Some(flow) = member.waiting.pop_front() else { return };
             match self.least_busy(server, now) {
-                Some(id) => self.put(id, flow, now, deadlines),
+                Some(id) => self.assign(id, flow, now, deadlines),
                 None => self.lost.push_back((flow.id, outcome)),
             }
         }
     }
 
-    /// Puts a flow on a connection that is up.
-    fn put(&mut self, id: Conn, flow: Flow, now: Micros, deadlines: &mut Deadlines) {
+    /// Assigns a flow to an established connection.
+    fn assign(&mut self, id: Conn, flow: Flow, now: Micros, deadlines: &mut Deadlines) {
         let Some(c) = self.connections.get_mut(&id) else { return };
-        unschedule(&mut self.idle, id, c.deadline.take(), deadlines);
-        c.put(flow, now);
-        self.put += 1;
+        cancel_deadline(&mut self.idle, id, c.deadline.take(), deadlines);
+        c.assign(flow, now);
+        self.assigned += 1;
         if let Some(member) = self.members.get_mut(&c.server) {
             member.latest = Some(id);
         }
-        if !std::mem::replace(&mut c.queued, true) {
+        if !std::mem::replace(&mut c.write_pending, true) {
             self.unwritten.push(id);
         }
     }
 
-    /// Orders the next write of what this turn has put on connections. Guards against a flow that goes out beside
-    /// the final answer of its transaction: all that has come in by now has been read first. False if there was
-    /// nothing to see to.
-    pub(crate) fn write_out(&mut self, now: Micros, deadlines: &mut Deadlines) -> bool {
+    /// Orders the next write for the flows assigned in this iteration. Called when everything that has
+    /// arrived is read, so that no flow is sent together with the final answer of its transaction. False if
+    /// nothing was left to do.
+    pub(crate) fn flush_next(&mut self, now: Micros, deadlines: &mut Deadlines) -> bool {
         let Some(id) = self.unwritten.pop() else {
-            self.put = 0;
+            self.assigned = 0;
             return false;
         };
         self.flush(id, now, deadlines);
-        self.freed(id, now, deadlines);
+        self.reuse_or_idle(id, now, deadlines);
         true
     }
 
-    /// Orders a write of what may still go out. Guards the drain rule: a flow that has waited for a connection or
-    /// behind a full socket while its member began to drain must not begin. Nor may one whose transaction
-    /// another flow has served in the same turn, before the decisions could call this one off.
+    /// Orders a write of the flows that may still be sent. A flow may have waited for a connection, or behind
+    /// a full socket, while its member began to drain, or another flow may have served its transaction in the
+    /// same iteration before the decisions could cancel this one: neither may begin.
     fn flush(&mut self, id: Conn, now: Micros, deadlines: &mut Deadlines) {
         let Some(c) = self.connections.get_mut(&id) else { return };
-        c.queued = false;
+        c.write_pending = false;
         if !c.up {
             return;
         }
         let server_open = self.members.get(&c.server).is_some_and(|m| !m.closed);
         c.drop_unbegun(now, server_open, |flow| self.lost.push_back((flow, Outcome::NeverSent)));
-        c.tell_anew(now);
-        self.checked = now;
-        // What was dropped may have been all that kept a connection whose other flows were given up.
-        if c.is_stale() || c.is_useless() {
+        c.refresh_wait(now);
+        self.last_check = now;
+        // The dropped flows may have been the only ones on the connection that were not abandoned.
+        if c.has_stray_input() || c.is_abandoned() {
             self.close(id, now, deadlines);
         } else if c.transmit().next().is_some() {
-            self.orders.push_back(Order::Write { conn: id, look: c.is_fresh() });
+            self.orders.push_back(Order::Write { conn: id, probe: c.front_is_unsent() });
         }
     }
 
-    /// Takes attempts off a connection that may not begin now: for some the host has no open request.
+    /// Removes the attempts on a connection that may not begin now, including those without an open request
+    /// at the host.
     pub(crate) fn check_write(
         &mut self,
         id: Conn,
@@ -364,11 +376,11 @@
             lost.push_back((flow, Outcome::NeverSent));
         });
         let dropped = c.flows() < before;
-        self.checked = now;
-        if dropped && c.is_useless() {
+        self.last_check = now;
+        if dropped && c.is_abandoned() {
             self.close(id, now, deadlines);
         } else if dropped {
-            self.freed(id, now, deadlines);
+            self.reuse_or_idle(id, now, deadlines);
         }
     }
 
@@ -377,34 +389,34 @@
     }
 
     pub(crate) fn transmitted(&mut self, id: Conn, bytes: usize) {
-        let Pool { connections, members, checked, violations, begun, .. } = self;
+        let Pool { connections, members, last_check, violations, begun, .. } = self;
         let Some(c) = connections.get_mut(&id) else { return };
         let server_open = members.get(&c.server).is_some_and(|m| !m.closed);
-        let mut checks = WriteChecks { now: *checked, server_open, violations, begun };
+        let mut checks = WriteChecks { now: *last_check, server_open, violations, begun };
         c.transmitted(bytes, &mut checks);
     }
 
-    /// When what is written was last checked.
-    pub(crate) fn checked(&self) -> Micros {
-        self.checked
+    /// Time of the last check of the flows to be written.
+    pub(crate) fn last_check(&self) -> Micros {
+        self.last_check
     }
 
-    /// What was written although it was not allowed to begin.
+    /// Attempts that were written although they were not allowed to begin.
     pub(crate) fn violations(&self) -> &Violations {
         &self.violations
     }
 
-    /// A connect has come up.
+    /// A connection is established.
     pub(crate) fn connected(&mut self, id: Conn, now: Micros, deadlines: &mut Deadlines) {
         let Some(c) = self.connections.get_mut(&id).filter(|c| !c.up) else { return };
         c.up = true;
-        self.freed(id, now, deadlines);
+        self.reuse_or_idle(id, now, deadlines);
     }
 
-    /// It may be written to again, if there is anything to write.
+    /// A connection can be written to again; notes it if there is anything to write.
     pub(crate) fn writable(&mut self, id: Conn) {
         let Some(c) = self.connections.get_mut(&id).filter(|c| c.transmit().next().is_some()) else { return };
-        if !std::mem::replace(&mut c.queued, true) {
+        if !std::mem::replace(&mut c.write_pending, true) {
             self.unwritten.push(id);
         }
     }
@@ -413,35 +425,35 @@
         self.connections.get(&id).is_some_and(Connection::expects)
     }
 
-    /// The connection that a flow is on.
+    /// The connection that carries a flow.
     fn carrier(&self, server: ServerId, flow: FlowId) -> Option<Conn> {
         let mut ids = self.members.get(&server)?.connections.iter().copied();
         ids.find(|id| self.connections.get(id).is_some_and(|c| c.carries(flow)))
     }
 
-    /// All of a flow has been written.
+    /// A flow has been written completely.
     pub(crate) fn is_sent(&self, server: ServerId, flow: FlowId) -> bool {
         let on = self.carrier(server, flow).and_then(|id| self.connections.get(&id));
         on.is_some_and(|c| c.is_sent(flow))
     }
 
-    /// Where a member answers.
+    /// Address of a member.
     pub(crate) fn endpoint(&self, server: ServerId) -> Option<SocketAddr> {
         self.members.get(&server).map(|m| m.endpoint)
     }
 
-    pub(crate) fn holds(&self, id: Conn) -> bool {
-        self.connections.get(&id).is_some_and(|c| c.held)
+    pub(crate) fn is_read_paused(&self, id: Conn) -> bool {
+        self.connections.get(&id).is_some_and(|c| c.read_paused)
     }
 
-    /// Gives the connection on which a flow was held back, which is read on from here on.
+    /// Resumes reading on the connection whose large value was paused, and returns it.
     pub(crate) fn resume(&mut self, server: ServerId, flow: FlowId) -> Option<Conn> {
         let id = self.carrier(server, flow)?;
-        let held = self.connections.get_mut(&id).is_some_and(|c| std::mem::take(&mut c.held));
-        held.then_some(id)
+        let paused = self.connections.get_mut(&id).is_some_and(|c| std::mem::take(&mut c.read_paused));
+        paused.then_some(id)
     }
 
-    /// Takes the answers that are whole. False if the connection is over.
+    /// Takes the complete answers. False if the connection is closed.
     pub(crate) fn received(
         &mut self,
         id: Conn,
@@ -449,37 +461,37 @@
         ended: bool,
         now: Micros,
         deadlines: &mut Deadlines,
-        mut answered: impl FnMut(&Flow, Heard) -> bool,
+        mut answered: impl FnMut(&Flow, AnswerPart) -> bool,
     ) -> bool {
-        // Nothing can come on a connection that is not up: its host has mixed them up.
+        // Nothing can arrive on a connection that is not established: the host has confused two connections.
         let Some(c) = self.connections.get_mut(&id).filter(|c| c.up) else { return false };
-        let of_use = c.received(bytes, ended, now, &mut answered);
-        if c.unnamed.is_some() && c.idle() {
-            c.settles = Some(now + SETTLES);
+        let usable = c.received(bytes, ended, now, &mut answered);
+        if c.last_unnamed.is_some() && c.is_idle() {
+            c.settles_at = Some(now + SETTLE_TIME);
         }
-        match of_use {
-            true => self.freed(id, now, deadlines),
+        match usable {
+            true => self.reuse_or_idle(id, now, deadlines),
             false => self.close(id, now, deadlines),
         }
-        of_use
+        usable
     }
 
-    /// What was told as ended on a connection may still be out on it.
-    pub(crate) fn is_doubtful(&self, id: Conn) -> bool {
-        self.connections.get(&id).is_some_and(|c| c.doubtful)
+    /// A flow that was reported as ended may still be in flight on this connection.
+    pub(crate) fn is_ambiguous(&self, id: Conn) -> bool {
+        self.connections.get(&id).is_some_and(|c| c.ambiguous)
     }
 
-    /// A connection with nothing on it takes what waits longest, or stands idle for a while.
-    fn freed(&mut self, id: Conn, now: Micros, deadlines: &mut Deadlines) {
-        let Some(c) = self.connections.get_mut(&id).filter(|c| c.idle()) else { return };
-        unschedule(&mut self.idle, id, c.deadline.take(), deadlines);
+    /// A connection without flows takes the one that has waited longest, or becomes idle.
+    fn reuse_or_idle(&mut self, id: Conn, now: Micros, deadlines: &mut Deadlines) {
+        let Some(c) = self.connections.get_mut(&id).filter(|c| c.is_idle()) else { return };
+        cancel_deadline(&mut self.idle, id, c.deadline.take(), deadlines);
         let member = self.members.get_mut(&c.server).filter(|m| !m.closed && m.endpoint == c.endpoint);
-        if let (Some(at), Some(_)) = (c.settles, &member) {
+        if let (Some(at), Some(_)) = (c.settles_at, &member) {
             c.deadline = Some(deadlines.add(at, Deadline::Connection(id)));
             return;
         }
         match member.map(|m| m.waiting.pop_front()) {
-            Some(Some(flow)) => self.put(id, flow, now, deadlines),
+            Some(Some(flow)) => self.assign(id, flow, now, deadlines),
             Some(None) => {
                 let key = deadlines.add(now + self.limits.idle, Deadline::Connection(id));
                 c.deadline = Some(key);
@@ -492,31 +504,32 @@
         }
     }
 
-    /// Closes the idle connections that were used longest ago, down to what is kept. Guards the members' tables: with
-    /// as many nodes as a table has places, each would keep one for good that it uses once in seconds.
+    /// Closes the idle connections that were used longest ago, down to the maximum. With as many nodes as a
+    /// member's table has entries, each node would otherwise permanently keep a connection that it uses once
+    /// in several seconds.
     fn trim_idle(&mut self, now: Micros, deadlines: &mut Deadlines) {
-        while self.idle.len() > self.idle_most
+        while self.idle.len() > self.max_idle
             && let Some((_, id)) = self.idle.pop_first()
         {
             self.close(id, now, deadlines);
         }
     }
 
-    /// The time of a connection is over: it did not come up, or was idle for long.
+    /// A connection was not established in time, its settle time is over, or it was idle for too long.
     pub(crate) fn on_deadline(&mut self, id: Conn, now: Micros, deadlines: &mut Deadlines) {
         if let Some(c) = self.connections.get_mut(&id) {
-            unschedule(&mut self.idle, id, c.deadline.take(), deadlines);
-            if c.settles.take().is_some() {
-                return self.freed(id, now, deadlines);
+            cancel_deadline(&mut self.idle, id, c.deadline.take(), deadlines);
+            if c.settles_at.take().is_some() {
+                return self.reuse_or_idle(id, now, deadlines);
             }
             if !c.up {
-                warn!(about = %c.endpoint, "cannot connect: no answer in time");
+                warn!(about = %c.endpoint, "cannot connect: timed out");
             }
             self.close(id, now, deadlines);
         }
     }
 
-    /// Closes a connection, and finds others for what waits.
+    /// Closes a connection, and finds others for the waiting flows.
     pub(crate) fn close(&mut self, id: Conn, now: Micros, deadlines: &mut Deadlines) {
         match self.remove(id, deadlines) {
             Some((server, true)) => self.dispatch(server, now, deadlines),
@@ -525,11 +538,12 @@
         }
     }
 
-    /// Closes a connection. Each flow on it ends, or waits for another. Gives the member and whether it was up.
+    /// Removes a connection. Each flow on it ends, or waits for another connection. Returns the member, and
+    /// whether the connection was established.
     fn remove(&mut self, id: Conn, deadlines: &mut Deadlines) -> Option<(ServerId, bool)> {
         let c = self.connections.remove(&id)?;
-        unschedule(&mut self.idle, id, c.deadline, deadlines);
-        self.forget_socket(id, c.up);
+        cancel_deadline(&mut self.idle, id, c.deadline, deadlines);
+        self.order_close(id, c.up);
         let (server, up) = (c.server, c.up);
         let mut moved = VecDeque::new();
         for end in c.close() {
@@ -551,18 +565,18 @@
         Some((server, up))
     }
 
-    /// The host's socket goes, too, unless it has not heard of the connection yet.
-    fn forget_socket(&mut self, id: Conn, up: bool) {
-        let unheard = |o: &Order| matches!(o, Order::Connect { conn, .. } if *conn == id);
-        match self.orders.iter().position(unheard).filter(|_| !up) {
-            Some(place) => drop(self.orders.remove(place)),
+    /// Orders the host to close its socket, unless it has not yet been ordered to open it.
+    fn order_close(&mut self, id: Conn, up: bool) {
+        let is_connect = |o: &Order| matches!(o, Order::Connect { conn, .. } if *conn == id);
+        match self.orders.iter().position(is_connect).filter(|_| !up) {
+            Some(index) => drop(self.orders.remove(index)),
             None => self.orders.push_back(Order::Close { conn: id }),
         }
     }
 
-    /// A flow that has not been written whole never will be: where it has begun its connection closes, whatever else is on it.
-    /// False if it has, and goes on.
-    pub(crate) fn forgo(
+    /// Discards a flow that has not been written completely. If a part of it was written, its connection
+    /// closes, with all other flows on it. False if it was written completely, and continues.
+    pub(crate) fn discard_unsent(
         &mut self,
         server: ServerId,
         flow: FlowId,
@@ -572,13 +586,14 @@
         !self.is_sent(server, flow) && self.abandon(server, flow, true, now, deadlines)
     }
 
-    /// Nobody waits for a flow any more. Its connection closes, which tells the member, unless that would
-    /// break neighbours that are sent; `called_off` it does so all the same. True if it was never sent whole, nor ever will be.
+    /// Stops waiting for a flow. Its connection closes, by which the member learns of it, unless another flow
+    /// on it has been written and is awaited; with `force_close` it closes in any case. True if the flow was
+    /// not written completely and never will be.
     pub(crate) fn abandon(
         &mut self,
         server: ServerId,
         flow: FlowId,
-        called_off: bool,
+        force_close: bool,
         now: Micros,
         deadlines: &mut Deadlines,
     ) -> bool {
@@ -592,21 +607,21 @@
             return false;
         };
         let abandoned = c.abandon(flow);
-        let half_written = abandoned == Abandoned::Begun && !c.expects_wanted();
-        let closes = c.is_useless() || half_written || called_off && abandoned != Abandoned::Unbegun;
+        let half_written = abandoned == Abandoned::Begun && !c.expects_awaited();
+        let closes = c.is_abandoned() || half_written || force_close && abandoned != Abandoned::Unbegun;
         if closes {
             self.close(id, now, deadlines);
         } else {
-            self.freed(id, now, deadlines);
+            self.reuse_or_idle(id, now, deadlines);
         }
-        // Danger: the rest of one that was begun is still written where the connection lives on, and then it runs: it was
-        // told as never sent, and its effect repeated elsewhere.
+        // Where the connection stays open, the rest of a half-written flow is still written, and the request
+        // runs. Reported as never sent, it would be repeated elsewhere and have its effect twice.
         abandoned == Abandoned::Unbegun || abandoned == Abandoned::Begun && closes
     }
 }
 
-/// Takes back the deadline of a connection, which may be that of its idle time.
-fn unschedule(
+/// Removes the deadline of a connection, and its entry among the idle ones.
+fn cancel_deadline(
     idle: &mut BTreeSet<(deadlines::Key, Conn)>,
     id: Conn,
     key: Option<deadlines::Key>,
--- a/crates/engine/src/recorder.rs
+++ b/crates/engine/src/recorder.rs
@@ -1,15 +1,16 @@
-//! A flight recorder: the last steps of requests, kept in memory, so that a rare event leaves a trace without debug logs.
+//! A flight recorder: the last steps of requests, kept in memory, so that a rare event leaves a trace without
+//! debug logs.
 
 use lapisrudder_decisions::permit::Denial;
 use lapisrudder_decisions::{Micros, Outcome, RequestId, ServerId};
 use std::fmt;
 
-/// Steps that are kept. Older ones are overwritten.
+/// Number of steps that are kept. Older ones are overwritten.
 pub const CAPACITY: usize = 2048;
-/// Bytes of a client's request id that are kept.
+/// Number of bytes of a client's request id that are kept.
 const ID_BYTES: usize = 24;
 
-/// The id that a client gave its request, cut to a fixed length.
+/// The id that a client gave its request, truncated to a fixed length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientId {
     bytes: [u8; ID_BYTES],
@@ -17,7 +18,7 @@
 }
 
 impl ClientId {
-    /// The first bytes of an id.
+    /// Keeps the first bytes of an id.
     pub fn new(id: &[u8]) -> ClientId {
         let length = id.len().min(ID_BYTES);
         let mut bytes = [0; ID_BYTES];
@@ -38,44 +39,44 @@
 /// Why a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// A server's answer was passed on.
+    /// The answer of a server was passed on.
     Served,
     /// The decisions refused it.
     Refused,
-    /// The decisions let it fail.
+    /// The decisions ended it as failed.
     Failed,
-    /// Its time was over, and nothing else had ended it.
+    /// Its deadline passed without another end.
     Overdue,
-    /// The limits took it back.
+    /// The limits withdrew it.
     Recalled,
-    /// Its client's connection is gone.
+    /// The client's connection is closed.
     ClientLeft,
-    /// Its value broke off.
+    /// Its value ended short of its length.
     BrokenOff,
-    /// The process is about to end.
+    /// The process is about to exit.
     LastCall,
-    /// The drain of its connection is over.
+    /// The drain time of its connection is over.
     DrainOver,
-    /// The host had no record of it.
+    /// The host had no record of the request.
     Unknown,
 }
 
-/// What happened to a request.
+/// A step in the processing of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// It was taken, under this id of its client.
+    /// The request was taken, under this client's id.
     Taken(ClientId),
-    /// An attempt was given to a server's pool of connections.
+    /// An attempt was assigned to this server.
     Chosen(ServerId),
     /// The first byte of an attempt was written.
     Begun(ServerId),
-    /// An attempt was kept from beginning.
+    /// An attempt was not allowed to begin.
     Denied(ServerId, Denial),
     /// An attempt ended.
     AttemptEnded(ServerId, Outcome),
-    /// It ended for its client.
+    /// The request ended for its client.
     Ended(EndReason),
-    /// A rule was broken.
+    /// An attempt began although this rule forbids it.
     Violated(Denial),
 }
 
@@ -98,13 +99,13 @@
 /// A step with its time and its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// When, in microseconds on the caller's clock.
+    /// Time, in microseconds of the caller's clock.
     pub at: Micros,
-    /// Whose.
+    /// The request.
     pub request: RequestId,
-    /// Of which attempt, counted from 0, where it is about one.
+    /// Number of the attempt, from 0, if the step concerns one.
     pub attempt: Option<u32>,
-    /// What.
+    /// The step.
     pub step: Step,
 }
 
@@ -122,24 +123,24 @@
 #[derive(Clone, Debug, Default)]
 pub struct Recorder {
     entries: Vec<Entry>,
-    /// The place of the oldest entry, once all places are taken.
+    /// Index of the oldest entry, once all slots are used.
     oldest: usize,
 }
 
 impl Recorder {
-    /// Keeps a step.
+    /// Adds a step.
     pub fn note(&mut self, at: Micros, request: RequestId, attempt: Option<u32>, step: Step) {
         let entry = Entry { at, request, attempt, step };
         if self.entries.len() < CAPACITY {
             return self.entries.push(entry);
         }
-        if let Some(place) = self.entries.get_mut(self.oldest) {
-            *place = entry;
+        if let Some(slot) = self.entries.get_mut(self.oldest) {
+            *slot = entry;
         }
         self.oldest = (self.oldest + 1) % CAPACITY;
     }
 
-    /// All that is kept, oldest first.
+    /// All steps that are kept, oldest first.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         let (newer, older) = self.entries.split_at(self.oldest.min(self.entries.len()));
         older.iter().chain(newer)
@@ -151,7 +152,7 @@
     use super::*;
 
     #[test]
-    fn the_last_steps_are_kept_in_their_order() {
+    fn the_last_steps_are_kept_in_order() {
         let mut recorder = Recorder::default();
         let last = CAPACITY as u64 + 10;
         for n in 0..last {
@@ -162,7 +163,7 @@
     }
 
     #[test]
-    fn a_step_reads_as_one_line() {
+    fn a_step_is_displayed_as_one_line() {
         let entry = |attempt, step| Entry { at: 5, request: RequestId(7), attempt, step }.to_string();
         let id = ClientId::new(b"an id that is longer than what is kept");
         assert_eq!(entry(None, Step::Taken(id)), "5 #7 taken id=an id that is longer tha");
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -1,37 +1,39 @@
-//! What a transaction is about, whatever front took it.
+//! The request of a transaction, independent of the protocol in which the client sent it.
 
 use lapisrudder_codec::memcache::OwnedRequest;
 use lapisrudder_decisions::{Key, Micros, NewRequest, RequestId};
 
-/// A client's request, typed.
+/// A parsed client request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// What members get: key, id, value and list, parsed once. Fronts of other protocols compose one
-    /// ([`OwnedRequest::compose`]).
+    /// The request as members get it: key, id, value and list of options, parsed once. Hosts with another client
+    /// protocol build it by [`OwnedRequest::compose`].
     pub command: OwnedRequest,
     /// A hash of the key, the same at every balancer.
     pub key: Key,
-    /// Its class, as a place in the settings.
+    /// Index of its class in the settings.
     pub class: usize,
-    /// Its tenant, as a place in the settings.
+    /// Index of its tenant in the settings.
     pub tenant: usize,
-    /// Rough cost on a standard core.
+    /// Rough cost in time on a standard core.
     pub hint: Option<Micros>,
     /// The client marked it as a repeat.
     pub repeated: bool,
-    /// When its final answer is given at the latest. Held to [`MAX_TRANSACTION_TIME`](crate::MAX_TRANSACTION_TIME) from when it is taken.
+    /// Deadline of its final answer, limited to [`MAX_TRANSACTION_TIME`](crate::MAX_TRANSACTION_TIME) after
+    /// it was taken.
     pub due: Micros,
-    /// The client waits so much longer: what the host keeps back so that the answer is in time.
+    /// How much longer the client waits: the host subtracts this from the client's deadline so that the
+    /// answer arrives in time.
     pub reserve: Micros,
 }
 
 impl Request {
-    /// A request of no tenant, with no hint and no reserve, that is not marked as a repeat.
+    /// A request without tenant, hint and reserve that is not marked as a repeat.
     pub fn new(command: OwnedRequest, key: Key, class: usize, due: Micros) -> Request {
         Request { command, key, class, tenant: 0, hint: None, repeated: false, due, reserve: 0 }
     }
 
-    /// The same for the decisions.
+    /// The request as an event for the decisions.
     pub(crate) fn event(&self, request: RequestId) -> NewRequest {
         NewRequest {
             request,
--- a/crates/engine/src/transactions.rs
+++ b/crates/engine/src/transactions.rs
@@ -1,4 +1,4 @@
-//! Transactions and what has happened to them, in the form that the decisions take.
+//! Transactions, and their events in the form that the decisions take.
 
 use crate::deadlines::{Deadline, Deadlines, Key};
 use crate::flow::{Call, FlowId};
@@ -15,10 +15,10 @@
 pub(crate) struct FlowState {
     pub server: ServerId,
     pub sent: Micros,
-    /// For how long its answer is waited for.
+    /// Time until which its answer is awaited.
     pub until: Micros,
     pub deadline: Option<Key>,
-    /// How it has ended.
+    /// The outcome, once the flow has ended.
     pub ended: Option<Outcome>,
 }
 
@@ -27,27 +27,28 @@
     pub due: Micros,
     pub deadline: Option<Key>,
     pub flows: Vec<FlowState>,
-    /// The attempt whose value is being passed on.
-    pub streams: Option<Stream>,
+    /// The attempt whose large value is being passed on to the client.
+    pub stream: Option<Stream>,
 }
 
-/// A value that is being passed on.
+/// A large value that is being passed on.
 #[derive(Clone, Copy)]
 pub(crate) struct Stream {
     attempt: u32,
-    /// When it began. The time that a server took ends here: the rest is as slow as the client reads.
-    began: Micros,
-    /// When a piece of it last came.
-    got_on: Micros,
+    /// When the value began. The server's response time is measured up to here: the rest is as slow as the
+    /// client reads.
+    started_at: Micros,
+    /// When the last piece arrived.
+    last_piece_at: Micros,
 }
 
 impl Transaction {
-    /// Nobody waits for it, and nothing of it is out.
+    /// It is answered, and all of its flows have ended.
     fn is_over(&self) -> bool {
         self.call.answered() && self.flows.iter().all(|f| f.ended.is_some())
     }
 
-    /// What is still out may run, too.
+    /// Flows that have not ended count, since they may still run.
     pub(crate) fn may_have_run(&self) -> bool {
         self.flows.iter().any(|f| f.ended.is_none_or(|outcome| !outcome.never_ran()))
     }
@@ -56,68 +57,69 @@
 #[derive(Default)]
 pub(crate) struct Transactions {
     pub all: FxHashMap<RequestId, Transaction>,
-    /// The same by the ids that their clients gave them.
-    names: FxHashSet<Named>,
-    /// Those that have no final answer yet.
+    /// The same transactions by the ids that their clients gave them.
+    client_ids: FxHashSet<ByClientId>,
+    /// Number of transactions without a final answer.
     pub open: usize,
     pub events: VecDeque<Event>,
-    /// Those that have got their final answer, or that nobody waits for: what of them is not sent is to be called off.
+    /// Transactions that have just got their final answer or lost their client, and whose unsent flows are to
+    /// be cancelled.
     pub answered: Vec<RequestId>,
     /// Transactions that may be over.
-    over: Vec<RequestId>,
-    /// Those whose value ended short of its length.
-    pub torn: Vec<RequestId>,
+    maybe_over: Vec<RequestId>,
+    /// Transactions whose value ended short of its length.
+    pub truncated: Vec<RequestId>,
     pub recorder: Recorder,
-    /// Attempts that were kept from beginning since the host had no open request for them.
+    /// Number of attempts that were not allowed to begin because the host had no open request for them.
     pub denied: u64,
 }
 
-/// A value that is being passed on, and of which nothing has come for so long, is given up. Guards descriptors against a
-/// server that stalls for good; a client that does not read is closed after as long.
-const STALLED: Micros = 30_000_000;
+/// A value that is being passed on is given up when no piece has arrived for this long: a server that stalls
+/// would otherwise occupy descriptors forever. A client that does not read is closed after the same time.
+const STREAM_STALL_TIMEOUT: Micros = 30_000_000;
 
-/// A call under its client's id.
-struct Named(Arc<Call>);
+/// A transaction's shared state, hashed and compared by its client's id.
+struct ByClientId(Arc<Call>);
 
-impl Borrow<[u8]> for Named {
+impl Borrow<[u8]> for ByClientId {
     fn borrow(&self) -> &[u8] {
         self.0.request.command.id()
     }
 }
 
-impl Hash for Named {
+impl Hash for ByClientId {
     fn hash<H: Hasher>(&self, state: &mut H) {
         Borrow::<[u8]>::borrow(self).hash(state);
     }
 }
 
-impl PartialEq for Named {
-    fn eq(&self, other: &Named) -> bool {
+impl PartialEq for ByClientId {
+    fn eq(&self, other: &ByClientId) -> bool {
         Borrow::<[u8]>::borrow(self) == Borrow::<[u8]>::borrow(other)
     }
 }
 
-impl Eq for Named {}
+impl Eq for ByClientId {}
 
 impl Transactions {
     pub(crate) fn is_id_in_use(&self, id: &[u8]) -> bool {
-        self.names.contains(id)
+        self.client_ids.contains(id)
     }
 
-    /// Ids of clients that are in use.
-    pub(crate) fn ids(&self) -> usize {
-        self.names.len()
+    /// Number of client ids in use.
+    pub(crate) fn client_id_count(&self) -> usize {
+        self.client_ids.len()
     }
 
     pub(crate) fn add(&mut self, id: RequestId, transaction: Transaction) {
-        self.names.insert(Named(transaction.call.clone()));
+        self.client_ids.insert(ByClientId(transaction.call.clone()));
         self.events.push_back(Event::Request(transaction.call.request.event(id)));
         self.open += 1;
         self.all.insert(id, transaction);
     }
 
-    /// The first byte of an attempt was written; tells whether it was allowed to begin.
-    pub(crate) fn begins(&mut self, flow: FlowId, permitted: Result<(), Denial>, at: Micros) {
+    /// The first byte of an attempt was written; `permitted` says whether it was allowed to begin.
+    pub(crate) fn first_byte_written(&mut self, flow: FlowId, permitted: Result<(), Denial>, at: Micros) {
         let Some(server) = self.server_of(flow) else { return };
         self.recorder.note(at, flow.request, Some(flow.attempt), Step::Begun(server));
         if let Err(rule) = permitted {
@@ -125,7 +127,7 @@
         }
     }
 
-    /// An attempt was kept from beginning.
+    /// An attempt was not allowed to begin.
     pub(crate) fn denied(&mut self, flow: FlowId, at: Micros) {
         self.denied += 1;
         let server = self.server_of(flow).unwrap_or_default();
@@ -134,46 +136,52 @@
         warn!(number = flow.request.0, attempt = flow.attempt, "no open request, the attempt does not begin");
     }
 
-    /// The server that an attempt was given to.
+    /// The server of an attempt.
     pub(crate) fn server_of(&self, flow: FlowId) -> Option<ServerId> {
         let transaction = self.all.get(&flow.request)?;
         Some(transaction.flows.get(flow.attempt as usize)?.server)
     }
 
-    /// The value of a flow begins to be passed on: no deadline holds from here on.
-    pub(crate) fn begun(&mut self, flow: FlowId, now: Micros, deadlines: &mut Deadlines<Deadline>) {
+    /// The value of a flow begins to be passed on: from here on the request's deadline no longer applies.
+    pub(crate) fn stream_started(&mut self, flow: FlowId, now: Micros, deadlines: &mut Deadlines<Deadline>) {
         let Some(transaction) = self.all.get_mut(&flow.request) else { return };
-        transaction.streams = Some(Stream { attempt: flow.attempt, began: now, got_on: now });
+        transaction.stream = Some(Stream { attempt: flow.attempt, started_at: now, last_piece_at: now });
         deadlines.remove(transaction.deadline.take());
         self.events.push_back(Event::Started { request: flow.request, attempt: flow.attempt });
-        self.wait_on(flow, now + STALLED, deadlines);
+        self.set_flow_deadline(flow, now + STREAM_STALL_TIMEOUT, deadlines);
     }
 
     /// The flow whose value is being passed on.
-    pub(crate) fn streams(&self, request: RequestId) -> Option<FlowId> {
+    pub(crate) fn streaming_flow(&self, request: RequestId) -> Option<FlowId> {
         let transaction = self.all.get(&request)?;
-        let attempt = transaction.streams?.attempt;
+        let attempt = transaction.stream?.attempt;
         let open = transaction.flows.get(attempt as usize)?.ended.is_none();
         open.then_some(FlowId { request, attempt })
     }
 
-    /// For how long the answer to a flow is waited for, as it looks now: longer while its value is being passed on.
-    pub(crate) fn waits_until(&self, flow: FlowId) -> Option<Micros> {
+    /// The time until which the answer to a flow is awaited, as things are now: later while its value is
+    /// being passed on.
+    pub(crate) fn wait_deadline(&self, flow: FlowId) -> Option<Micros> {
         let transaction = self.all.get(&flow.request)?;
-        let stream = transaction.streams.filter(|_| self.streams(flow.request) == Some(flow));
+        let stream = transaction.stream.filter(|_| self.streaming_flow(flow.request) == Some(flow));
         let until = transaction.flows.get(flow.attempt as usize)?.until;
-        Some(stream.map_or(until, |stream| stream.got_on + STALLED))
+        Some(stream.map_or(until, |stream| stream.last_piece_at + STREAM_STALL_TIMEOUT))
     }
 
-    /// A piece has come.
-    pub(crate) fn got_on(&mut self, request: RequestId, now: Micros) {
-        if let Some(stream) = self.all.get_mut(&request).and_then(|t| t.streams.as_mut()) {
-            stream.got_on = now;
+    /// A piece of the value has arrived.
+    pub(crate) fn piece_received(&mut self, request: RequestId, now: Micros) {
+        if let Some(stream) = self.all.get_mut(&request).and_then(|t| t.stream.as_mut()) {
+            stream.last_piece_at = now;
         }
     }
 
     /// Sets the deadline of a flow.
-    pub(crate) fn wait_on(&mut self, flow: FlowId, at: Micros, deadlines: &mut Deadlines<Deadline>) {
+    pub(crate) fn set_flow_deadline(
+        &mut self,
+        flow: FlowId,
+        at: Micros,
+        deadlines: &mut Deadlines<Deadline>,
+    ) {
         let state = self.all.get_mut(&flow.request).and_then(|t| t.flows.get_mut(flow.attempt as usize));
         if let Some(state) = state.filter(|s| s.ended.is_none()) {
             deadlines.remove(state.deadline.take());
@@ -181,7 +189,7 @@
         }
     }
 
-    /// Books the end of a server-side flow, once.
+    /// Records the end of a server-side flow; only the first call has an effect.
     pub(crate) fn flow_ended(
         &mut self,
         flow: FlowId,
@@ -207,12 +215,13 @@
         self.recorder.note(now, flow.request, Some(flow.attempt), step);
         deadlines.remove(state.deadline.take());
         let (server, sent) = (state.server, state.sent);
-        let stream = transaction.streams.filter(|stream| stream.attempt == flow.attempt);
+        let stream = transaction.stream.filter(|stream| stream.attempt == flow.attempt);
         if outcome != Outcome::Served && stream.is_some() {
-            self.torn.push(flow.request);
+            self.truncated.push(flow.request);
         }
-        // Danger: the end of another copy called off the one whose value was being passed on.
-        let streams = transaction.streams.filter(|other| other.attempt != flow.attempt);
+        // A transaction is not finished while a value is being passed on: the end of another attempt would
+        // otherwise cancel it.
+        let streams = transaction.stream.filter(|other| other.attempt != flow.attempt);
         let streams = streams.and_then(|other| transaction.flows.get(other.attempt as usize));
         let finished = transaction.call.answered() && streams.is_none_or(|other| other.ended.is_some());
         if finished {
@@ -222,42 +231,42 @@
             request: flow.request,
             attempt: flow.attempt,
             server,
-            took: stream.map_or(now, |stream| stream.began) - sent,
+            took: stream.map_or(now, |stream| stream.started_at) - sent,
             outcome,
             note,
             finished,
             report: Vec::new(),
         }));
-        self.forget(flow.request);
+        self.note_if_over(flow.request);
     }
 
-    /// Marks a transaction as answered; gives whether it may have run, if it was not answered before.
+    /// Marks a transaction as answered. Returns whether it may have run, or `None` if it was answered before.
     pub(crate) fn answer(&mut self, request: RequestId, deadlines: &mut Deadlines<Deadline>) -> Option<bool> {
         let transaction = self.all.get_mut(&request).filter(|t| t.call.answer())?;
         deadlines.remove(transaction.deadline.take());
         let may_have_run = transaction.may_have_run();
         self.open -= 1;
         self.answered.push(request);
-        self.forget(request);
+        self.note_if_over(request);
         Some(may_have_run)
     }
 
-    /// Notes one that may be over.
-    fn forget(&mut self, request: RequestId) {
+    /// Notes a transaction that may be over.
+    fn note_if_over(&mut self, request: RequestId) {
         if self.all.get(&request).is_some_and(Transaction::is_over) {
-            self.over.push(request);
+            self.maybe_over.push(request);
         }
     }
 
-    /// Drops those that are over, once the decisions have heard all that there is to hear. Danger: an event that is
-    /// still to be heard may make the decisions send once more, and they must be told how that attempt ended: else it
-    /// counts as in flight for good.
+    /// Drops the transactions that are over, once the decisions have handled all events. A pending event may
+    /// make the decisions send once more; the end of that attempt must be reported to them, or it counts as
+    /// in flight forever.
     pub(crate) fn drop_over(&mut self) {
-        while let Some(request) = self.over.pop() {
+        while let Some(request) = self.maybe_over.pop() {
             if self.all.get(&request).is_some_and(Transaction::is_over)
                 && let Some(transaction) = self.all.remove(&request)
             {
-                self.names.remove(transaction.call.request.command.id());
+                self.client_ids.remove(transaction.call.request.command.id());
             }
         }
     }
--- a/crates/engine/tests/books.rs
+++ b/crates/engine/tests/accounting.rs
@@ -1,4 +1,4 @@
-//! The books of the engine and of the decisions agree when nothing is left to be done.
+//! The counts of the engine and of the decisions agree when nothing is left to do.
 
 use lapisrudder_codec::memcache::{OwnedRequest, Parts};
 use lapisrudder_decisions::{Class, Key, Listed, Mode, RequestId, Scope, ServerId, Settings};
@@ -42,11 +42,11 @@
     drain(engine, now)
 }
 
-/// Found by the simulator: random day 3, at 16.9 s. The decisions sent the read that had missed on to the origin, and the
-/// engine, which had forgotten the transaction by then, never told them that this attempt had ended: one more in flight
-/// at the origin, and room for one less there, for good.
+/// After a miss the decisions sent the read to the origin. The engine had already dropped the transaction and
+/// did not report the end of this attempt: it counted as in flight at the origin forever, and took a slot
+/// there.
 #[test]
-fn a_client_that_leaves_in_the_turn_of_a_miss_leaves_nothing_behind() {
+fn a_client_that_leaves_in_the_iteration_of_a_miss_leaves_nothing_behind() {
     for left_first in [false, true] {
         let mut engine = engine();
         drain(&mut engine, 0);
@@ -56,26 +56,31 @@
         drain(&mut engine, 300);
         let bytes = engine.transmit(conn).map(<[u8]>::len).sum();
         engine.transmitted(conn, bytes);
-        let mut nobody = |_: RequestId, _: &Request, answer: Answer<'_>| panic!("{answer:?}");
-        // One turn: the miss and the client's leave, in either order.
+        let mut no_answers = |_: RequestId, _: &Request, answer: Answer<'_>| panic!("{answer:?}");
+        // In one iteration: the miss, and the client that leaves, in either order.
         if left_first {
             engine.left(800, RequestId(1));
         }
-        engine.received(800, conn, b"EN Oa1 h0\r\n", &mut nobody);
+        engine.received(800, conn, b"EN Oa1 h0\r\n", &mut no_answers);
         engine.left(800, RequestId(1));
         drain(&mut engine, 800);
-        let books = engine.audit();
-        assert_eq!((books.transactions, books.names, books.flows, books.open), (0, 0, 0, 0), "{books:?}");
-        let decisions = books.decisions;
-        assert_eq!((decisions.requests, decisions.in_flight, decisions.load), (0, 0, 0.0), "{books:?}");
-        assert_eq!(decisions.origin_in_flight, 0.0, "{books:?}");
+        let audit = engine.audit();
+        assert_eq!(
+            (audit.transactions, audit.client_ids, audit.flows, audit.open),
+            (0, 0, 0, 0),
+            "{audit:?}"
+        );
+        let decisions = audit.decisions;
+        assert_eq!((decisions.requests, decisions.in_flight, decisions.load), (0, 0, 0.0), "{audit:?}");
+        assert_eq!(decisions.origin_in_flight, 0.0, "{audit:?}");
     }
 }
 
-/// Danger: connects that found no descriptor here counted as failures of their member, and sent its keys on detours.
+/// Connects that found no descriptor on this machine counted as failures of their member, and its keys were
+/// sent elsewhere.
 #[test]
-fn a_member_is_not_suspect_for_what_the_host_lacks() {
-    for ours in [true, false] {
+fn a_member_is_not_suspect_for_a_shortage_at_the_host() {
+    for own_shortage in [true, false] {
         let mut engine = engine();
         drain(&mut engine, 0);
         engine.listed(Scope::Changes, vec![member(9, 0)]);
@@ -83,10 +88,10 @@
             panic!("no connect")
         };
         let fails = |engine: &mut Engine, now, conn| {
-            if ours { engine.not_opened(now, conn) } else { engine.broken(now, conn) }
+            if own_shortage { engine.not_opened(now, conn) } else { engine.broken(now, conn) }
         };
         fails(&mut engine, 20, conn);
-        // It is tried elsewhere, which comes to nothing either.
+        // It is tried at other members, where the connect fails too.
         for order in drain(&mut engine, 20) {
             if let Order::Connect { conn, .. } = order {
                 fails(&mut engine, 20, conn);
@@ -100,7 +105,10 @@
                 _ => None,
             });
             for (conn, to) in connects.collect::<Vec<_>>() {
-                assert!(!ours || to == home, "the key's own member is asked again, though not opened before");
+                assert!(
+                    !own_shortage || to == home,
+                    "the key's own member is asked again, though not opened before"
+                );
                 fails(&mut engine, 30, conn);
             }
             drain(&mut engine, 30);
@@ -110,14 +118,14 @@
             Order::Connect { to, .. } => Some(*to),
             _ => None,
         });
-        assert_eq!(to == Some(home), ours, "after as many failures of its own it is suspect");
+        assert_eq!(to == Some(home), own_shortage, "after as many failures of its own it is suspect");
         assert_eq!(engine.audit().decisions.load, engine.audit().decisions.in_flight as f64);
     }
 }
 
-/// Settings read again may number the kinds of member anew.
+/// After a reload the settings may number the kinds of members differently.
 #[test]
-fn the_origin_is_of_the_kind_that_the_settings_name_now() {
+fn the_origin_kind_is_that_of_the_current_settings() {
     let mut engine = engine();
     drain(&mut engine, 0);
     engine.reconfigure(settings(0), lapisrudder_engine::Limits::default());
@@ -131,6 +139,6 @@
         );
     }
     let ban = lapisrudder_decisions::maintenance::Ban { name: "o".into(), since: 0 };
-    assert!(engine.take_out(ServerId(8), ban.clone()).is_err(), "nothing could stand in for it");
+    assert!(engine.take_out(ServerId(8), ban.clone()).is_err(), "no other server can replace it");
     assert!(engine.take_out(ServerId(7), ban).is_ok());
 }
--- a/crates/engine/tests/crossings.rs
+++ b/crates/engine/tests/end_of_request.rs
@@ -1,5 +1,5 @@
-//! Each state of an attempt crossed with the end of its request by the host, and with what its server brings after that: no byte of
-//! the request goes out any more. In memory, on a virtual clock.
+//! Each state of an attempt, combined with the end of its request by the host and with each later event: no
+//! byte of the request is written any more. In memory, on a virtual clock.
 
 use lapisrudder_codec::memcache::{OwnedRequest, Parts};
 use lapisrudder_decisions::{Class, Key, Listed, Micros, Mode, RequestId, Scope, ServerId, Settings};
@@ -8,23 +8,23 @@
 const ORIGIN: u64 = 9;
 const MS: Micros = 1_000;
 
-/// How far an attempt is when its request ends.
+/// The state of an attempt when its request ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// Its connection is coming up.
+    /// Its connection is being established.
     Connecting,
-    /// It is on a connection, and nothing of it is written.
+    /// It is assigned to a connection, and not written.
     Unwritten,
     HalfWritten,
-    /// Its server has it whole.
+    /// It has been written completely.
     Sent,
-    /// The same, and its time is over: a second copy is out.
+    /// The same, and its hedging delay has passed: a second copy is in flight.
     Hedged,
-    /// A first server has missed, and the next attempt is ordered.
+    /// A first server has missed, and the next attempt has been ordered.
     Missed,
 }
 
-/// What comes after the end.
+/// The event after the end of the request.
 #[derive(Clone, Copy, Debug)]
 enum Later {
     ConnectsComeUp,
@@ -48,16 +48,16 @@
     Later::Time,
 ];
 
-/// A host that writes as far as it is told to.
+/// A host that writes as many bytes as the test allows.
 struct Host {
     engine: Engine,
     now: Micros,
-    /// Connections, and whether they are up.
+    /// Connections, and whether they are established.
     conns: Vec<(Conn, bool)>,
-    /// Bytes that sockets take from now on.
-    room: usize,
+    /// Number of bytes that sockets still take.
+    send_space: usize,
     written: usize,
-    /// Connects come up at once.
+    /// Connects succeed at once.
     connects: bool,
     ended: bool,
 }
@@ -88,7 +88,7 @@
             Member { listed, endpoint: ([127, 0, 0, 1], id as u16).into() }
         };
         engine.listed(Scope::Full, [1, 2, ORIGIN].map(member).into());
-        Host { engine, now: 0, conns: Vec::new(), room: 0, written: 0, connects: true, ended: false }
+        Host { engine, now: 0, conns: Vec::new(), send_space: 0, written: 0, connects: true, ended: false }
     }
 
     fn ask(&mut self) {
@@ -97,7 +97,7 @@
         self.engine.take(self.now, RequestId(1), Request::new(command, Key(1), 0, 900 * MS)).unwrap();
     }
 
-    fn turn(&mut self) {
+    fn iterate(&mut self) {
         self.engine.wake(self.now);
         while let Some(order) = self.engine.poll_order(self.now) {
             match order {
@@ -111,8 +111,8 @@
                     let open = !self.ended;
                     self.engine.check_write(self.now, conn, |_| open);
                     let bytes: usize = self.engine.transmit(conn).map(<[u8]>::len).sum();
-                    let taken = bytes.min(self.room);
-                    self.room -= taken;
+                    let taken = bytes.min(self.send_space);
+                    self.send_space -= taken;
                     self.written += taken;
                     self.engine.transmitted(conn, taken);
                 }
@@ -122,14 +122,14 @@
         }
     }
 
-    fn passes(&mut self, time: Micros) {
+    fn advance(&mut self, time: Micros) {
         let until = self.now + time;
         while let Some(next) = self.engine.next_wake().filter(|next| *next <= until) {
             self.now = self.now.max(next);
-            self.turn();
+            self.iterate();
         }
         self.now = until;
-        self.turn();
+        self.iterate();
     }
 
     fn up(&self) -> Vec<Conn> {
@@ -141,30 +141,30 @@
             let mut none = |_: RequestId, _: &Request, answer: Answer| panic!("{answer:?}");
             self.engine.received(self.now, conn, bytes, &mut none);
         }
-        self.turn();
+        self.iterate();
     }
 
-    fn go_to(&mut self, state: State) {
+    fn bring_to(&mut self, state: State) {
         self.connects = state != State::Connecting;
-        self.room = match state {
+        self.send_space = match state {
             State::Connecting | State::Unwritten => 0,
             State::HalfWritten => 7,
             State::Sent | State::Hedged | State::Missed => usize::MAX,
         };
         self.ask();
-        self.turn();
+        self.iterate();
         match state {
-            State::Hedged => self.passes(200 * MS),
+            State::Hedged => self.advance(200 * MS),
             State::Missed => {
-                // The next attempt finds no room in its socket.
-                self.room = 0;
+                // The socket of the next attempt is full.
+                self.send_space = 0;
                 self.answer(b"EN Oa\r\n");
             }
             _ => {}
         }
     }
 
-    fn comes(&mut self, later: Later) {
+    fn apply(&mut self, later: Later) {
         self.now += MS;
         match later {
             Later::ConnectsComeUp => {
@@ -183,28 +183,28 @@
             Later::Writable => self.up().into_iter().for_each(|conn| self.engine.writable(conn)),
             Later::Time => {}
         }
-        self.turn();
-        self.passes(2_000 * MS);
+        self.iterate();
+        self.advance(2_000 * MS);
     }
 }
 
-/// Guards against: attempts that waited, or followed, went out for a request that its host had ended, in a state that no test had
-/// crossed with that end.
+/// Attempts that waited, or followed another, were sent for a request that its host had ended, in a
+/// combination of states that no test covered.
 #[test]
-fn no_byte_of_a_request_goes_out_after_its_end_whatever_comes() {
+fn no_byte_of_a_request_is_written_after_its_end() {
     for may_cancel in [true, false] {
         for state in STATES {
             for later in LATER {
                 let case = format!("{state:?}, {later:?}, may cancel: {may_cancel}");
                 let mut host = Host::new(may_cancel);
-                host.go_to(state);
+                host.bring_to(state);
                 let before = host.written;
                 assert_eq!(before == 0, matches!(state, State::Connecting | State::Unwritten), "{case}");
                 assert!(host.engine.is_open(RequestId(1)), "{case}");
                 assert!(host.engine.left(host.now, RequestId(1)), "{case}");
-                (host.ended, host.room, host.connects) = (true, usize::MAX, true);
-                host.turn();
-                host.comes(later);
+                (host.ended, host.send_space, host.connects) = (true, usize::MAX, true);
+                host.iterate();
+                host.apply(later);
                 assert_eq!(host.written, before, "{case}");
                 assert_eq!((host.engine.open(), host.engine.denied()), (0, 0), "{case}");
             }
--- a/crates/engine/tests/turn.rs
+++ b/crates/engine/tests/iteration.rs
@@ -1,4 +1,4 @@
-//! The order of things within one turn.
+//! The order of events within one event-loop iteration.
 
 use lapisrudder_codec::memcache::{OwnedRequest, Parts};
 use lapisrudder_decisions::{Class, Key, Listed, Mode, RequestId, Scope, ServerId, Settings};
@@ -28,20 +28,20 @@
 }
 
 #[test]
-fn nothing_is_written_before_all_that_came_was_decided_on() {
+fn nothing_is_written_before_all_events_are_decided() {
     let mut engine = engine();
     engine.take(0, RequestId(1), request("a", false)).unwrap();
     let Some(Order::Connect { conn, .. }) = engine.poll_order(0) else { panic!() };
     engine.connected(0, conn);
-    // There is no origin: the second is refused at once.
+    // There is no origin: the second request is refused at once.
     engine.take(0, RequestId(2), request("b", true)).unwrap();
     let refused = Order::Answer { transaction: RequestId(2), answer: Final::Refused { retry_in: None } };
     assert_eq!(engine.poll_order(0), Some(refused));
-    assert_eq!(engine.poll_order(0), Some(Order::Write { conn, look: true }));
+    assert_eq!(engine.poll_order(0), Some(Order::Write { conn, probe: true }));
 }
 
 #[test]
-fn what_cannot_be_a_transaction_is_told_apart_and_owes_nothing() {
+fn a_request_that_cannot_be_taken_gets_an_error_and_no_answer() {
     let mut engine = engine();
     engine.take(0, RequestId(1), request("a", false)).unwrap();
     let other_class = Request { class: 1, ..request("b", false) };
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn what_is_told_of_a_connection_that_there_is_not_is_passed_over() {
+fn reports_on_unknown_connections_are_ignored() {
     let mut engine = engine();
     let mut none = |_: RequestId, _: &Request, _: Answer| panic!("an answer");
     let conn = lapisrudder_engine::Conn(9);
@@ -65,16 +65,17 @@
     assert!(!engine.received(0, conn, b"EN\r\n", &mut none));
     engine.ended(0, conn, &mut none);
     engine.broken(0, conn);
-    // Nor can anything come on one that is not up.
+    // Nor can anything arrive on a connection that is not established.
     engine.take(0, RequestId(1), request("a", false)).unwrap();
     let Some(Order::Connect { conn, .. }) = engine.poll_order(0) else { panic!() };
     assert!(!engine.received(0, conn, b"VA 1 Oa\r\nv\r\n", &mut none));
     assert_eq!((engine.poll_order(0), engine.open(), engine.connections()), (None, 1, 1));
 }
 
-/// Danger: the second copy of an answer, some milliseconds late, cost who asked next its connection, and counted as a break.
+/// The second copy of an answer arrived some milliseconds late; it closed the connection under the next
+/// request, which counted as broken.
 #[test]
-fn the_second_copy_of_an_answer_that_names_its_request_costs_the_next_one_nothing() {
+fn a_second_copy_of_an_answer_does_not_harm_the_next_request() {
     let mut engine = engine();
     let mut served = Vec::new();
     let mut answers = |id: RequestId, _: &Request, answer: Answer| served.push((id.0, format!("{answer:?}")));
@@ -85,7 +86,7 @@
             match order {
                 Order::Connect { conn: new, .. } => {
                     engine.connected(0, new);
-                    assert_eq!(conn.replace(new), None, "one connection does for both");
+                    assert_eq!(conn.replace(new), None, "one connection serves both");
                 }
                 Order::Write { conn, .. } => {
                     let bytes = engine.transmit(conn).map(<[u8]>::len).sum();
@@ -95,7 +96,7 @@
             }
         }
         let conn = conn.unwrap();
-        // Twice, the second in two pieces behind the next request.
+        // Twice; the second copy in two pieces, after the next request was sent.
         let pieces: &[&[u8]] = if n == 1 {
             &[b"VA 1 Oa h1\r\nx\r\n"]
         } else {
@@ -107,9 +108,10 @@
     assert_eq!(served, [(1, value(b"x")), (2, value(b"y"))]);
 }
 
-/// Danger: a large value that its host does not want was read past, and counted as ended: another attempt went out beside it.
+/// A large value that the host did not want was read and dropped, but its flow counted as ended: the next
+/// attempt was a second copy.
 #[test]
-fn what_is_not_wanted_is_not_out_any_more_when_the_next_attempt_goes() {
+fn an_unwanted_value_is_cancelled_before_the_next_attempt() {
     let class = Class { latency_target: 750_000, worth: 1.0, ..Class::default() };
     let settings = Settings { classes: vec![class], max_attempts: 3, siblings: 1, ..Settings::default() };
     let limits = Limits { per_member: 1, multiplex: 4, in_all: 9, ..Limits::default() };
@@ -119,7 +121,7 @@
         Member { listed, endpoint: ([127, 0, 0, 1], id as u16).into() }
     };
     engine.listed(Scope::Full, vec![member(1), member(2)]);
-    // Two share a connection, which the second would keep open.
+    // Two flows share a connection, which the second one would keep open.
     (1..).zip(["a", "b"]).for_each(|(n, id)| engine.take(0, RequestId(n), request(id, false)).unwrap());
     let mut orders = Vec::new();
     while let Some(order) = engine.poll_order(0) {
@@ -146,15 +148,15 @@
     send(&engine());
 }
 
-/// Guards against: an attempt began for a request that the host had ended without telling the engine, since the permit to begin
-/// asked the engine's own record alone.
+/// An attempt began for a request that the host had ended without reporting it to the engine, since only the
+/// engine's own record was checked.
 #[test]
-fn no_attempt_begins_for_which_the_host_has_no_open_request() {
+fn no_attempt_begins_without_an_open_request_at_the_host() {
     let mut engine = engine();
     engine.take(0, RequestId(1), request("a", false)).unwrap();
     engine.take(0, RequestId(2), request("b", false)).unwrap();
     let mut written = String::new();
-    let mut told = Vec::new();
+    let mut others = Vec::new();
     while let Some(order) = engine.poll_order(0) {
         match order {
             Order::Connect { conn, .. } => engine.connected(0, conn),
@@ -164,19 +166,19 @@
                 engine.transmitted(conn, bytes.len());
                 written += &String::from_utf8_lossy(&bytes);
             }
-            other => told.push(other),
+            other => others.push(other),
         }
     }
     assert!(written.contains("Ob ") && !written.contains("Oa "), "{written}");
     assert!(engine.denied() > 0);
-    assert!(engine.is_open(RequestId(1)) || !told.is_empty(), "the engine's own record is its own matter");
+    assert!(engine.is_open(RequestId(1)) || !others.is_empty(), "the engine keeps its own record");
     assert_eq!(engine.violations().total(), 0);
 }
 
-/// Guards against: an attempt that was half written when its request ended was written to its end, where another waited on the
-/// same connection or the settings allow no cancel, and ran.
+/// An attempt that was half written when its request ended was written completely and ran, if another flow
+/// waited on the same connection or the settings did not allow to cancel.
 #[test]
-fn what_is_half_written_when_its_request_ends_is_broken_off() {
+fn a_half_written_attempt_is_cut_off_when_its_request_ends() {
     let class = Class { latency_target: 750_000, worth: 1.0, ..Class::default() };
     let settings = Settings { classes: vec![class], max_attempts: 1, siblings: 1, ..Settings::default() };
     let limits = Limits { per_member: 1, multiplex: 4, in_all: 9, ..Limits::default() };
@@ -188,7 +190,7 @@
     while let Some(order) = engine.poll_order(0) {
         match order {
             Order::Connect { conn, .. } => engine.connected(0, conn),
-            // The socket takes a part of the first.
+            // The socket takes a part of the first flow.
             Order::Write { conn, .. } if on.replace(conn).is_none() => engine.transmitted(conn, 5),
             other => panic!("{other:?}"),
         }
--- a/crates/engine/tests/large.rs
+++ b/crates/engine/tests/large_values.rs
@@ -1,10 +1,10 @@
-//! A large value that is being passed on is not given up for what else happens to its transaction.
+//! A large value that is being passed on is not given up because of other events of its transaction.
 
 use lapisrudder_codec::memcache::{OwnedRequest, Parts};
 use lapisrudder_decisions::{Class, Key, Listed, Micros, RequestId, Scope, ServerId, Settings};
 use lapisrudder_engine::{Answer, Answers, Config, Conn, Engine, Member, Order, Request};
 
-/// What of a value was passed on, and whether all was.
+/// How much of a value was passed on, and whether it is complete.
 #[derive(Default)]
 struct Passed {
     bytes: usize,
@@ -30,8 +30,8 @@
     }
 }
 
-/// Carries out what is ordered, and gives the connections that were written on.
-fn turn(engine: &mut Engine, now: Micros) -> Vec<Conn> {
+/// Carries out all orders, and returns the connections that were written to.
+fn iterate(engine: &mut Engine, now: Micros) -> Vec<Conn> {
     engine.wake(now);
     let mut written = Vec::new();
     while let Some(order) = engine.poll_order(now) {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_end_of_another_copy_does_not_call_off_the_one_that_is_passed_on() {
+fn the_end_of_another_attempt_does_not_cancel_the_value_being_passed_on() {
     let class = Class { latency_target: 400_000, worth: 1.0, ..Class::default() };
     let settings = Settings {
         classes: vec![class],
@@ -70,20 +70,20 @@
     let command = OwnedRequest::compose(&parts).unwrap();
     let request = Request::new(command, Key(1), 0, 9_000_000);
     engine.take(10, RequestId(1), request).unwrap();
-    let first = turn(&mut engine, 10)[0];
-    // It stays silent, so that a copy goes to the other server, which has the value.
-    let second = (1..100).find_map(|n| turn(&mut engine, n * 10_000).first().copied()).expect("a copy");
+    let first = iterate(&mut engine, 10)[0];
+    // The first server stays silent, so that a copy goes to the other one, which has the value.
+    let second = (1..100).find_map(|n| iterate(&mut engine, n * 10_000).first().copied()).expect("a copy");
     assert_ne!(first, second);
     let mut passed = Passed::default();
     assert!(engine.received(1_000_000, second, b"VA 100000 Oa1 h1\r\nab", &mut passed));
-    turn(&mut engine, 1_000_000);
+    iterate(&mut engine, 1_000_000);
     engine.received(1_100_000, first, b"EN Oa1 h0\r\n", &mut passed);
-    turn(&mut engine, 1_100_000);
-    // Past the deadline of the request, too.
-    turn(&mut engine, 9_500_000);
+    iterate(&mut engine, 1_100_000);
+    // After the deadline of the request, too.
+    iterate(&mut engine, 9_500_000);
     assert!(engine.received(9_500_000, second, &[b'x'; 99_998], &mut passed));
     assert!(engine.received(9_500_000, second, b"\r\n", &mut passed));
-    turn(&mut engine, 9_500_000);
+    iterate(&mut engine, 9_500_000);
     assert!((passed.bytes, passed.ended) == (100_000, true), "{}", passed.bytes);
     assert_eq!((engine.open(), engine.flows()), (0, 0));
 }
--- a/crates/host/src/discovery.rs
+++ b/crates/host/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery on a socket: carries out what the watch orders, and tells it what comes of that.
+//! The socket to discovery: carries out the orders of the watch, and reports the results to it.
 
 use crate::{ReadinessHandler, Socket};
 use calloop::LoopHandle;
@@ -11,20 +11,20 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A connect that finds nothing to connect with is tried again for so long before the call has failed.
-const OPENS_FOR: Duration = Duration::from_millis(500);
+/// A connect that finds a resource of this machine exhausted is retried for this long before the call fails.
+const CONNECT_RETRY_TIME: Duration = Duration::from_millis(500);
 
-/// News of the list, or that a call failed.
+/// An update of the list, or the failure of a call.
 #[derive(Clone, Debug)]
 pub enum DiscoveryUpdate {
-    /// What discovery told.
+    /// A list from discovery.
     List {
-        /// All of it, or what changed.
+        /// Whether it is complete, contains the changes, or is out of date.
         scope: Scope,
-        /// The members named.
+        /// The members in it.
         targets: Vec<Target>,
     },
-    /// A call failed; the list in hand still holds.
+    /// A call failed; the current list remains valid.
     Failed,
 }
 
@@ -35,16 +35,17 @@
     owner: D::Owner,
     socket: Option<Socket<D>>,
     up: bool,
-    /// A connect that found nothing to connect with, and since when it has been tried.
-    unopened: Option<(SocketAddr, Instant)>,
-    /// A call failed for a moment, and no readiness will tell.
-    again: bool,
-    news: VecDeque<DiscoveryUpdate>,
+    /// A connect that is retried because a resource is exhausted, and when it was first tried.
+    pending_connect: Option<(SocketAddr, Instant)>,
+    /// A read or write failed temporarily and has to be retried: the event loop does not report the socket
+    /// again.
+    retry_pending: bool,
+    updates: VecDeque<DiscoveryUpdate>,
 }
 
 impl<D: ReadinessHandler> Discovery<D> {
-    /// Of the discovery there; `revision` is that of the list in hand. `owner` is what the loop's data is
-    /// told when its socket is ready.
+    /// A watch on the discovery at this address; `revision` is the version of the current list. `owner`
+    /// identifies the socket to the event loop's [`ReadinessHandler`].
     pub fn new(
         at: SocketAddr,
         revision: Option<u64>,
@@ -58,160 +59,169 @@
             owner,
             socket: None,
             up: false,
-            unopened: None,
-            again: false,
-            news: VecDeque::new(),
+            pending_connect: None,
+            retry_pending: false,
+            updates: VecDeque::new(),
         }
     }
 
-    /// Where it is.
+    /// Address of discovery.
     pub fn address(&self) -> SocketAddr {
         self.watch.address()
     }
 
-    /// The version of the list in hand.
+    /// Version of the current list.
     pub fn revision(&self) -> Option<u64> {
         self.watch.revision()
     }
 
-    /// Goes to another address, and asks for all of the list there.
+    /// Moves to another address, and requests the complete list there.
     pub fn move_to(&mut self, at: SocketAddr, now: Micros) {
         self.watch.move_to(at, now);
-        self.carry_out();
+        self.run_orders();
     }
 
-    /// Begins a watch, unless one is out.
+    /// Starts a call, unless one is pending.
     pub fn watch(&mut self, now: Micros) {
         self.watch.begin(now);
-        self.carry_out();
+        self.run_orders();
     }
 
-    /// What has come, in order.
+    /// The next update, in order of arrival.
     pub fn poll_update(&mut self) -> Option<DiscoveryUpdate> {
-        self.news.pop_front()
+        self.updates.pop_front()
     }
 
-    /// When [`Discovery::wake`] is due.
+    /// Time at which [`Discovery::wake`] is due.
     pub fn next_wake(&self) -> Option<Micros> {
         self.watch.next_wake()
     }
 
-    /// Gives up a call that is not answered in time.
+    /// Gives up a call that was not answered in time.
     pub fn wake(&mut self, now: Micros) {
-        let news = self.watch.wake(now);
-        self.tell(news);
-        self.carry_out();
+        let updates = self.watch.wake(now);
+        self.queue_update(updates);
+        self.run_orders();
     }
 
-    /// Its connection has something to tell. `options` name the zones and kinds of the list.
+    /// The socket is ready. `options` has the names of the zones and kinds that the list uses.
     pub fn on_ready(&mut self, scratch: &mut [u8], options: &Options, now: Micros) {
-        self.again |= self.socket.as_mut().is_some_and(|socket| !socket.ensure_enabled());
+        self.retry_pending |= self.socket.as_mut().is_some_and(|socket| !socket.ensure_enabled());
         if let Some(socket) = self.socket.as_ref().filter(|_| !self.up) {
             match socket.connecting() {
                 Connecting::Up => self.up = true,
-                Connecting::Coming => return,
-                Connecting::Unknown => return self.again = true,
+                Connecting::InProgress => return,
+                Connecting::Unknown => return self.retry_pending = true,
                 Connecting::Failed(e) => return self.broken(format!("cannot connect: {e}")),
             }
             self.watch.connected();
         } else {
             self.watch.writable();
         }
-        self.carry_out();
+        self.run_orders();
         let decode = |body: &mut [u8]| {
             let list = MemberList::decode(body, options)?;
             let scope = if list.all { Scope::Full } else { Scope::Changes };
             let (revision, all) = (list.revision, list.all);
-            Ok::<_, ListError>(DiscoveryAnswer { revision, all, list: DiscoveryUpdate::List { scope, targets: list.targets } })
+            Ok::<_, ListError>(DiscoveryAnswer {
+                revision,
+                all,
+                list: DiscoveryUpdate::List { scope, targets: list.targets },
+            })
         };
-        // A call that goes out on a new connection ends the reading of the old one.
+        // Stops when the socket is replaced: the next call may go out on a new connection.
         while let Some(socket) = self.socket.as_ref().filter(|_| self.up) {
-            let news = match socket.read(scratch) {
+            let updates = match socket.read(scratch) {
                 Read::NotReady => return,
-                Read::Later(_) => return self.again = true,
+                Read::Later(_) => return self.retry_pending = true,
                 Read::Bytes(n) => {
                     self.watch.received(now, scratch.get(..n).unwrap_or_default(), false, decode)
                 }
                 Read::End => self.watch.received(now, &[], true, decode),
                 Read::Broken(e) => self.watch.broken(format!("cannot read: {e}")),
             };
-            self.tell(news);
-            self.carry_out();
+            self.queue_update(updates);
+            self.run_orders();
         }
     }
 
     fn broken(&mut self, what: String) {
-        let news = self.watch.broken(what);
-        self.tell(news);
-        self.carry_out();
+        let updates = self.watch.broken(what);
+        self.queue_update(updates);
+        self.run_orders();
     }
 
-    fn tell(&mut self, news: Option<WatchEvent<DiscoveryUpdate>>) {
-        self.news.extend(news.map(|news| match news {
+    fn queue_update(&mut self, updates: Option<WatchEvent<DiscoveryUpdate>>) {
+        self.updates.extend(updates.map(|updates| match updates {
             WatchEvent::List(list) => list,
-            WatchEvent::Old(DiscoveryUpdate::List { targets, .. }) => DiscoveryUpdate::List { scope: Scope::Remembered, targets },
-            WatchEvent::Old(DiscoveryUpdate::Failed) | WatchEvent::Failed => DiscoveryUpdate::Failed,
+            WatchEvent::Outdated(DiscoveryUpdate::List { targets, .. }) => {
+                DiscoveryUpdate::List { scope: Scope::Remembered, targets }
+            }
+            WatchEvent::Outdated(DiscoveryUpdate::Failed) | WatchEvent::Failed => DiscoveryUpdate::Failed,
         }));
     }
 
-    fn carry_out(&mut self) {
+    fn run_orders(&mut self) {
         while let Some(order) = self.watch.poll_order() {
             match order {
                 WatchOrder::Connect { to } => self.open(to, Instant::now()),
                 WatchOrder::Write => self.write(),
                 WatchOrder::Close => {
-                    (self.socket, self.up, self.unopened, self.again) = (None, false, None, false);
+                    (self.socket, self.up, self.pending_connect, self.retry_pending) =
+                        (None, false, None, false);
                 }
             }
         }
     }
 
     fn open(&mut self, to: SocketAddr, since: Instant) {
-        let why = match connect(to) {
+        let reason = match connect(to) {
             Opened::Begun(stream) => {
                 let mut socket = Socket::edge(stream, &self.handle, self.owner);
-                self.again = !socket.ensure_enabled();
+                self.retry_pending = !socket.ensure_enabled();
                 (self.socket, self.up) = (Some(socket), false);
                 return;
             }
-            Opened::Exhausted(_) if since.elapsed() < OPENS_FOR => return self.unopened = Some((to, since)),
-            Opened::Exhausted(lack) => format!("cannot connect for want of {lack:?}"),
+            Opened::Exhausted(_) if since.elapsed() < CONNECT_RETRY_TIME => {
+                return self.pending_connect = Some((to, since));
+            }
+            Opened::Exhausted(scarce) => format!("cannot connect: out of {scarce:?}"),
             Opened::Failed(e) => format!("cannot connect: {e}"),
         };
-        let news = self.watch.broken(why);
-        self.tell(news);
+        let updates = self.watch.broken(reason);
+        self.queue_update(updates);
     }
 
-    /// Something is to be come back to by [`Discovery::retry`].
-    pub fn is_behind(&self) -> bool {
-        self.again || self.unopened.is_some()
+    /// A call has to be retried by [`Discovery::retry`].
+    pub fn needs_retry(&self) -> bool {
+        self.retry_pending || self.pending_connect.is_some()
     }
 
-    /// Comes back to what failed for a moment.
+    /// Retries calls that failed temporarily.
     pub fn retry(&mut self, scratch: &mut [u8], options: &Options, now: Micros) {
-        if let Some((to, since)) = self.unopened.take() {
+        if let Some((to, since)) = self.pending_connect.take() {
             self.open(to, since);
-            self.carry_out();
+            self.run_orders();
         }
-        if std::mem::take(&mut self.again) {
+        if std::mem::take(&mut self.retry_pending) {
             self.on_ready(scratch, options, now);
         }
     }
 
-    /// What the loop could have told of its connection may have been lost.
-    pub fn look_again(&mut self) {
-        self.again = self.socket.is_some();
+    /// Reads again at the next retry: the event loop may have lost a readiness event.
+    pub fn recheck(&mut self) {
+        self.retry_pending = self.socket.is_some();
     }
 
     fn write(&mut self) {
         while let Some(socket) = self.socket.as_ref().filter(|_| !self.watch.transmit().is_empty()) {
             match socket.write(&[IoSlice::new(self.watch.transmit())]) {
                 Written::Full => return,
-                Written::Later(_) => return self.again = true,
+                Written::Later(_) => return self.retry_pending = true,
                 Written::Bytes(n) => self.watch.transmitted(n),
                 Written::Broken(e) => {
-                    let news = self.watch.broken(format!("cannot write: {e}"));
-                    return self.tell(news);
+                    let updates = self.watch.broken(format!("cannot write: {e}"));
+                    return self.queue_update(updates);
                 }
             }
         }
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,34 +1,37 @@
-//! What hosts of the engine on real sockets share: a non-blocking [`Socket`] on a calloop loop, the connections to
-//! [`Members`], and [`Discovery`]. System calls are made by [`lapisrudder_io`] alone. The daemon and the plug-in are such hosts.
+//! What hosts of the engine share that use real sockets: a non-blocking [`Socket`] on a calloop event loop,
+//! the connections to [`Members`], and [`Discovery`]. All system calls are made by [`lapisrudder_io`]. The
+//! daemon and the plug-in are such hosts.
 //!
-//! The loop's data only notes whose sockets are ready ([`ReadinessHandler`]); the host sees to them when a dispatch is over.
+//! The event loop's data only records which sockets are ready ([`ReadinessHandler`]); the host handles them
+//! when the dispatch is over.
 //!
-//! Nothing here decides: [`Engine`](lapisrudder_engine::Engine) and [`Watch`](lapisrudder_engine::Watch) give the
-//! orders, and this crate carries them out. It starts no thread, and time comes in
-//! with the calls; [`Clock`] is where hosts take it from.
+//! This crate makes no decisions: it carries out the orders of [`Engine`](lapisrudder_engine::Engine) and
+//! [`Watch`](lapisrudder_engine::Watch). It starts no thread, and time is an argument of its calls; hosts
+//! take it from [`Clock`].
 //!
-//! Readiness is state: an edge tells of it once, and only a socket that has nothing more ends it. Whoever stops before that,
-//! since a call failed for a moment, is come back to in the next turn ([`Members::retry`], [`Discovery::retry`]); while
-//! there are such, a host waits for [`RETRY_INTERVAL`] at the most.
+//! Sockets are watched edge-triggered: readiness is reported once, and lasts until a call returns that the
+//! socket has nothing more. If a call fails temporarily before that, it has to be retried in the next
+//! event-loop iteration ([`Members::retry`], [`Discovery::retry`]); while a retry is pending, a host waits
+//! for at most [`RETRY_INTERVAL`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs, unreachable_pub)]
 
-mod attention;
 mod clock;
 mod discovery;
 mod members;
-mod watched;
+mod poll_tracker;
+mod registered_source;
 
-/// For so long a host waits at the most while there is something to come back to (microseconds).
+/// Longest time for which a host waits while a call has to be retried (microseconds).
 pub const RETRY_INTERVAL: lapisrudder_decisions::Micros = 1_000;
 
-pub use attention::{PollTracker, LONGEST_LOOK, Look};
 pub use clock::Clock;
 pub use discovery::{Discovery, DiscoveryUpdate};
 pub use members::Members;
-pub use watched::{ReadinessHandler, RegisteredSource};
+pub use poll_tracker::{MAX_POLL_WAIT, PollOutcome, PollTracker};
+pub use registered_source::{ReadinessHandler, RegisteredSource};
 
 use lapisrudder_io::Stream;
 
-/// A connection on the loop.
+/// A connection on the event loop.
 pub type Socket<D> = RegisteredSource<D, Stream>;
