--- a/crates/host/src/members.rs
+++ b/crates/host/src/members.rs
@@ -1,22 +1,24 @@
-//! Sockets of connections to pool members: carries out what the engine orders, and tells it what comes of that.
+//! Sockets of the connections to pool members: carries out the engine's orders, and reports the results to
+//! it.
 
 use crate::{ReadinessHandler, Socket};
 use calloop::LoopHandle;
 use lapisrudder_decisions::{Micros, RequestId};
 use lapisrudder_engine::{Answers, Conn, Engine};
 use lapisrudder_io::{
-    Connecting, Scarce, Probe, Next, Opened, Operation, Read, Shortage, Written, connect, usage_of, is_momentary,
+    Connecting, Next, Opened, Operation, Probe, Read, Scarce, Shortage, Written, connect, is_momentary,
+    limit_state_of,
 };
 use rustc_hash::FxHashMap;
 use std::io::IoSlice;
 use std::net::SocketAddr;
 use tracing::warn;
 
-/// Slices that one write takes at the most; what is beyond goes with the next.
-const SLICES: usize = 64;
-/// A connect that finds nothing to connect with is tried again for so long. Guards requests against a failure of a moment; no
-/// longer, since they could go elsewhere.
-const OPENS_FOR: Micros = 100_000;
+/// Maximum number of slices in one write; the rest follows in the next.
+const MAX_SLICES: usize = 64;
+/// A connect that finds a resource of this machine exhausted is retried for this long, since such a failure
+/// may be brief; no longer, since the request could be sent to another member.
+const CONNECT_RETRY_TIME: Micros = 100_000;
 
 struct Member<D: ReadinessHandler> {
     socket: Socket<D>,
@@ -24,52 +26,53 @@
     up: bool,
 }
 
-/// A connect that found nothing to connect with, and is tried again.
-struct Unopened {
+/// A connect that is retried because a resource is exhausted.
+struct PendingConnect {
     conn: Conn,
     at: SocketAddr,
     since: Micros,
 }
 
-/// The sockets of connections to members, by the engine's names for them.
+/// The sockets of connections to members, by the engine's identifiers.
 pub struct Members<D: ReadinessHandler> {
     sockets: FxHashMap<Conn, Member<D>>,
     handle: LoopHandle<'static, D>,
-    unopened: Vec<Unopened>,
-    /// Connections to come back to: a call failed for a moment, and no readiness will tell.
-    again: Vec<Conn>,
+    pending_connects: Vec<PendingConnect>,
+    /// Connections on which a call failed temporarily and has to be retried: the event loop does not report
+    /// them again.
+    pending_retries: Vec<Conn>,
     failures: Shortage,
-    /// Descriptors are short: the process has no more, or else the machine.
+    /// Descriptors are exhausted: true if those of the process, false if those of the machine.
     shortage: Option<bool>,
 }
 
 impl<D: ReadinessHandler<Owner: From<Conn>>> Members<D> {
-    /// None so far.
+    /// No connections so far.
     pub fn new(handle: &LoopHandle<'static, D>) -> Self {
         Members {
             sockets: FxHashMap::default(),
             handle: handle.clone(),
-            unopened: Vec::new(),
-            again: Vec::new(),
+            pending_connects: Vec::new(),
+            pending_retries: Vec::new(),
             failures: Shortage::default(),
             shortage: None,
         }
     }
 
-    /// Begins to connect.
+    /// Starts to connect.
     pub fn connect(&mut self, conn: Conn, at: SocketAddr, engine: &mut Engine, now: Micros) {
-        self.open(Unopened { conn, at, since: now }, engine, now);
+        self.open(PendingConnect { conn, at, since: now }, engine, now);
     }
 
-    fn open(&mut self, wanted: Unopened, engine: &mut Engine, now: Micros) {
-        let Unopened { conn, at, since } = wanted;
+    fn open(&mut self, pending: PendingConnect, engine: &mut Engine, now: Micros) {
+        let PendingConnect { conn, at, since } = pending;
         let next = loop {
             match connect(at) {
                 Opened::Begun(stream) => {
                     self.failures.worked();
                     let mut socket = Socket::edge(stream, &self.handle, conn.into());
                     if !socket.ensure_enabled() {
-                        self.again.push(conn);
+                        self.pending_retries.push(conn);
                     }
                     self.sockets.insert(conn, Member { socket, at, up: false });
                     return;
@@ -79,37 +82,37 @@
                     warn!(about = %at, "cannot connect: {e}");
                     return engine.broken(now, conn);
                 }
-                Opened::Exhausted(lack) => match self.failures.failed(now, usage_of(lack)) {
+                Opened::Exhausted(scarce) => match self.failures.failed(now, limit_state_of(scarce)) {
                     Next::AtOnce => {}
-                    next => break (next, lack),
+                    next => break (next, scarce),
                 },
             }
         };
         match next {
-            (Next::Shortage, lack) => {
-                if let Scarce::ProcessDescriptors | Scarce::SystemDescriptors = lack {
-                    self.shortage = Some(lack == Scarce::ProcessDescriptors);
+            (Next::Shortage, scarce) => {
+                if let Scarce::ProcessDescriptors | Scarce::SystemDescriptors = scarce {
+                    self.shortage = Some(scarce == Scarce::ProcessDescriptors);
                 }
             }
-            _ if now - since < OPENS_FOR => return self.unopened.push(wanted),
+            _ if now - since < CONNECT_RETRY_TIME => return self.pending_connects.push(pending),
             _ => {}
         }
-        warn!(about = %at, lack = ?next.1, "cannot connect for now");
+        warn!(about = %at, scarce = ?next.1, "cannot connect for now");
         engine.not_opened(now, conn);
     }
 
-    /// Whether descriptors were found to be short since the last look: true if the process has no more, false if the
-    /// machine has none.
+    /// Whether descriptors were found exhausted since the last call: true if those of the process, false if
+    /// those of the machine.
     pub fn take_descriptor_shortage(&mut self) -> Option<bool> {
         self.shortage.take()
     }
 
-    /// Something is to be come back to by [`Members::retry`].
-    pub fn is_behind(&self) -> bool {
-        !(self.again.is_empty() && self.unopened.is_empty())
+    /// A call has to be retried by [`Members::retry`].
+    pub fn needs_retry(&self) -> bool {
+        !(self.pending_retries.is_empty() && self.pending_connects.is_empty())
     }
 
-    /// Comes back to what failed for a moment.
+    /// Retries calls that failed temporarily.
     pub fn retry(
         &mut self,
         scratch: &mut [u8],
@@ -117,38 +120,39 @@
         answers: &mut impl Answers,
         now: Micros,
     ) {
-        for wanted in std::mem::take(&mut self.unopened) {
-            self.open(wanted, engine, now);
+        for pending in std::mem::take(&mut self.pending_connects) {
+            self.open(pending, engine, now);
         }
-        for conn in std::mem::take(&mut self.again) {
+        for conn in std::mem::take(&mut self.pending_retries) {
             self.on_ready(conn, scratch, engine, answers, now);
         }
     }
 
-    /// All connections: what the loop could have told of them may have been lost.
-    pub fn look_at_all(&mut self) {
-        self.again = self.sockets.keys().copied().collect();
+    /// Reads from all connections at the next retry: the event loop may have lost readiness events.
+    pub fn recheck_all(&mut self) {
+        self.pending_retries = self.sockets.keys().copied().collect();
     }
 
-    /// Writes as far as the socket takes it. No attempt begins whose request is not open by the host's own record.
+    /// Writes as much as the socket takes. No attempt begins without an open request in the host's own
+    /// record.
     pub fn write(
         &mut self,
         conn: Conn,
-        look: bool,
+        probe: bool,
         engine: &mut Engine,
         is_open: impl Fn(RequestId) -> bool,
         now: Micros,
     ) {
         let Some(member) = self.sockets.get(&conn) else { return };
-        match if look { member.socket.has_unread() } else { Probe::No } {
+        match if probe { member.socket.has_unread() } else { Probe::No } {
             Probe::No => {}
             Probe::Yes => return engine.broken(now, conn),
-            // Danger: a good connection was broken since a look at it had failed.
-            Probe::Unknown => return self.again.push(conn),
+            // The check itself failed and is retried: nothing says that the connection is broken.
+            Probe::Unknown => return self.pending_retries.push(conn),
         }
         engine.check_write(now, conn, is_open);
         loop {
-            let mut slices = [IoSlice::new(&[]); SLICES];
+            let mut slices = [IoSlice::new(&[]); MAX_SLICES];
             let (mut count, mut bytes) = (0, 0);
             for (slice, part) in slices.iter_mut().zip(engine.transmit(conn)) {
                 *slice = IoSlice::new(part);
@@ -158,22 +162,23 @@
                 return;
             }
             match member.socket.write(&slices[..count]) {
-                // Danger: what was left of a command waited for an edge that had been spent.
+                // Goes on after a partial write: for the rest there would be no further readiness event.
                 Written::Bytes(written) => engine.transmitted(conn, written),
                 Written::Full => return,
-                Written::Later(_) => return self.again.push(conn),
+                Written::Later(_) => return self.pending_retries.push(conn),
                 Written::Broken(_) => return engine.broken(now, conn),
             }
         }
     }
 
-    /// Closes one, whatever was on it.
+    /// Closes a connection, whatever is on it.
     pub fn close(&mut self, conn: Conn) {
         self.sockets.remove(&conn);
-        self.unopened.retain(|wanted| wanted.conn != conn);
+        self.pending_connects.retain(|pending| pending.conn != conn);
     }
 
-    /// A connection has something to tell: that it is up, or what has come.
+    /// The socket of a connection is ready: the connect has ended, bytes have arrived, or it can be written
+    /// to.
     pub fn on_ready(
         &mut self,
         conn: Conn,
@@ -184,7 +189,7 @@
     ) {
         let Some(member) = self.sockets.get_mut(&conn) else { return };
         if !member.socket.ensure_enabled() {
-            self.again.push(conn);
+            self.pending_retries.push(conn);
         }
         if !member.up {
             match member.socket.connecting() {
@@ -192,8 +197,8 @@
                     member.up = true;
                     engine.connected(now, conn);
                 }
-                Connecting::Coming => return,
-                Connecting::Unknown => return self.again.push(conn),
+                Connecting::InProgress => return,
+                Connecting::Unknown => return self.pending_retries.push(conn),
                 Connecting::Failed(e) if is_momentary(Operation::Connect, &e) => {
                     warn!(about = %member.at, "cannot connect for now: {e}");
                     self.sockets.remove(&conn);
@@ -206,21 +211,21 @@
             }
         }
         engine.writable(conn);
-        // Backpressure: what a value's client cannot take stays with its server, and is read on when the engine
-        // resumes.
-        while !engine.holds(conn) {
+        // Backpressure: what the client of a large value cannot take yet stays with the server, until the
+        // engine resumes.
+        while !engine.is_read_paused(conn) {
             match member.socket.read(scratch) {
                 Read::NotReady => return,
                 Read::End => return engine.ended(now, conn, answers),
                 Read::Bytes(n) => {
-                    let of_use = engine.received(now, conn, &scratch[..n], answers);
-                    // All that was due has come, and whether the peer has closed behind it is looked at before the next
-                    // write. Guards against a read that finds nothing, for each answer.
-                    if !of_use || n < scratch.len() && !engine.expects(conn) {
+                    let usable = engine.received(now, conn, &scratch[..n], answers);
+                    // All pending answers have arrived. Whether the peer has closed behind them is checked
+                    // before the next write; this saves a read that finds nothing after each answer.
+                    if !usable || n < scratch.len() && !engine.expects(conn) {
                         return;
                     }
                 }
-                Read::Later(_) => return self.again.push(conn),
+                Read::Later(_) => return self.pending_retries.push(conn),
                 Read::Broken(_) => return engine.broken(now, conn),
             }
         }
--- a/crates/host/src/watched.rs
+++ b/crates/host/src/registered_source.rs
@@ -1,4 +1,4 @@
-//! Something on the loop, or to be on it as soon as the system lets it be watched.
+//! A source that is registered in the event loop, or will be as soon as the system allows it.
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -6,20 +6,22 @@
 use std::os::fd::AsFd;
 use std::rc::Rc;
 
-/// The data of a host's loop: it notes whose sockets one dispatch has told of, in order. They are seen to when the
-/// dispatch is over: callbacks know nothing of what is to be done.
+/// The data of a host's event loop: it records which sockets a dispatch has reported, in order. The host
+/// handles them when the dispatch is over, so that callbacks need no access to the host.
 pub trait ReadinessHandler: 'static {
-    /// Whose socket it is. It may have gone since.
+    /// Identifies the owner of a socket, which may no longer exist when it is handled.
     type Owner: Copy + 'static;
 
-    /// A socket is readable, writable or over.
+    /// A socket is readable or writable, or has ended.
     fn ready(&mut self, owner: Self::Owner);
 }
 
-/// A source of readiness, whose owner is noted when it is ready. It leaves the loop when it is dropped.
+/// A source of readiness events, reported with its owner. It is removed from the event loop when it is
+/// dropped.
 ///
-/// It is on the loop once [`RegisteredSource::ensure`] says so. Danger: epoll_ctl(2) fails for a moment, too (ENOMEM, ENOSPC). A source
-/// that is not on the loop yet is used without: its host looks at it, and calls that again, until it is.
+/// It is registered once [`RegisteredSource::ensure_enabled`] returns true: epoll_ctl(2) can fail temporarily
+/// (ENOMEM, ENOSPC). Until then the host uses the source without events: it polls it, and calls the function
+/// again.
 pub struct RegisteredSource<D: ReadinessHandler, S: AsFd + 'static> {
     source: Rc<S>,
     handle: LoopHandle<'static, D>,
@@ -27,17 +29,17 @@
     interest: Interest,
     mode: Mode,
     token: Option<RegistrationToken>,
-    /// It is on the loop, and tells nothing.
-    silent: bool,
+    /// It is registered, but its events are disabled.
+    disabled: bool,
 }
 
 impl<D: ReadinessHandler, S: AsFd + 'static> RegisteredSource<D, S> {
-    /// A listener or another source that tells as long as something is there to be read.
+    /// A level-triggered source, such as a listener: reported as long as there is something to read.
     pub fn level(source: S, handle: &LoopHandle<'static, D>, owner: D::Owner) -> Self {
         RegisteredSource::new(Rc::new(source), Interest::READ, Mode::Level, handle, owner)
     }
 
-    /// A source that tells once when it becomes readable or writable.
+    /// An edge-triggered source: reported once when it becomes readable or writable.
     pub fn edge(source: S, handle: &LoopHandle<'static, D>, owner: D::Owner) -> Self {
         RegisteredSource::new(Rc::new(source), Interest::BOTH, Mode::Edge, handle, owner)
     }
@@ -50,43 +52,44 @@
         owner: D::Owner,
     ) -> Self {
         let handle = handle.clone();
-        RegisteredSource { source, handle, owner, interest, mode, token: None, silent: false }
+        RegisteredSource { source, handle, owner, interest, mode, token: None, disabled: false }
     }
 
-    /// Puts it on the loop, if it is not there. False if that cannot be for now.
-    pub fn ensure(&mut self) -> bool {
+    /// Registers the source and enables its events, if necessary. False if that is not possible for now.
+    pub fn ensure_enabled(&mut self) -> bool {
         match self.token {
             None => {
                 let owner = self.owner;
-                let note = move |_, _: &mut _, noted: &mut D| {
-                    noted.ready(owner);
+                let on_event = move |_, _: &mut _, handler: &mut D| {
+                    handler.ready(owner);
                     Ok(PostAction::Continue)
                 };
                 let source = Generic::new(self.source.clone(), self.interest, self.mode);
-                self.token = self.handle.insert_source(source, note).ok();
+                self.token = self.handle.insert_source(source, on_event).ok();
             }
-            Some(token) if self.silent => self.silent = self.handle.enable(&token).is_err(),
+            Some(token) if self.disabled => self.disabled = self.handle.enable(&token).is_err(),
             Some(_) => {}
         }
-        self.is_telling()
+        self.is_enabled()
     }
 
-    /// The loop tells of it.
-    pub fn is_telling(&self) -> bool {
-        self.token.is_some() && !self.silent
+    /// Whether the event loop reports the source.
+    pub fn is_enabled(&self) -> bool {
+        self.token.is_some() && !self.disabled
     }
 
-    /// It tells nothing until [`RegisteredSource::ensure`] is called. Where that cannot be, it goes on telling.
-    pub fn silence(&mut self) {
-        if let Some(token) = self.token.filter(|_| !self.silent) {
-            self.silent = self.handle.disable(&token).is_ok();
+    /// Disables its events until [`RegisteredSource::ensure_enabled`] is called. If that fails, they stay
+    /// enabled.
+    pub fn disable(&mut self) {
+        if let Some(token) = self.token.filter(|_| !self.disabled) {
+            self.disabled = self.handle.disable(&token).is_ok();
         }
     }
 
-    /// Takes it off the loop, open as it is; gives it back where others hold it too.
+    /// Removes the source from the event loop and returns it, still open, unless it has other owners.
     ///
     /// # Errors
-    /// Itself, to be put on the loop again.
+    /// The source itself, not registered, if it has other owners.
     pub fn into_inner(self) -> Result<S, Self> {
         let (source, handle, owner) = (self.source.clone(), self.handle.clone(), self.owner);
         let (interest, mode) = (self.interest, self.mode);
--- a/crates/io/src/connection.rs
+++ b/crates/io/src/connection.rs
@@ -1,9 +1,9 @@
-//! Connections over TCP: bytes in and out, and whether the peer is there.
+//! TCP connections: transfer of bytes, and the state of the peer.
 
-use crate::FAILS_FOR;
-use crate::counts::judge;
-use crate::outcome::{Scarce, Operation, Outcome};
-use crate::retry::{AT_ONCE, at_once};
+use crate::MAX_TRANSFER_FAILURE_TIME;
+use crate::counts::classify_and_count;
+use crate::outcome::{Operation, Outcome, Scarce};
+use crate::retry::{MAX_IMMEDIATE_TRIES, retry_immediately};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use socket2::{Domain, Protocol, SockAddr, Type};
 use std::cell::Cell;
@@ -12,95 +12,96 @@
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
 use std::time::Instant;
 
-/// What a read brought.
+/// The result of a read.
 #[derive(Debug)]
 pub enum Read {
-    /// So many bytes, one at the least. There may be more, however few they are.
+    /// This many bytes, at least one. More may be available, even if the buffer was not filled.
     Bytes(usize),
-    /// No more will come.
+    /// The peer has closed its sending side.
     End,
-    /// Nothing is there: its readiness tells when that changes.
+    /// Nothing is available; the event loop reports when that changes.
     NotReady,
-    /// It failed for a moment. It is to be read again: no readiness will tell.
+    /// A temporary failure. The read has to be retried: the event loop does not report the socket again.
     Later(Scarce),
-    /// The connection is over.
+    /// The connection is broken.
     Broken(io::Error),
 }
 
-/// What a write did.
+/// The result of a write.
 #[derive(Debug)]
 pub enum Written {
-    /// So many bytes were taken, one at the least. More may be, however few they are.
+    /// This many bytes were taken, at least one. The socket may take more, even if not all were taken.
     Bytes(usize),
-    /// None can be taken: its readiness tells when that changes.
+    /// The send buffer is full; the event loop reports when that changes.
     Full,
-    /// It failed for a moment. It is to be written again: no readiness will tell.
+    /// A temporary failure. The write has to be retried: the event loop does not report the socket again.
     Later(Scarce),
-    /// The connection is over.
+    /// The connection is broken.
     Broken(io::Error),
 }
 
-/// What a look at a connection tells.
+/// The state of a connection, found by a call that consumes nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Probe {
-    /// It is so.
+    /// The condition holds.
     Yes,
-    /// It is not so.
+    /// The condition does not hold.
     No,
-    /// The look failed.
+    /// The call failed.
     Unknown,
 }
 
-/// How far a connect has come.
+/// The state of a connect.
 #[derive(Debug)]
 pub enum Connecting {
-    /// It is up.
+    /// The connection is established.
     Up,
-    /// Not yet: its readiness tells.
-    Coming,
-    /// The look failed for a moment: it is to be looked at again.
+    /// Not established yet; the event loop reports the result.
+    InProgress,
+    /// The state could not be read because of a temporary failure: ask again.
     Unknown,
-    /// It failed.
+    /// The connect failed.
     Failed(io::Error),
 }
 
-/// What came of the beginning of a connect.
+/// The result of starting a connect.
 #[derive(Debug)]
 pub enum Opened {
-    /// It is under way, or up.
+    /// The connect is in progress, or done.
     Begun(Stream),
-    /// Nobody was asked, for want of something here.
+    /// This machine or process is out of a resource; nothing was sent to the peer.
     Exhausted(Scarce),
-    /// That address does not answer.
+    /// The address cannot be reached.
     Failed(io::Error),
 }
 
-/// A connection that never blocks.
+/// A non-blocking connection.
 #[derive(Debug)]
 pub struct Stream {
     stream: TcpStream,
-    /// Since when its transfers have done nothing but fail for a moment.
+    /// Time since which every transfer has failed temporarily.
     failing_since: Cell<Option<Instant>>,
 }
 
 impl Stream {
-    /// Of a connection that does not block already, as [`crate::Listener::accept`] gives them. Small writes are not held back.
+    /// Wraps a connection that is non-blocking already, as from [`crate::Listener::accept`], and sets
+    /// TCP_NODELAY.
     pub fn new(stream: TcpStream) -> Stream {
-        // Without it writes wait for earlier ones to arrive, which costs time and no more.
-        let _ = at_once(Operation::Open, || stream.set_nodelay(true));
+        // A failure is harmless: small writes then wait for the acknowledgement of earlier ones.
+        let _ = retry_immediately(Operation::Open, || stream.set_nodelay(true));
         Stream { stream, failing_since: Cell::new(None) }
     }
 
-    /// Of one that another process had.
+    /// Wraps a connection that another process had.
     ///
     /// # Errors
     /// It cannot be made non-blocking.
     pub fn adopt(stream: TcpStream) -> io::Result<Stream> {
-        at_once(Operation::Open, || stream.set_nonblocking(true))?;
+        retry_immediately(Operation::Open, || stream.set_nonblocking(true))?;
         Ok(Stream::new(stream))
     }
 
-    /// Reads what has come, as far as there is room.
+    /// Reads what is available, up to the size of the buffer.
     pub fn read(&self, into: &mut [u8]) -> Read {
         if into.is_empty() {
             return Read::NotReady;
@@ -109,23 +110,23 @@
             Ok(Some(0)) => Read::End,
             Ok(Some(n)) => Read::Bytes(n),
             Ok(None) => Read::NotReady,
-            Err(Failed::ForNow(lack)) => Read::Later(lack),
-            Err(Failed::ForGood(e)) => Read::Broken(e),
+            Err(Failed::Temporarily(scarce)) => Read::Later(scarce),
+            Err(Failed::Permanently(e)) => Read::Broken(e),
         }
     }
 
-    /// Writes as much as is taken in one call.
+    /// Writes as much as the socket takes in one call.
     pub fn write(&self, parts: &[IoSlice]) -> Written {
         let written = self.transfer(PollFlags::OUT, || match parts {
-            // One part costs less by the plain call.
+            // For a single part the plain call is cheaper.
             [part] => (&self.stream).write(part),
             parts => (&self.stream).write_vectored(parts),
         });
         match written {
             Ok(Some(n)) if n > 0 => Written::Bytes(n),
             Ok(_) => Written::Full,
-            Err(Failed::ForNow(lack)) => Written::Later(lack),
-            Err(Failed::ForGood(e)) => Written::Broken(e),
+            Err(Failed::Temporarily(scarce)) => Written::Later(scarce),
+            Err(Failed::Permanently(e)) => Written::Broken(e),
         }
     }
 
@@ -134,7 +135,7 @@
         readiness: PollFlags,
         mut call: impl FnMut() -> io::Result<usize>,
     ) -> Result<Option<usize>, Failed> {
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_IMMEDIATE_TRIES {
             let error = match call() {
                 Ok(n) => {
                     self.failing_since.set(None);
@@ -142,90 +143,98 @@
                 }
                 Err(e) => e,
             };
-            match judge(Operation::Transfer, &error) {
+            match classify_and_count(Operation::Transfer, &error) {
                 Outcome::Repeat => {}
-                // Danger: readiness that is not there any more, but was never used up, comes back by no edge.
+                // After a spurious EAGAIN the socket is still ready, and edge-triggered polling would not
+                // report it again. poll(2) tells whether the EAGAIN is true.
                 Outcome::NotReady => match self.is_ready(readiness) {
                     Probe::No => {
                         self.failing_since.set(None);
                         return Ok(None);
                     }
                     Probe::Yes => {}
-                    Probe::Unknown => return Err(self.fails(Scarce::Other, error)),
+                    Probe::Unknown => return Err(self.on_temporary_failure(Scarce::Other, error)),
                 },
-                Outcome::Exhausted(lack) => return Err(self.fails(lack, error)),
-                _ => return Err(Failed::ForGood(error)),
+                Outcome::Exhausted(scarce) => return Err(self.on_temporary_failure(scarce, error)),
+                _ => return Err(Failed::Permanently(error)),
             }
         }
-        Err(self.fails(Scarce::Other, io::ErrorKind::Interrupted.into()))
+        Err(self.on_temporary_failure(Scarce::Other, io::ErrorKind::Interrupted.into()))
     }
 
-    fn fails(&self, lack: Scarce, error: io::Error) -> Failed {
+    fn on_temporary_failure(&self, scarce: Scarce, error: io::Error) -> Failed {
         let since = self.failing_since.get().unwrap_or_else(Instant::now);
         self.failing_since.set(Some(since));
-        if since.elapsed() < FAILS_FOR { Failed::ForNow(lack) } else { Failed::ForGood(error) }
+        if since.elapsed() < MAX_TRANSFER_FAILURE_TIME {
+            Failed::Temporarily(scarce)
+        } else {
+            Failed::Permanently(error)
+        }
     }
 
-    /// Whether the kernel holds it for readable or writable now.
+    /// Whether the kernel considers the socket readable or writable now.
     fn is_ready(&self, readiness: PollFlags) -> Probe {
         self.polled(readiness).map_or(Probe::Unknown, |found| found.is_empty().into())
     }
 
     fn polled(&self, flags: PollFlags) -> Option<PollFlags> {
-        for _ in 0..AT_ONCE {
-            let mut look = [PollFd::new(&self.stream, flags)];
-            if poll(&mut look, Some(&Timespec::default())).is_ok() {
-                return Some(look[0].revents());
+        for _ in 0..MAX_IMMEDIATE_TRIES {
+            let mut poll_fds = [PollFd::new(&self.stream, flags)];
+            if poll(&mut poll_fds, Some(&Timespec::default())).is_ok() {
+                return Some(poll_fds[0].revents());
             }
         }
         None
     }
 
-    /// Whether bytes wait to be read, or the peer has closed or failed, which counts as something to read.
+    /// Whether a read would return something: bytes, the end of the stream, or an error.
     pub fn has_unread(&self) -> Probe {
         self.is_ready(PollFlags::IN)
     }
 
-    /// Bytes wait to be read, and the peer has not ended its sending behind them.
+    /// Whether bytes are available and the peer has not closed its sending side behind them.
     pub fn has_input(&self) -> bool {
         self.polled(PollFlags::IN | PollFlags::RDHUP).is_some_and(|found| found == PollFlags::IN)
     }
 
-    /// Whether the peer has ended its sending, or the connection is over, whatever of it is still to be read.
+    /// Whether the peer has closed its sending side, or the connection has ended, even if bytes are still
+    /// unread.
     pub fn is_ended(&self) -> Probe {
         let over = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
         self.polled(over).map_or(Probe::Unknown, |found| (!found.intersects(over)).into())
     }
 
-    /// How far a begun connect has come.
+    /// The state of a connect that was started.
     pub fn connecting(&self) -> Connecting {
-        match at_once(Operation::Open, || self.stream.take_error()) {
+        match retry_immediately(Operation::Open, || self.stream.take_error()) {
             Ok(Some(e)) => return Connecting::Failed(e),
             Ok(None) => {}
-            Err(e) if judge(Operation::Open, &e) == Outcome::Over => return Connecting::Failed(e),
+            Err(e) if classify_and_count(Operation::Open, &e) == Outcome::Over => {
+                return Connecting::Failed(e);
+            }
             Err(_) => return Connecting::Unknown,
         }
-        match at_once(Operation::Open, || self.stream.peer_addr()) {
+        match retry_immediately(Operation::Open, || self.stream.peer_addr()) {
             Ok(_) => Connecting::Up,
-            Err(e) if e.kind() == io::ErrorKind::NotConnected => Connecting::Coming,
+            Err(e) if e.kind() == io::ErrorKind::NotConnected => Connecting::InProgress,
             Err(_) => Connecting::Unknown,
         }
     }
 
-    /// Sends no more; the peer sees the end of the stream behind what was written.
+    /// Closes the sending side; the peer sees the end of the stream after what was written.
     ///
     /// # Errors
-    /// The connection is over.
+    /// The connection is broken.
     pub fn finish(&self) -> io::Result<()> {
-        at_once(Operation::Open, || self.stream.shutdown(Shutdown::Write))
+        retry_immediately(Operation::Open, || self.stream.shutdown(Shutdown::Write))
     }
 
-    /// The address of its peer.
+    /// The address of the peer.
     ///
     /// # Errors
-    /// It has none any more.
+    /// The connection has ended.
     pub fn peer(&self) -> io::Result<SocketAddr> {
-        at_once(Operation::Open, || self.stream.peer_addr())
+        retry_immediately(Operation::Open, || self.stream.peer_addr())
     }
 }
 
@@ -241,7 +250,7 @@
     }
 }
 
-/// That poll(2) found nothing means that it is not ready.
+/// True means that poll(2) reported nothing, so the socket is not ready.
 impl From<bool> for Probe {
     fn from(nothing: bool) -> Probe {
         if nothing { Probe::No } else { Probe::Yes }
@@ -249,21 +258,21 @@
 }
 
 enum Failed {
-    ForNow(Scarce),
-    ForGood(io::Error),
+    Temporarily(Scarce),
+    Permanently(io::Error),
 }
 
-/// Begins to connect.
+/// Starts to connect.
 pub fn connect(to: SocketAddr) -> Opened {
     let new =
         || socket2::Socket::new(Domain::for_address(to), Type::STREAM.nonblocking(), Some(Protocol::TCP));
-    let socket = match at_once(Operation::Open, new) {
+    let socket = match retry_immediately(Operation::Open, new) {
         Ok(socket) => socket,
         Err(e) => return lacking(Operation::Open, e),
     };
     let address = SockAddr::from(to);
-    match at_once(Operation::Connect, || socket.connect(&address)) {
-        Err(e) if !matches!(judge(Operation::Connect, &e), Outcome::Begun | Outcome::Done) => {
+    match retry_immediately(Operation::Connect, || socket.connect(&address)) {
+        Err(e) if !matches!(classify_and_count(Operation::Connect, &e), Outcome::Begun | Outcome::Done) => {
             lacking(Operation::Connect, e)
         }
         _ => Opened::Begun(Stream::new(socket.into())),
@@ -271,8 +280,8 @@
 }
 
 fn lacking(operation: Operation, error: io::Error) -> Opened {
-    match judge(operation, &error) {
-        Outcome::Exhausted(lack) => Opened::Exhausted(lack),
+    match classify_and_count(operation, &error) {
+        Outcome::Exhausted(scarce) => Opened::Exhausted(scarce),
         _ => Opened::Failed(error),
     }
 }
--- a/crates/io/src/counts.rs
+++ b/crates/io/src/counts.rs
@@ -1,4 +1,4 @@
-//! How many calls of the process failed for a moment, by operation: for logs.
+//! Counts the temporary failures of calls, by operation, for logs.
 
 use crate::outcome::{Operation, Outcome, classify};
 use std::fmt;
@@ -7,8 +7,8 @@
 
 static FAILED: [AtomicU64; Operation::ALL.len()] = [const { AtomicU64::new(0) }; Operation::ALL.len()];
 
-/// [`classify`], and counts what fails for a moment.
-pub(crate) fn judge(operation: Operation, error: &io::Error) -> Outcome {
+/// Like [`classify`], and counts temporary failures.
+pub(crate) fn classify_and_count(operation: Operation, error: &io::Error) -> Outcome {
     let outcome = classify(operation, error);
     if let Outcome::Repeat | Outcome::Exhausted(_) = outcome
         && let Some(count) = FAILED.get(operation as usize)
@@ -18,12 +18,12 @@
     outcome
 }
 
-/// Calls that failed for a moment since the process began.
+/// Numbers of temporary failures since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FailedCalls([u64; Operation::ALL.len()]);
 
 impl FailedCalls {
-    /// Up to now.
+    /// The numbers up to now.
     pub fn so_far() -> FailedCalls {
         FailedCalls(std::array::from_fn(|n| FAILED.get(n).map_or(0, |count| count.load(Relaxed))))
     }
--- a/crates/io/src/datagram.rs
+++ b/crates/io/src/datagram.rs
@@ -1,54 +1,54 @@
-//! Datagrams over UDP, which may be lost anyway: only what says something of the socket itself is told.
+//! UDP datagrams. Since datagrams may be lost anyway, only errors of the socket itself are reported.
 
-use crate::counts::judge;
+use crate::counts::classify_and_count;
 use crate::outcome::{Operation, Outcome};
-use crate::retry::at_once;
+use crate::retry::retry_immediately;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
 
-/// What a read brought.
+/// The result of a read.
 #[derive(Debug)]
 pub enum Received {
-    /// So many bytes from there.
+    /// A datagram of this many bytes, and its sender.
     Datagram(usize, SocketAddr),
-    /// Nothing is there.
+    /// Nothing is available.
     NotReady,
-    /// A datagram sent before found nobody, or a call failed for a moment: others may wait.
+    /// An earlier datagram did not reach its receiver, or the call failed temporarily: more may be available.
     Nothing,
-    /// The socket is of no use.
+    /// The socket is unusable.
     Broken(io::Error),
 }
 
-/// A socket for datagrams that never blocks.
+/// A non-blocking socket for datagrams.
 #[derive(Debug)]
 pub struct Datagrams(UdpSocket);
 
 impl Datagrams {
-    /// Listens there.
+    /// Binds to the address.
     ///
     /// # Errors
-    /// The address is taken, or none of this machine's.
+    /// The address is in use, or not an address of this machine.
     pub fn bind(at: SocketAddr) -> io::Result<Datagrams> {
-        Datagrams::adopt(at_once(Operation::Open, || UdpSocket::bind(at))?.into())
+        Datagrams::adopt(retry_immediately(Operation::Open, || UdpSocket::bind(at))?.into())
     }
 
-    /// Of one that another process had.
+    /// Wraps a socket that another process had.
     ///
     /// # Errors
     /// It cannot be made non-blocking.
     pub fn adopt(fd: OwnedFd) -> io::Result<Datagrams> {
         let socket = UdpSocket::from(fd);
-        at_once(Operation::Open, || socket.set_nonblocking(true))?;
+        retry_immediately(Operation::Open, || socket.set_nonblocking(true))?;
         Ok(Datagrams(socket))
     }
 
-    /// The next datagram.
+    /// Receives the next datagram.
     pub fn receive(&self, into: &mut [u8]) -> Received {
         match self.0.recv_from(into) {
             Ok((bytes, from)) => Received::Datagram(bytes, from),
             Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => Received::Nothing,
-            Err(e) => match judge(Operation::Transfer, &e) {
+            Err(e) => match classify_and_count(Operation::Transfer, &e) {
                 Outcome::NotReady => Received::NotReady,
                 Outcome::Over => Received::Broken(e),
                 _ => Received::Nothing,
@@ -56,17 +56,17 @@
         }
     }
 
-    /// Sends one; it is lost like any other if the system does not take it.
+    /// Sends a datagram; it is lost if the system does not take it.
     pub fn send(&self, datagram: &[u8], to: SocketAddr) {
-        let _ = at_once(Operation::Open, || self.0.send_to(datagram, to));
+        let _ = retry_immediately(Operation::Open, || self.0.send_to(datagram, to));
     }
 
-    /// The same socket once more, for another process.
+    /// Duplicates the socket, for another process.
     ///
     /// # Errors
-    /// There is no descriptor to be had.
+    /// The process or the machine is out of descriptors.
     pub fn copy(&self) -> io::Result<OwnedFd> {
-        at_once(Operation::Open, || self.0.try_clone()).map(OwnedFd::from)
+        retry_immediately(Operation::Open, || self.0.try_clone()).map(OwnedFd::from)
     }
 }
 
--- a/crates/io/src/file.rs
+++ b/crates/io/src/file.rs
@@ -1,45 +1,45 @@
-//! Files: what is read is read whole or not at all.
+//! Files: a read returns the complete file or fails.
 
 use crate::outcome::{Operation, is_momentary};
-use crate::retry::at_once;
+use crate::retry::retry_immediately;
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::Path;
 use std::thread;
 use std::time::Duration;
 
-/// All of a file.
+/// Reads a complete file.
 ///
 /// # Errors
-/// It cannot be read, also not when tried again.
+/// The file cannot be read, even with retries.
 pub fn read_file(path: &Path) -> io::Result<Vec<u8>> {
-    at_once(Operation::File, || fs::read(path))
+    retry_immediately(Operation::File, || fs::read(path))
 }
 
-/// All of a file that holds text.
+/// Reads a complete text file.
 ///
 /// # Errors
-/// It cannot be read, also not when tried again, or is no text.
+/// The file cannot be read, even with retries, or is not UTF-8.
 pub fn read_text(path: &Path) -> io::Result<String> {
-    at_once(Operation::File, || fs::read_to_string(path))
+    retry_immediately(Operation::File, || fs::read_to_string(path))
 }
 
 /// Opens a file for reading.
 ///
 /// # Errors
-/// It cannot be opened, also not when tried again.
+/// The file cannot be opened, even with retries.
 pub fn open_file(path: &Path) -> io::Result<File> {
-    at_once(Operation::File, || File::open(path))
+    retry_immediately(Operation::File, || File::open(path))
 }
 
-/// Pauses between tries to write, and their number: for streams that nobody's request waits for.
+/// Pause between the tries of a write, and their maximum number: for streams on which no request waits.
 const WRITE_PAUSE: Duration = Duration::from_millis(1);
 const WRITE_TRIES: usize = 100;
 
-/// Writes all of a line to a stream that may fail for a moment or take it in parts.
+/// Writes a complete line to a stream that may fail temporarily or take it in parts.
 ///
 /// # Errors
-/// It is not taken, also not for a while: a part of it may be.
+/// The stream does not take the line, even with retries; a part of it may be written.
 pub fn write_line(to: &mut impl Write, line: &[u8]) -> io::Result<()> {
     let (mut rest, mut failures) = (line, 0);
     while !rest.is_empty() {
--- a/crates/io/src/listener.rs
+++ b/crates/io/src/listener.rs
@@ -1,9 +1,9 @@
-//! Listeners over TCP.
+//! TCP listeners.
 
 use crate::connection::Stream;
-use crate::counts::judge;
-use crate::outcome::{Scarce, Operation, Outcome};
-use crate::retry::at_once;
+use crate::counts::classify_and_count;
+use crate::outcome::{Operation, Outcome, Scarce};
+use crate::retry::retry_immediately;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::net::{SocketFlags, acceptfrom_with};
 use socket2::{Domain, Protocol, Type};
@@ -11,55 +11,56 @@
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
 
-/// What came from a listener's queue.
+/// The result of an accept.
 #[derive(Debug)]
 pub enum Accepted {
-    /// A connection, and who has connected.
+    /// A connection, and the address of its peer.
     Client(Stream, SocketAddr),
-    /// One that is over already: the next one may wait behind it.
+    /// A connection that has ended already; more may wait behind it.
     Gone,
     /// The queue is empty.
     Empty,
-    /// It failed for want of something here; who waits still waits.
+    /// This machine or process is out of a resource; waiting connections stay in the queue.
     Exhausted(Scarce),
-    /// The listener is of no use.
+    /// The listener is unusable.
     Broken(io::Error),
 }
 
-/// A listener that never blocks.
+/// A non-blocking listener.
 #[derive(Debug)]
 pub struct Listener(TcpListener);
 
 impl Listener {
-    /// Listens there, beside other processes of the same user if `shared`.
+    /// Listens on the address; if `shared`, other processes of the same user may listen on it too
+    /// (SO_REUSEPORT).
     ///
     /// # Errors
-    /// The address is taken, or none of this machine's.
+    /// The address is in use, or not an address of this machine.
     pub fn bind(at: SocketAddr, backlog: i32, shared: bool) -> io::Result<Listener> {
         let kind = Type::STREAM.nonblocking();
         let new = || socket2::Socket::new(Domain::for_address(at), kind, Some(Protocol::TCP));
-        let listener = at_once(Operation::Open, new)?;
-        at_once(Operation::Open, || listener.set_reuse_address(true))?;
+        let listener = retry_immediately(Operation::Open, new)?;
+        retry_immediately(Operation::Open, || listener.set_reuse_address(true))?;
         if shared {
-            let share = || Ok(rustix::net::sockopt::set_socket_reuseport(&listener, true)?);
-            at_once(Operation::Open, share)?;
+            let reuse_port = || Ok(rustix::net::sockopt::set_socket_reuseport(&listener, true)?);
+            retry_immediately(Operation::Open, reuse_port)?;
         }
-        at_once(Operation::Open, || listener.bind(&at.into()))?;
-        at_once(Operation::Open, || listener.listen(backlog))?;
+        retry_immediately(Operation::Open, || listener.bind(&at.into()))?;
+        retry_immediately(Operation::Open, || listener.listen(backlog))?;
         Ok(Listener(listener.into()))
     }
 
-    /// Of one that another process had.
+    /// Wraps a listener that another process had.
     ///
     /// # Errors
     /// It cannot be made non-blocking.
     pub fn adopt(fd: OwnedFd) -> io::Result<Listener> {
         let listener = TcpListener::from(fd);
-        at_once(Operation::Open, || listener.set_nonblocking(true))?;
+        retry_immediately(Operation::Open, || listener.set_nonblocking(true))?;
         Ok(Listener(listener))
     }
 
-    /// The next connection.
+    /// Accepts the next connection.
     pub fn accept(&self) -> Accepted {
         let error = match acceptfrom_with(&self.0, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
             Ok((fd, peer)) => {
@@ -68,35 +69,36 @@
             }
             Err(errno) => io::Error::from(errno),
         };
-        match judge(Operation::Accept, &error) {
+        match classify_and_count(Operation::Accept, &error) {
             Outcome::NotReady if self.has_waiting() => Accepted::Gone,
             Outcome::NotReady => Accepted::Empty,
-            Outcome::Exhausted(lack) => Accepted::Exhausted(lack),
+            Outcome::Exhausted(scarce) => Accepted::Exhausted(scarce),
             Outcome::Over => Accepted::Broken(error),
             _ => Accepted::Gone,
         }
     }
 
-    /// Danger: who waits behind an EAGAIN that is not true would be reset when the listener closes.
+    /// Whether connections wait although accept has returned EAGAIN. If the caller took a spurious EAGAIN for
+    /// an empty queue and closed the listener, they would be reset.
     fn has_waiting(&self) -> bool {
-        let mut look = [PollFd::new(&self.0, PollFlags::IN)];
-        poll(&mut look, Some(&Timespec::default())) != Ok(0)
+        let mut poll_fds = [PollFd::new(&self.0, PollFlags::IN)];
+        poll(&mut poll_fds, Some(&Timespec::default())) != Ok(0)
     }
 
-    /// Its address.
+    /// The address that it listens on.
     ///
     /// # Errors
-    /// The system does not say.
+    /// The system does not report it.
     pub fn address(&self) -> io::Result<SocketAddr> {
-        at_once(Operation::Open, || self.0.local_addr())
+        retry_immediately(Operation::Open, || self.0.local_addr())
     }
 
-    /// The same listener once more, for another process.
+    /// Duplicates the listener, for another process.
     ///
     /// # Errors
-    /// There is no descriptor to be had.
+    /// The process or the machine is out of descriptors.
     pub fn copy(&self) -> io::Result<OwnedFd> {
-        at_once(Operation::Open, || self.0.try_clone()).map(OwnedFd::from)
+        retry_immediately(Operation::Open, || self.0.try_clone()).map(OwnedFd::from)
     }
 }
 
--- a/crates/io/src/local.rs
+++ b/crates/io/src/local.rs
@@ -1,8 +1,8 @@
-//! Unix sockets between two processes of one node, and the descriptors that go along.
+//! Unix sockets between two processes of one node, which can also pass descriptors.
 
-use crate::counts::judge;
+use crate::counts::classify_and_count;
 use crate::outcome::{Operation, Outcome};
-use crate::retry::{AT_ONCE, at_once, retry_with_backoff};
+use crate::retry::{MAX_IMMEDIATE_TRIES, retry_immediately, retry_with_backoff};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::io::Errno;
 use rustix::net::{
@@ -17,69 +17,70 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What a read brought.
+/// The result of a read.
 #[derive(Debug)]
 pub enum Message {
-    /// So many bytes, and the descriptors that came along.
+    /// This many bytes, and the descriptors that came with them.
     Bytes(usize, Vec<OwnedFd>),
-    /// The peer has ended its sending.
+    /// The peer has closed its sending side.
     End,
-    /// Nothing is there.
+    /// Nothing is available.
     NotReady,
-    /// It failed for a moment, and is to be read again.
+    /// A temporary failure; the read has to be retried.
     Later,
 }
 
-/// What a write did.
+/// The result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sent {
-    /// So many bytes were taken, and the descriptor with them.
+    /// This many bytes were taken, and the descriptor with them.
     Bytes(usize),
-    /// None can be taken for now.
+    /// The socket takes nothing for now.
     Full,
-    /// It failed for a moment, and is to be written again.
+    /// A temporary failure; the write has to be retried.
     Later,
 }
 
-/// One end of a talk.
+/// One end of a connection over a Unix socket.
 #[derive(Debug)]
 pub struct LocalStream(UnixStream);
 
 impl LocalStream {
-    /// Calls return at once from now on.
+    /// Makes calls return at once from now on.
     ///
     /// # Errors
-    /// It cannot be made so.
+    /// The socket cannot be made non-blocking.
     pub fn set_nonblocking(&self) -> io::Result<()> {
-        at_once(Operation::Open, || self.0.set_nonblocking(true))
+        retry_immediately(Operation::Open, || self.0.set_nonblocking(true))
     }
 
-    /// Calls return after so long at the latest.
+    /// Limits how long a read or a write may block.
     ///
     /// # Errors
-    /// It cannot be made so.
+    /// The timeouts cannot be set.
     pub fn set_io_timeout(&self, most: Duration) -> io::Result<()> {
-        at_once(Operation::Open, || self.0.set_read_timeout(Some(most)))?;
-        at_once(Operation::Open, || self.0.set_write_timeout(Some(most)))
+        retry_immediately(Operation::Open, || self.0.set_read_timeout(Some(most)))?;
+        retry_immediately(Operation::Open, || self.0.set_write_timeout(Some(most)))
     }
 
     /// Sends bytes, and a descriptor with the first of them.
     ///
     /// # Errors
-    /// The talk is over.
+    /// The connection is broken.
     pub fn send(&self, bytes: &[u8], along: Option<BorrowedFd<'_>>) -> io::Result<Sent> {
         let along = along.map(|fd| [fd]);
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_IMMEDIATE_TRIES {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
             let mut control = SendAncillaryBuffer::new(&mut space);
             along.iter().for_each(|fds| _ = control.push(SendAncillaryMessage::ScmRights(fds)));
             let flags = SendFlags::NOSIGNAL | SendFlags::DONTWAIT;
             match sendmsg(&self.0, &[IoSlice::new(bytes)], &mut control, flags) {
                 Ok(sent) => return Ok(Sent::Bytes(sent)),
-                // Too many sockets under way: the peer takes them, and its turn comes.
+                // Too many descriptors are in flight over Unix sockets. A retry works once receivers have
+                // taken some.
                 Err(Errno::TOOMANYREFS) => return Ok(Sent::Later),
                 Err(errno) => match self.failed(errno, PollFlags::OUT)? {
-                    Wait::Again => {}
+                    Wait::Retry => {}
                     Wait::Ready => return Ok(Sent::Full),
                 },
             }
@@ -90,9 +91,9 @@
     /// Reads once.
     ///
     /// # Errors
-    /// The talk is over.
+    /// The connection is broken.
     pub fn receive(&self, into: &mut [u8]) -> io::Result<Message> {
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_IMMEDIATE_TRIES {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
             let mut slices = [IoSliceMut::new(into)];
@@ -110,7 +111,7 @@
                     });
                 }
                 Err(errno) => match self.failed(errno, PollFlags::IN)? {
-                    Wait::Again => {}
+                    Wait::Retry => {}
                     Wait::Ready => return Ok(Message::NotReady),
                 },
             }
@@ -120,23 +121,23 @@
 
     fn failed(&self, errno: Errno, readiness: PollFlags) -> io::Result<Wait> {
         let error = io::Error::from(errno);
-        match judge(Operation::Transfer, &error) {
+        match classify_and_count(Operation::Transfer, &error) {
             Outcome::NotReady => {
-                let mut look = [PollFd::new(&self.0, readiness)];
-                let found = poll(&mut look, Some(&Timespec::default()));
-                Ok(if found == Ok(0) { Wait::Ready } else { Wait::Again })
+                let mut poll_fds = [PollFd::new(&self.0, readiness)];
+                let found = poll(&mut poll_fds, Some(&Timespec::default()));
+                Ok(if found == Ok(0) { Wait::Ready } else { Wait::Retry })
             }
-            Outcome::Repeat | Outcome::Exhausted(_) => Ok(Wait::Again),
+            Outcome::Repeat | Outcome::Exhausted(_) => Ok(Wait::Retry),
             _ => Err(error),
         }
     }
 }
 
-/// What follows from a failed transfer.
+/// What to do after a failed transfer.
 enum Wait {
-    /// The same call again.
-    Again,
-    /// For its readiness.
+    /// Make the same call again.
+    Retry,
+    /// Wait until the socket is ready.
     Ready,
 }
 
@@ -146,76 +147,79 @@
     }
 }
 
-/// What came of asking at a place.
+/// Whether another process listens on a local socket.
 #[derive(Debug)]
 pub enum PeerProbe {
-    /// Somebody is there.
-    Somebody(LocalStream),
-    /// Nobody is.
-    Nobody,
+    /// A process listens; this is the connection to it.
+    Listening(LocalStream),
+    /// No process listens there.
+    Absent,
 }
 
-/// Asks at a place. Danger: a process that could not ask took itself for alone, beside another one.
+/// Connects to the Unix socket at a path, to find out whether another process listens on it. It retries until
+/// it is sure: a process that took a failed call for the answer would run as if it were alone, next to
+/// another one.
 ///
 /// # Errors
-/// It cannot be found out whether somebody is there, also not for a while.
-pub fn probe_peer(place: &Path, patience: Duration) -> io::Result<PeerProbe> {
-    let unsure = |e: &io::Error| !is_nobody(e);
-    match retry_with_backoff(patience, || UnixStream::connect(place), unsure) {
+/// It could not be found out within `timeout`.
+pub fn probe_peer(path: &Path, timeout: Duration) -> io::Result<PeerProbe> {
+    let unsure = |e: &io::Error| !is_no_listener(e);
+    match retry_with_backoff(timeout, || UnixStream::connect(path), unsure) {
         Ok(stream) => Ok(PeerProbe::Listening(LocalStream(stream))),
-        Err(e) if is_nobody(&e) => Ok(PeerProbe::Nobody),
+        Err(e) if is_no_listener(&e) => Ok(PeerProbe::Absent),
         Err(e) => Err(e),
     }
 }
 
-/// An error by which nobody listens there.
-fn is_nobody(error: &io::Error) -> bool {
+/// The error means that no process listens there.
+fn is_no_listener(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused)
         || matches!(error.raw_os_error().map(Errno::from_raw_os_error), Some(Errno::NOTSOCK | Errno::NOTDIR))
 }
 
-/// Who came to a [`LocalListener`].
+/// The result of an accept on a [`LocalListener`].
 #[derive(Debug)]
 pub enum LocalAccepted {
-    /// This one.
-    Came(LocalStream),
-    /// Nobody, for now.
-    Nobody,
-    /// It cannot be told for now: the same call again.
+    /// A connection from another process.
+    Connection(LocalStream),
+    /// The queue is empty.
+    Empty,
+    /// The call failed temporarily and has to be retried.
     Later,
 }
 
-/// Where other processes of the node may ask.
+/// The socket on which a process of the node can be reached by others.
 #[derive(Debug)]
 pub struct LocalListener(UnixListener);
 
 impl LocalListener {
-    /// Listens at that place, over whatever is there, by way of a file beside it.
+    /// Listens at `path`, in place of whatever is there. The socket is created at `temporary`, beside it.
     ///
     /// # Errors
-    /// The file system does not allow it, also not when tried again.
-    pub fn bind(place: &Path, beside: &Path) -> io::Result<LocalListener> {
-        at_once(Operation::File, || {
-            let _ = fs::remove_file(beside);
-            // An unlink that failed for a moment leaves the address taken: that passes, too.
+    /// The file system does not allow it, even with retries.
+    pub fn bind(path: &Path, temporary: &Path) -> io::Result<LocalListener> {
+        retry_immediately(Operation::File, || {
+            let _ = fs::remove_file(temporary);
+            // If the unlink failed temporarily the address is still in use: that is retried too.
             let taken = |e: io::Error| match e.kind() {
                 io::ErrorKind::AddrInUse => Errno::AGAIN.into(),
                 _ => e,
             };
-            let listener = UnixListener::bind(beside).map_err(taken)?;
+            let listener = UnixListener::bind(temporary).map_err(taken)?;
             listener.set_nonblocking(true)?;
-            // Danger: between taking away and binding nobody could be met; a rename leaves no such gap.
-            fs::rename(beside, place)?;
+            // Between an unlink and a bind of `path` no process could be reached there; a rename leaves no
+            // such gap.
+            fs::rename(temporary, path)?;
             Ok(LocalListener(listener))
         })
     }
 
-    /// Whoever has come.
+    /// Accepts the next connection.
     pub fn accept(&self) -> LocalAccepted {
-        match at_once(Operation::Accept, || self.0.accept()) {
+        match retry_immediately(Operation::Accept, || self.0.accept()) {
             Ok((stream, _)) => LocalAccepted::Connection(LocalStream(stream)),
-            Err(e) => match judge(Operation::Accept, &e) {
-                Outcome::NotReady => LocalAccepted::Nobody,
+            Err(e) => match classify_and_count(Operation::Accept, &e) {
+                Outcome::NotReady => LocalAccepted::Empty,
                 _ => LocalAccepted::Later,
             },
         }
--- a/crates/io/src/outcome.rs
+++ b/crates/io/src/outcome.rs
@@ -1,29 +1,30 @@
-//! What a failed call tells, by operation and error number.
+//! What a failed call means, by operation and error number.
 
 use rustix::io::Errno;
 use std::io;
 
-/// What a call was to do.
+/// The purpose of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Bytes in or out on a connection.
+    /// Read from or write to a connection.
     Transfer,
-    /// The next connection from a listener's queue.
+    /// Accept the next connection from a listener's queue.
     Accept,
-    /// A connection to a peer.
+    /// Connect to a peer.
     Connect,
-    /// A descriptor, a thread, or a setting of one: socket, dup, bind, listen, fcntl, setsockopt, epoll_ctl, poll.
+    /// Create or configure a descriptor or a thread: socket, dup, bind, listen, fcntl, setsockopt, epoll_ctl,
+    /// poll.
     Open,
-    /// Something with a file.
+    /// Access a file.
     File,
 }
 
 impl Operation {
-    /// All of them.
+    /// All operations.
     pub const ALL: [Operation; 5] =
         [Operation::Transfer, Operation::Accept, Operation::Connect, Operation::Open, Operation::File];
 
-    /// As logs name it.
+    /// The name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Operation::Transfer => "transfer",
@@ -35,41 +36,42 @@
     }
 }
 
-/// What this machine or process had too little of.
+/// The resource of this machine or process that a failed call was short of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scarce {
-    /// The process's descriptors (EMFILE).
+    /// Descriptors of the process (EMFILE).
     ProcessDescriptors,
-    /// The machine's descriptors (ENFILE).
+    /// Descriptors of the machine (ENFILE).
     SystemDescriptors,
     /// Memory or buffers (ENOMEM, ENOBUFS).
     Memory,
     /// Ephemeral ports (EADDRNOTAVAIL, EADDRINUSE, EAGAIN at a connect).
     Ports,
-    /// Room on a disk or in a table of the kernel (ENOSPC, EDQUOT).
-    Room,
-    /// Something else that passes (EAGAIN, EIO, ECANCELED).
+    /// Space on a disk or in a table of the kernel (ENOSPC, EDQUOT).
+    Space,
+    /// Another temporary condition (EAGAIN, EIO, ECANCELED).
     Other,
 }
 
-/// What a failed call tells.
+/// What a failed call means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Nothing: the same call again at once, or the next of its kind.
+    /// Nothing: make the same call again at once, or the next of its kind.
     Repeat,
-    /// There is nothing to be had for now.
+    /// Nothing is available for now.
     NotReady,
-    /// It is under way.
+    /// The operation is in progress.
     Begun,
-    /// It has been done already.
+    /// The operation was done before.
     Done,
-    /// The next try may work; nothing is known of the peer.
+    /// A resource is exhausted: a retry may work, and the failure says nothing about the peer.
     Exhausted(Scarce),
-    /// It cannot be done, or the connection is over.
+    /// The call cannot succeed, or the connection is broken.
     Over,
 }
 
-/// What an error of an operation tells. An error without a number is none of the system's: [`Outcome::Over`].
+/// What the error of an operation means. An error without an error number does not come from the system:
+/// [`Outcome::Over`].
 pub fn classify(operation: Operation, error: &io::Error) -> Outcome {
     let Some(errno) = error.raw_os_error().map(Errno::from_raw_os_error) else { return Outcome::Over };
     match (operation, errno) {
@@ -83,20 +85,21 @@
         (_, Errno::MFILE) => Outcome::Exhausted(Scarce::ProcessDescriptors),
         (_, Errno::NFILE) => Outcome::Exhausted(Scarce::SystemDescriptors),
         (_, Errno::NOMEM | Errno::NOBUFS) => Outcome::Exhausted(Scarce::Memory),
-        (_, Errno::NOSPC | Errno::DQUOT) => Outcome::Exhausted(Scarce::Room),
+        (_, Errno::NOSPC | Errno::DQUOT) => Outcome::Exhausted(Scarce::Space),
         (_, Errno::AGAIN | Errno::IO | Errno::CANCELED) => Outcome::Exhausted(Scarce::Other),
-        // Danger: what a new socket had pending was taken for the listener's own error.
+        // accept(2) also returns pending errors of the new connection, which must not be taken for errors of
+        // the listener.
         (Operation::Accept, errno) if !is_misuse(errno) => Outcome::Repeat,
         _ => Outcome::Over,
     }
 }
 
-/// The call was made wrongly: no repetition helps.
+/// The call itself is wrong: repeating it does not help.
 fn is_misuse(errno: Errno) -> bool {
     matches!(errno, Errno::BADF | Errno::FAULT | Errno::INVAL | Errno::NOTSOCK)
 }
 
-/// Whether the next try of the same may work.
+/// Whether a retry may work.
 pub fn is_momentary(operation: Operation, error: &io::Error) -> bool {
     matches!(classify(operation, error), Outcome::Repeat | Outcome::Exhausted(_))
 }
--- a/crates/io/src/retry.rs
+++ b/crates/io/src/retry.rs
@@ -1,43 +1,45 @@
-//! Calls that are made again where a failure says nothing of the world.
+//! Retries of calls whose failure is temporary.
 
-use crate::counts::judge;
+use crate::counts::classify_and_count;
 use crate::outcome::{Operation, Outcome};
 use std::io;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A call that costs little is made so often in a row, at the most, before its failure counts.
-pub const AT_ONCE: usize = 8;
-/// Pauses between tries that may be waited for.
+/// A cheap call is made at most this many times in a row before its failure counts.
+pub const MAX_IMMEDIATE_TRIES: usize = 8;
+/// Pauses between tries in [`retry_with_backoff`].
 const FIRST_PAUSE: Duration = Duration::from_millis(1);
-const LONGEST_PAUSE: Duration = Duration::from_millis(50);
+const MAX_PAUSE: Duration = Duration::from_millis(50);
 
-/// Makes a call up to [`AT_ONCE`] times, as long as it fails for a moment only.
+/// Makes a call up to [`MAX_IMMEDIATE_TRIES`] times, as long as its failures are temporary.
 ///
 /// # Errors
 /// The last failure.
-pub fn at_once<T>(operation: Operation, mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_immediately<T>(operation: Operation, mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let mut last = call();
-    for _ in 1..AT_ONCE {
+    for _ in 1..MAX_IMMEDIATE_TRIES {
         match &last {
-            Err(e) if matches!(judge(operation, e), Outcome::Repeat | Outcome::Exhausted(_)) => last = call(),
+            Err(e) if matches!(classify_and_count(operation, e), Outcome::Repeat | Outcome::Exhausted(_)) => {
+                last = call()
+            }
             _ => break,
         }
     }
     last
 }
 
-/// Makes a call again and again for as long as it fails for a moment only, with pauses between. For the start of a process,
-/// where nobody waits yet.
+/// Makes a call again and again as long as its failures are temporary, with growing pauses. It blocks: meant
+/// for the start of a process, when no client waits yet.
 ///
 /// # Errors
-/// The first failure that is not of a moment, or the last after `patience`.
+/// The first failure that is not temporary, or the last one after `timeout`.
 pub fn retry_with_backoff<T, E>(
-    patience: Duration,
+    timeout: Duration,
     mut call: impl FnMut() -> Result<T, E>,
     is_momentary: impl Fn(&E) -> bool,
 ) -> Result<T, E> {
-    let until = Instant::now() + patience;
+    let until = Instant::now() + timeout;
     let mut pause = FIRST_PAUSE;
     loop {
         match call() {
@@ -45,6 +47,6 @@
             done => return done,
         }
         thread::sleep(pause);
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        pause = (pause * 2).min(MAX_PAUSE);
     }
 }
--- a/crates/io/src/shortage.rs
+++ b/crates/io/src/shortage.rs
@@ -1,38 +1,38 @@
-//! Whether calls that fail for want of something tell of a shortage: a state with evidence, which ends with the first call
-//! that works. No I/O, no clock.
+//! Whether failing calls mean that a resource is short. A shortage is concluded from repeated failures, and
+//! ends with the first call that works. No I/O, no clock.
 
 /// Microseconds.
 type Micros = i64;
 
-/// So many failures in a row are followed by another try at once.
-const TRIES: u32 = 4;
-/// Calls that have done nothing but fail for so long tell of a shortage where nothing else does.
-const SURE_AFTER: Micros = 250_000;
-/// The same, where the process counts that there is room.
-const SURE_AGAINST_COUNT_AFTER: Micros = 1_000_000;
-/// From one try to the next: at first, and at the most.
+/// This many failures in a row are each followed by another try at once.
+const IMMEDIATE_TRIES: u32 = 4;
+/// Calls that have only failed for this long mean a shortage, if the process cannot check its own limit.
+const CONFIRM_AFTER: Micros = 250_000;
+/// The same, if by the process's own count the limit is not reached.
+const CONFIRM_AGAINST_LIMIT_AFTER: Micros = 1_000_000;
+/// Pause between two tries: the first, and the maximum.
 const FIRST_PAUSE: Micros = 1_000;
-const LONGEST_PAUSE: Micros = 5_000;
+const MAX_PAUSE: Micros = 5_000;
 
-/// What the process itself counts of what a call lacked.
+/// Whether the process has reached its own limit on a resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Count {
-    /// It has all that it may have.
-    Full,
-    /// It may have more.
-    Room,
-    /// It cannot tell.
+pub enum LimitState {
+    /// The limit is reached.
+    Reached,
+    /// The limit is not reached.
+    NotReached,
+    /// The process cannot tell.
     Unknown,
 }
 
-/// What follows from a failure.
+/// What to do after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// The same call again.
+    /// Make the same call again.
     AtOnce,
-    /// The same call again so much later (microseconds).
+    /// Make the same call again after this time (microseconds).
     After(Micros),
-    /// There is a shortage: room must be made.
+    /// The resource is short: some of it must be freed.
     Shortage,
 }
 
@@ -45,27 +45,27 @@
 
 impl Shortage {
     /// A call failed.
-    pub fn failed(&mut self, now: Micros, count: Count) -> Next {
+    pub fn failed(&mut self, now: Micros, limit: LimitState) -> Next {
         if self.failures == 0 {
             self.since = now;
         }
         self.failures = self.failures.saturating_add(1);
-        let sure_after = match count {
-            Count::Full => 0,
-            Count::Room => SURE_AGAINST_COUNT_AFTER,
-            Count::Unknown => SURE_AFTER,
+        let confirm_after = match limit {
+            LimitState::Reached => 0,
+            LimitState::NotReached => CONFIRM_AGAINST_LIMIT_AFTER,
+            LimitState::Unknown => CONFIRM_AFTER,
         };
-        if self.failures <= TRIES {
+        if self.failures <= IMMEDIATE_TRIES {
             Next::AtOnce
-        } else if now - self.since >= sure_after {
+        } else if now - self.since >= confirm_after {
             Next::Shortage
         } else {
-            let doubled = FIRST_PAUSE << (self.failures - TRIES - 1).min(8);
-            Next::After(doubled.min(LONGEST_PAUSE))
+            let doubled = FIRST_PAUSE << (self.failures - IMMEDIATE_TRIES - 1).min(8);
+            Next::After(doubled.min(MAX_PAUSE))
         }
     }
 
-    /// A call worked: there is none.
+    /// A call worked: there is no shortage.
     pub fn worked(&mut self) {
         self.failures = 0;
     }
@@ -76,20 +76,20 @@
     use super::*;
 
     #[test]
-    fn a_shortage_is_what_lasts_or_what_the_process_counts_and_ends_with_what_works() {
+    fn lasting_failures_or_a_reached_limit_mean_a_shortage_until_a_call_works() {
         let mut shortage = Shortage::default();
-        assert!((0..TRIES).all(|_| shortage.failed(0, Count::Full) == Next::AtOnce));
-        assert_eq!(shortage.failed(0, Count::Full), Next::Shortage);
+        assert!((0..IMMEDIATE_TRIES).all(|_| shortage.failed(0, LimitState::Reached) == Next::AtOnce));
+        assert_eq!(shortage.failed(0, LimitState::Reached), Next::Shortage);
         shortage.worked();
-        assert!((0..TRIES).all(|_| shortage.failed(0, Count::Unknown) == Next::AtOnce));
-        assert_eq!(shortage.failed(0, Count::Unknown), Next::After(FIRST_PAUSE));
-        assert_eq!(shortage.failed(1_000, Count::Unknown), Next::After(2 * FIRST_PAUSE));
-        assert_eq!(shortage.failed(3_000, Count::Unknown), Next::After(4 * FIRST_PAUSE));
-        assert_eq!(shortage.failed(SURE_AFTER - 1, Count::Unknown), Next::After(LONGEST_PAUSE));
-        assert_eq!(shortage.failed(SURE_AFTER, Count::Room), Next::After(LONGEST_PAUSE));
-        assert_eq!(shortage.failed(SURE_AFTER, Count::Unknown), Next::Shortage);
-        assert_eq!(shortage.failed(SURE_AGAINST_COUNT_AFTER, Count::Room), Next::Shortage);
+        assert!((0..IMMEDIATE_TRIES).all(|_| shortage.failed(0, LimitState::Unknown) == Next::AtOnce));
+        assert_eq!(shortage.failed(0, LimitState::Unknown), Next::After(FIRST_PAUSE));
+        assert_eq!(shortage.failed(1_000, LimitState::Unknown), Next::After(2 * FIRST_PAUSE));
+        assert_eq!(shortage.failed(3_000, LimitState::Unknown), Next::After(4 * FIRST_PAUSE));
+        assert_eq!(shortage.failed(CONFIRM_AFTER - 1, LimitState::Unknown), Next::After(MAX_PAUSE));
+        assert_eq!(shortage.failed(CONFIRM_AFTER, LimitState::NotReached), Next::After(MAX_PAUSE));
+        assert_eq!(shortage.failed(CONFIRM_AFTER, LimitState::Unknown), Next::Shortage);
+        assert_eq!(shortage.failed(CONFIRM_AGAINST_LIMIT_AFTER, LimitState::NotReached), Next::Shortage);
         shortage.worked();
-        assert_eq!(shortage.failed(SURE_AGAINST_COUNT_AFTER, Count::Full), Next::AtOnce);
+        assert_eq!(shortage.failed(CONFIRM_AGAINST_LIMIT_AFTER, LimitState::Reached), Next::AtOnce);
     }
 }
--- a/crates/io/tests/table.rs
+++ b/crates/io/tests/table.rs
@@ -1,12 +1,12 @@
-//! The table of the crate's page, row by row: what each documented error of each operation is.
+//! Checks each row of the table in the crate's documentation.
 
 use lapisrudder_fault_shim::errno::*;
-use lapisrudder_io::{Scarce, Operation, Outcome, classify, is_momentary};
+use lapisrudder_io::{Operation, Outcome, Scarce, classify, is_momentary};
 use std::io;
 
-use Scarce::{Memory, Other, Ports, ProcessDescriptors, Room, SystemDescriptors};
 use Operation::{Accept, Connect, File, Open, Transfer};
 use Outcome::{Begun, Done, Exhausted, NotReady, Over, Repeat};
+use Scarce::{Memory, Other, Ports, ProcessDescriptors, Space, SystemDescriptors};
 
 const TABLE: &[(Operation, &[i32], Outcome)] = &[
     (Transfer, &[EINTR], Repeat),
@@ -30,27 +30,27 @@
     (Open, &[EMFILE], Exhausted(ProcessDescriptors)),
     (Open, &[ENFILE], Exhausted(SystemDescriptors)),
     (Open, &[ENOBUFS, ENOMEM], Exhausted(Memory)),
-    (Open, &[ENOSPC], Exhausted(Room)),
+    (Open, &[ENOSPC], Exhausted(Space)),
     (Open, &[EAGAIN, EIO, ECANCELED], Exhausted(Other)),
     (Open, &[EADDRINUSE, EADDRNOTAVAIL, EACCES, EBADF, EINVAL], Over),
     (File, &[EINTR], Repeat),
     (File, &[EMFILE], Exhausted(ProcessDescriptors)),
     (File, &[ENFILE], Exhausted(SystemDescriptors)),
     (File, &[ENOMEM], Exhausted(Memory)),
-    (File, &[ENOSPC, EDQUOT], Exhausted(Room)),
+    (File, &[ENOSPC, EDQUOT], Exhausted(Space)),
     (File, &[EAGAIN, EIO], Exhausted(Other)),
     (File, &[ENOENT, EACCES, EPERM, EINVAL], Over),
 ];
 
 #[test]
-fn each_documented_error_is_what_the_table_says() {
+fn each_documented_error_is_classified_as_in_the_table() {
     for (operation, errors, outcome) in TABLE {
         for errno in *errors {
             let error = io::Error::from_raw_os_error(*errno);
             assert_eq!(classify(*operation, &error), *outcome, "{operation:?}: {error}");
-            let passes = matches!(outcome, Repeat | Exhausted(_));
-            assert_eq!(is_momentary(*operation, &error), passes, "{operation:?}: {error}");
+            let is_temporary = matches!(outcome, Repeat | Exhausted(_));
+            assert_eq!(is_momentary(*operation, &error), is_temporary, "{operation:?}: {error}");
         }
     }
-    assert_eq!(classify(Open, &io::Error::other("none of the system's")), Over);
+    assert_eq!(classify(Open, &io::Error::other("not from the system")), Over);
 }
--- a/crates/lab/src/sim/front.rs
+++ b/crates/lab/src/sim/front.rs
@@ -8,7 +8,7 @@
 use lapisrudder_codec::memcache::{self, Command, MAX_LINE, MAX_WHOLE, OwnedRequest};
 use lapisrudder_engine::Deadlines;
 use lapisrudder_limits::{
-    Accepting, Activity, Admission, ConnId, RequestInfo, Intake, Order, Resources, Ticket, Verdict,
+    Accepting, Activity, Admission, ConnId, Intake, Order, RequestInfo, Resources, Ticket, Verdict,
 };
 use lapisrudder_model::network::{Conn, Side};
 use rustc_hash::FxHashMap;
--- a/crates/lab/src/sim/node.rs
+++ b/crates/lab/src/sim/node.rs
@@ -14,10 +14,10 @@
 use lapisrudder_config::{ListError, MemberList, Options, Platform, Target, digest, micros};
 use lapisrudder_decisions::{Key, RequestId, Scope, Stage};
 use lapisrudder_engine::{
-    Answer, Answers, Conn as Name, Deadlines, Engine, Final, MAX_TRANSACTION_TIME, Limits, Member, Order, Request,
-    TakeError, DiscoveryAnswer, Watch, WatchEvent, WatchOrder,
+    Answer, Answers, Conn as Name, Deadlines, DiscoveryAnswer, Engine, Final, Limits, MAX_TRANSACTION_TIME,
+    Member, Order, Request, TakeError, Watch, WatchEvent, WatchOrder,
 };
-use lapisrudder_limits::{Admission, RequestInfo, Intake, Resources, Ticket, Usage};
+use lapisrudder_limits::{Admission, Intake, RequestInfo, Resources, Ticket, Usage};
 use lapisrudder_model::network::{Conn, Host, Side};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
@@ -440,7 +440,7 @@
                 let scope = if list.all { Scope::Full } else { Scope::Changes };
                 self.list_news(scope, list.targets, cx);
             }
-            Some(WatchEvent::Old(list)) => self.list_news(Scope::Remembered, list.targets, cx),
+            Some(WatchEvent::Outdated(list)) => self.list_news(Scope::Remembered, list.targets, cx),
             Some(WatchEvent::Failed) => self.engine.list_failed(),
             None => {}
         }
--- a/crates/limits/examples/decide.rs
+++ b/crates/limits/examples/decide.rs
@@ -4,7 +4,9 @@
 //!
 //! `cargo run --release -p lapisrudder-limits --example decide`
 
-use lapisrudder_limits::{Activity, Admission, ConnId, RequestInfo, Intake, Micros, Resources, Settings, Verdict};
+use lapisrudder_limits::{
+    Activity, Admission, ConnId, Intake, Micros, RequestInfo, Resources, Settings, Verdict,
+};
 use std::hint::black_box;
 use std::net::{IpAddr, Ipv6Addr};
 use std::time::Instant;
--- a/crates/limits/examples/follow_cost.rs
+++ b/crates/limits/examples/follow_cost.rs
@@ -1,8 +1,8 @@
-//! Nanoseconds a decision of `AdaptiveLimit` and `Held`: `cargo run --release -p lapisrudder-limits --example follow_cost`. Median
+//! Nanoseconds a decision of `AdaptiveLimit` and `CoalescingQueue`: `cargo run --release -p lapisrudder-limits --example follow_cost`. Median
 //! of seven runs; run it with nothing else on the machine.
 
-use lapisrudder_limits::adaptive_limit::{End, AdaptiveLimit, Settings};
-use lapisrudder_limits::held::Held;
+use lapisrudder_limits::adaptive_limit::{AdaptiveLimit, End, Settings};
+use lapisrudder_limits::coalescing_queue::CoalescingQueue;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::VecDeque;
 use std::hint::black_box;
@@ -41,9 +41,9 @@
     }
     for size in [10u64, 10_000, 500_000] {
         let mut rng = SmallRng::seed_from_u64(1);
-        let (mut held, mut next) = (Held::new(size as usize), 0);
+        let (mut held, mut next) = (CoalescingQueue::new(size as usize), 0);
         // Two wait for a key on average.
-        let mut hold = |held: &mut Held<u64, u64>| {
+        let mut hold = |held: &mut CoalescingQueue<u64, u64>| {
             next += 1;
             black_box(held.hold(rng.random_range(0..size / 2), next));
             next
--- a/crates/limits/src/admission/arrivals.rs
+++ b/crates/limits/src/admission/arrivals.rs
@@ -2,7 +2,7 @@
 
 use super::{Admission, LOOK_AGAIN};
 use crate::Micros;
-use crate::keep::{Newcomer, micros};
+use crate::keep_alive::{Newcomer, micros};
 use crate::orders::{Activity, ConnId, EventKind, Verdict, Why};
 use crate::reserve::Pool;
 use crate::resources::{Accepting, Shortage};
--- a/crates/limits/src/admission/explain.rs
+++ b/crates/limits/src/admission/explain.rs
@@ -1,7 +1,7 @@
 //! What would happen to a source in a state of affairs, and why, in plain lines. Decides nothing and changes nothing.
 
 use super::Admission;
-use crate::keep::{CLASSES, ONCE, UNUSED};
+use crate::keep_alive::{CLASSES, ONCE, UNUSED};
 use crate::orders::{Explanation, Situation, Why};
 use crate::reserve::{Availability, Pool};
 use crate::settings::MAX_CONNECTIONS;
--- a/crates/limits/src/admission/mod.rs
+++ b/crates/limits/src/admission/mod.rs
@@ -28,7 +28,7 @@
 use crate::flights::Flights;
 use crate::adaptive_limit::AdaptiveLimit;
 use crate::intake::Overload;
-use crate::keep::{Worth, micros};
+use crate::keep_alive::{Worth, micros};
 use crate::meter::Meter;
 use crate::orders::{Activity, ConnId, Event, EventKind, Order, Why};
 use crate::reserve::Pool;
--- a/crates/limits/src/admission/orders_due.rs
+++ b/crates/limits/src/admission/orders_due.rs
@@ -3,7 +3,7 @@
 use super::Admission;
 use crate::Micros;
 use crate::books::IDLE;
-use crate::keep::{ONCE, UNUSED, micros};
+use crate::keep_alive::{ONCE, UNUSED, micros};
 use crate::orders::{Activity, ConnId, EventKind, Order, Why};
 
 /// Whom to close early is looked at this often, while there is reason to.
--- a/crates/limits/src/admission/victims.rs
+++ b/crates/limits/src/admission/victims.rs
@@ -7,7 +7,7 @@
 use super::Admission;
 use crate::Micros;
 use crate::books::{Conn, IDLE, OVER, UNFINISHED};
-use crate::keep::{NEXT_TO_NOTHING, Newcomer, UNUSED, micros};
+use crate::keep_alive::{NEXT_TO_NOTHING, Newcomer, UNUSED, micros};
 use crate::orders::ConnId;
 use std::ops::ControlFlow;
 
--- a/crates/limits/src/books.rs
+++ b/crates/limits/src/books.rs
@@ -6,7 +6,7 @@
 
 use crate::Micros;
 use crate::chains::{Chains, EMPTY, Ends};
-use crate::keep::{CLASSES, class};
+use crate::keep_alive::{CLASSES, class};
 use crate::orders::{Activity, ConnId};
 use crate::share::Shares;
 use crate::source::{KeyedHash, SourceInfo, Source};
@@ -492,8 +492,8 @@
             + 2 * holders * (size_of::<Holder>() + 4)
             + holders * entry * 16 / 7
             + conns * 2 * (size_of::<(Micros, u32)>() + 8)
-            + Shares::most_bytes(holders, connections, weights)
-            + Shares::most_bytes(holders, in_flight, weights)
+            + Shares::max_bytes(holders, connections, weights)
+            + Shares::max_bytes(holders, in_flight, weights)
     }
 
     /// Bytes taken now; the tree of unfinished commands is counted by its entries.
--- a/crates/limits/src/held.rs
+++ b/crates/limits/src/held.rs
@@ -4,7 +4,7 @@
 //! serving only what is about to be given up (adaptive LIFO: Maurer, "Fail at Scale", ACM Queue 2015).
 //!
 //! ```
-//! use lapisrudder_limits::held::Held;
+//! use lapisrudder_limits::coalescing_queue::CoalescingQueue;
 //!
 //! let mut held = Held::new(100);
 //! for (key, id) in [("a", 1), ("b", 2), ("b", 3), ("c", 4)] {
@@ -25,7 +25,7 @@
 /// At most a stated number are held. One more puts out the one that has waited longest in the group that would
 /// be served last; that may be the new one itself.
 #[derive(Clone, Debug)]
-pub struct Held<K, Id> {
+pub struct CoalescingQueue<K, Id> {
     /// Who waits for a key, by number in the order in which they came.
     groups: HashMap<K, BTreeMap<u64, Id>>,
     /// What is held, with its key and number.
@@ -35,11 +35,11 @@
     most: usize,
 }
 
-impl<K: Copy + Eq + Hash, Id: Copy + Eq + Hash> Held<K, Id> {
+impl<K: Copy + Eq + Hash, Id: Copy + Eq + Hash> CoalescingQueue<K, Id> {
     /// Holds up to `most`, and at least one.
     pub fn new(most: usize) -> Self {
         let (groups, held, order) = (HashMap::new(), HashMap::new(), BTreeMap::new());
-        Held { groups, held, order, next: 0, most: most.max(1) }
+        CoalescingQueue { groups, held, order, next: 0, most: most.max(1) }
     }
 
     /// Number held.
@@ -116,7 +116,7 @@
 
     #[test]
     fn what_leaves_for_want_of_places_is_the_oldest_of_the_last_in_turn() {
-        let mut held = Held::new(4);
+        let mut held = CoalescingQueue::new(4);
         for (key, id) in [(1, 10), (2, 20), (2, 21), (1, 11)] {
             assert_eq!(held.hold(key, id), None);
         }
@@ -136,7 +136,7 @@
         /// Against a list that is searched through.
         #[test]
         fn any_history_goes_as_in_a_plain_list(steps in prop::collection::vec((0u8..6, 0u32..12, 0u32..40), 1..200)) {
-            let mut held = Held::new(16);
+            let mut held = CoalescingQueue::new(16);
             let mut list: Vec<(u32, u32)> = Vec::new(); // Key and id, oldest first.
             // The key in turn: most waited for, then newest; or the last in turn.
             fn turn(list: &[(u32, u32)], first: bool) -> Option<u32> {
--- a/crates/limits/src/intake.rs
+++ b/crates/limits/src/intake.rs
@@ -10,7 +10,7 @@
 use crate::Micros;
 use crate::flights::{CLASSES, Flight};
 use crate::hazard::Hazard;
-use crate::keep::micros;
+use crate::keep_alive::micros;
 use crate::meter::Meter;
 use crate::settings;
 use rand::rngs::SmallRng;
--- a/crates/limits/src/room.rs
+++ b/crates/limits/src/room.rs
@@ -9,7 +9,7 @@
 //! process's limit), a ceiling on connections is learnt: a little below what was held, raised again step by step.
 
 use crate::Micros;
-use crate::keep::micros;
+use crate::keep_alive::micros;
 use crate::settings;
 
 /// What is left below the number held when descriptors ran out. Guards members, discovery and the origin, which
--- a/crates/limits/src/settings.rs
+++ b/crates/limits/src/settings.rs
@@ -66,7 +66,7 @@
     /// What must never be exceeded.
     pub caps: Caps,
     /// Which connections are kept, and for how long.
-    pub keep: Keep,
+    pub keep: KeepAliveSettings,
     /// Clients with a reserve of their own.
     pub known: Known,
     /// What is done when something runs out.
@@ -135,7 +135,7 @@
 /// `[limits.keep]`: which connections are kept, and for how long.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Keep {
+pub struct KeepAliveSettings {
     /// A connection that never brought a request is closed after this many ms. Default 2200.
     pub silent_close_ms: u32,
     /// One that brought but a part of a command is closed, with an error, after this many ms. Default 2200.
@@ -266,9 +266,9 @@
     }
 }
 
-impl Default for Keep {
+impl Default for KeepAliveSettings {
     fn default() -> Self {
-        Keep {
+        KeepAliveSettings {
             silent_close_ms: 2200,
             unfinished_close_ms: 2200,
             idle_close_ms: 2050,
--- a/crates/limits/tests/clients_room.rs
+++ b/crates/limits/tests/clients_room.rs
@@ -1,7 +1,7 @@
 //! Clients that hold only so many connections, on a virtual clock: what early closing gains, and what it costs.
 
 use lapisrudder_limits::{
-    Activity, Admission, ConnId, RequestInfo, Intake, Micros, Order, Resources, Settings, Ticket, Verdict,
+    Activity, Admission, ConnId, Intake, Micros, Order, RequestInfo, Resources, Settings, Ticket, Verdict,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -118,7 +118,8 @@
                             self.at(now + self.way, Happens::Reaches(client, conn));
                         }
                     } else {
-                        let facts = RequestInfo { worth: 5.0, left: 480_000, bytes: 60, ..RequestInfo::default() };
+                        let facts =
+                            RequestInfo { worth: 5.0, left: 480_000, bytes: 60, ..RequestInfo::default() };
                         match self.limits.request(now, conn, &facts) {
                             Intake::Take { ticket } => {
                                 self.at(now + SERVICE, Happens::Answered(client, conn, ticket));
--- a/crates/limits/tests/follow.rs
+++ b/crates/limits/tests/follow.rs
@@ -1,7 +1,7 @@
 //! The limit that follows, on a virtual clock: against the best fixed limit, through changes, and in any history.
 
 mod places;
-use lapisrudder_limits::adaptive_limit::{End, AdaptiveLimit, Sent, Settings};
+use lapisrudder_limits::adaptive_limit::{AdaptiveLimit, End, Sent, Settings};
 use places::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -75,7 +75,8 @@
 fn a_path_that_loses_a_tenth_is_no_queue() {
     let place = Place { loses: |_| 0.1, ..PLAIN };
     for nodes in [1, 3] {
-        let (follow, late) = (day(place, nodes, Rule::AdaptiveLimit).play(), day(place, nodes, Rule::Late).play());
+        let (follow, late) =
+            (day(place, nodes, Rule::AdaptiveLimit).play(), day(place, nodes, Rule::Late).play());
         // Of those in flight so many are lost, until they time out; the servers need twenty beside them.
         let lost = follow.mean(20, 50, |s| s.sent) * 0.1 * GIVE_UP as f64 / 1e6;
         let limit = follow.mean(20, 50, |s| s.limit);
@@ -92,7 +93,8 @@
     let speed = |t| if (20 * S..40 * S).contains(&t) { 0.5 } else { 1.0 };
     let loses = |t| if (70 * S..74 * S).contains(&t) { 1.0 } else { 0.0 };
     for (nodes, half, within) in [(1, 75.0, 3), (3, 75.0, 3), (30, 65.0, 3), (300, 20.0, 25)] {
-        let long = Day { length: 110 * S, ..day(Place { speed, loses, ..PLAIN }, nodes, Rule::AdaptiveLimit) };
+        let long =
+            Day { length: 110 * S, ..day(Place { speed, loses, ..PLAIN }, nodes, Rule::AdaptiveLimit) };
         let played = long.play();
         let good = |from| played.mean(from, from + 5, |s| s.good);
         assert!(
@@ -112,8 +114,10 @@
 #[test]
 fn a_queue_is_cut() {
     for nodes in [1, 3, 30] {
-        let start =
-            Day { rate: |t| if t < 20 * S { 100.0 } else { 2_000.0 }, ..day(PLAIN, nodes, Rule::AdaptiveLimit) };
+        let start = Day {
+            rate: |t| if t < 20 * S { 100.0 } else { 2_000.0 },
+            ..day(PLAIN, nodes, Rule::AdaptiveLimit)
+        };
         let played = start.play();
         assert!(played.mean(20, 30, |s| s.good) > 140.0, "{nodes} nodes: {:?}", played.seconds);
         let limit = played.mean(30, 50, |s| s.limit);
--- a/crates/limits/tests/places/node.rs
+++ b/crates/limits/tests/places/node.rs
@@ -1,8 +1,8 @@
 //! A node of the harness, and the rules that say what may be in flight at it.
 
 use super::*;
-use lapisrudder_limits::adaptive_limit::{End, AdaptiveLimit, Sent, Settings};
-use lapisrudder_limits::held::Held;
+use lapisrudder_limits::adaptive_limit::{AdaptiveLimit, End, Sent, Settings};
+use lapisrudder_limits::coalescing_queue::CoalescingQueue;
 use std::collections::HashMap;
 
 /// The rule before this one: `note_fetch` of the decision module at 42857a0, where answers are told from hits.
@@ -44,7 +44,7 @@
     pub limiter: Limiter,
     pub out: f64,
     pub paced: Micros,
-    pub held: Held<u64, usize>,
+    pub held: CoalescingQueue<u64, usize>,
     /// Keys of which an attempt is out, with those that wait for it.
     pub joined: HashMap<u64, Vec<usize>>,
     /// Keys stored, until when.
@@ -64,13 +64,15 @@
                 late: None,
                 cut_at: 0,
             }),
-            Rule::AdaptiveLimit => Limiter::AdaptiveLimit(Box::new(AdaptiveLimit::new(settings(day.nodes), 0))),
+            Rule::AdaptiveLimit => {
+                Limiter::AdaptiveLimit(Box::new(AdaptiveLimit::new(settings(day.nodes), 0)))
+            }
         };
         Node {
             limiter,
             out: 0.0,
             paced: 0,
-            held: Held::new(1_000),
+            held: CoalescingQueue::new(1_000),
             joined: HashMap::new(),
             stored: HashMap::new(),
             wake: Micros::MAX,
--- a/crates/limits/tests/storm.rs
+++ b/crates/limits/tests/storm.rs
@@ -1,7 +1,7 @@
 //! A storm of connects that say nothing, in front of usual clients in the kernel's queue, on a virtual clock.
 
 use lapisrudder_limits::{
-    Accepting, Activity, Admission, ConnId, RequestInfo, Intake, Micros, Order, Resources, Settings, Ticket,
+    Accepting, Activity, Admission, ConnId, Intake, Micros, Order, RequestInfo, Resources, Settings, Ticket,
     Verdict,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/src/net/virtual_server/accepting.rs
+++ b/src/net/virtual_server/accepting.rs
@@ -6,7 +6,7 @@
 use crate::net::{Owner, Socket};
 use lapisrudder::Micros;
 use lapisrudder::time_limits::MAX_STALL;
-use lapisrudder_io::{Accepted, Scarce, Listener, Next, Read, Stream, Written, usage_of, open_file};
+use lapisrudder_io::{Accepted, Scarce, Listener, Next, Read, Stream, Written, limit_state_of, open_file};
 use lapisrudder_limits::{Accepting, Shortage, Verdict};
 use std::io::{self, IoSlice};
 use std::net::SocketAddr;
@@ -106,7 +106,7 @@
                     self.failures.worked();
                     return Queue::Empty;
                 }
-                Accepted::Exhausted(lack) => match self.failures.failed(now, usage_of(lack)) {
+                Accepted::Exhausted(lack) => match self.failures.failed(now, limit_state_of(lack)) {
                     Next::AtOnce => in_vain += 1,
                     Next::After(wait) => {
                         self.pause(now + wait, deadlines);
