--- a/crates/engine/src/connection.rs
+++ b/crates/engine/src/connection.rs
@@ -520,8 +520,8 @@
     }
 
     /// Closes the connection. Each flow that is not abandoned either ends or is returned, to be assigned to
-    /// another connection: once only, and only if no byte of it was sent and the connection had worked before.
-    /// This way the close of an idle connection does not count as a failure of its member.
+    /// another connection: once only, and only if no byte of it was sent and the connection had worked
+    /// before. This way the close of an idle connection does not count as a failure of its member.
     pub(crate) fn close(self) -> impl Iterator<Item = Result<Flow, (FlowId, Outcome)>> {
         let has_answered = self.has_answered;
         self.slots.into_iter().filter(|slot| !slot.abandoned).map(move |slot| match slot {
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -313,8 +313,8 @@
             // A large value for which no client waits is not read.
             !matches!(answer, memcache::Answer::Begins { .. })
         });
-        // A flow that ended here is still out on the connection. Where a second copy is not allowed, the connection
-        // closes before the request is sent elsewhere.
+        // A flow that ended here is still out on the connection. Where a second copy is not allowed, the
+        // connection closes before the request is sent elsewhere.
         let closes = usable && !*second_copies && (unwanted || pool.is_ambiguous(conn));
         if closes {
             pool.close(conn, now, deadlines);
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -6,8 +6,8 @@
 /// A parsed client request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The request as members get it: key, id, value and list of options, parsed once. Hosts with another client
-    /// protocol build it by [`OwnedRequest::compose`].
+    /// The request as members get it: key, id, value and list of options, parsed once. Hosts with another
+    /// client protocol build it by [`OwnedRequest::compose`].
     pub command: OwnedRequest,
     /// A hash of the key, the same at every balancer.
     pub key: Key,
--- a/crates/engine/src/watch.rs
+++ b/crates/engine/src/watch.rs
@@ -58,7 +58,7 @@
     /// A complete list that is older than an earlier one, from this address or another: this discovery lags
     /// behind, or has restarted its version numbers. What it says of draining and removed members is out of
     /// date.
-    Old(T),
+    Outdated(T),
     /// The call failed. The host decides when to call again.
     Failed,
 }
@@ -77,7 +77,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Link {
     Down,
-    Coming,
+    Connecting,
     Up,
 }
 
--- a/src/net/fleet/look.rs
+++ b/src/net/fleet/look.rs
@@ -42,7 +42,7 @@
 
     /// Something is to be come back to by [`Look::retry`].
     pub fn is_behind(&self) -> bool {
-        self.door.is_behind()
+        self.door.needs_retry()
     }
 
     /// Comes back to what failed for a moment.
--- a/src/net/management.rs
+++ b/src/net/management.rs
@@ -72,7 +72,7 @@
 
     /// Something is to be come back to by [`Management::retry`].
     pub fn is_behind(&self) -> bool {
-        self.door.is_behind()
+        self.door.needs_retry()
     }
 
     /// Comes back to what failed for a moment.
