--- a/crates/client/src/thread.rs
+++ b/crates/client/src/thread.rs
@@ -372,7 +372,7 @@
         if self.ledger.owed.remove(&id).is_some() {
             self.ledger.stats.left += 1;
             if self.held.remove(&id).is_none() {
-                self.engine.left(self.clock.now(), id);
+                self.engine.client_left(self.clock.now(), id);
             }
         }
     }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -191,16 +191,16 @@
 
     /// The client of a transaction has left, or the host has answered it itself: no answer is needed any
     /// more, and its flows are cancelled. False if it had its final answer already.
-    pub fn left(&mut self, now: Micros, transaction: RequestId) -> bool {
+    pub fn client_left(&mut self, now: Micros, transaction: RequestId) -> bool {
         if let Some(flow) = self.transactions.streaming_flow(transaction) {
             self.give_up(flow, Outcome::Cancelled, now);
             return true;
         }
-        let owed = self.transactions.answer(transaction, &mut self.deadlines).is_some();
-        if owed {
+        let was_open = self.transactions.answer(transaction, &mut self.deadlines).is_some();
+        if was_open {
             self.transactions.events.push_back(Event::ClientLeft { request: transaction });
         }
-        owed
+        was_open
     }
 
     // ---- Connections to members -----------------------------------------------------------------------
@@ -529,9 +529,10 @@
         self.pool.send(server, Flow { id, call, until, begin_by, moved: false }, now, &mut self.deadlines);
     }
 
-    /// At the deadline of a flow that may still be answered: waits until `at`, but discards the flow if it
-    /// has not been written completely. A repeat that waited for a connection for longer than servers
-    /// remember the original would have its effect twice.
+    /// Called when a deadline of a flow passes whose answer is awaited until a later time, `at`. The flow may
+    /// not begin any more: it is discarded if it has not been written completely, and awaited until then
+    /// otherwise. A repeat that was sent after servers had forgotten the original would have its effect
+    /// twice.
     fn extend_or_discard(&mut self, flow: FlowId, at: Micros, now: Micros) {
         let state = self.transactions.all.get(&flow.request).and_then(|t| t.flows.get(flow.attempt as usize));
         let Some(server) = state.map(|f| f.server) else { return };
@@ -547,10 +548,10 @@
         let transaction = self.transactions.all.get(&flow.request);
         let state = transaction.and_then(|t| t.flows.get(flow.attempt as usize));
         let Some(server) = state.filter(|f| f.ended.is_none()).map(|f| f.server) else { return };
-        // Without permission for a second copy, the next attempt elsewhere would be one as long as this
-        // connection stays open for the other flows on it: closing the connection ends this attempt.
-        let owed = transaction.is_some_and(|t| !t.call.answered());
-        let closes = owed && outcome == Outcome::TimedOut && !self.second_copies;
+        // Where a second copy is not allowed, the connection closes before the next attempt goes to another
+        // server: kept open for other flows, it would still carry this attempt.
+        let is_open = transaction.is_some_and(|t| !t.call.answered());
+        let closes = is_open && outcome == Outcome::TimedOut && !self.second_copies;
         let unsent = self.pool.abandon(server, flow, closes, now, &mut self.deadlines);
         let outcome = if unsent { Outcome::NeverSent } else { outcome };
         self.transactions.flow_ended(flow, outcome, None, now, &mut self.deadlines);
@@ -634,7 +635,7 @@
     }
 
     /// Number of transactions that have no final answer yet.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.transactions.open
     }
 
--- a/crates/engine/src/generations.rs
+++ b/crates/engine/src/generations.rs
@@ -52,8 +52,8 @@
 /// Writes the settings' maximum number of attempts into each class, since later settings may have another
 /// one.
 fn stamp(settings: &mut Settings) {
-    let most = settings.max_attempts;
-    settings.classes.iter_mut().for_each(|c| _ = c.max_attempts.get_or_insert(most));
+    let max_attempts = settings.max_attempts;
+    settings.classes.iter_mut().for_each(|c| _ = c.max_attempts.get_or_insert(max_attempts));
 }
 
 #[cfg(test)]
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -12,7 +12,7 @@
 //! 1. **Read first.** Report everything that has arrived: [`connected`](Engine::connected),
 //!    [`received`](Engine::received), [`ended`](Engine::ended), [`broken`](Engine::broken),
 //!    [`writable`](Engine::writable), [`listed`](Engine::listed), [`list_failed`](Engine::list_failed),
-//!    [`take`](Engine::take), [`left`](Engine::left); and call [`wake`](Engine::wake) when
+//!    [`take`](Engine::take), [`client_left`](Engine::client_left); and call [`wake`](Engine::wake) when
 //!    [`next_wake`](Engine::next_wake) is due. A flow that is sent while the answer to its transaction waits
 //!    unread in a socket is wasted work.
 //! 2. **Then carry out** the orders of [`poll_order`](Engine::poll_order), each as soon as it is returned,
@@ -70,7 +70,7 @@
 //! let mut answers = |id: RequestId, _: &Request, answer: Answer| served.push((id, format!("{answer:?}")));
 //! assert!(engine.received(800, conn, b"VA 2 Oa1 h1\r\nhi\r\n", &mut answers));
 //! assert_eq!(served, [(RequestId(1), format!("{:?}", Answer::Value(b"hi")))]);
-//! assert_eq!((engine.poll_order(800), engine.open()), (None, 0));
+//! assert_eq!((engine.poll_order(800), engine.open_count()), (None, 0));
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 //!
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -210,7 +210,7 @@
 #[test]
 fn after_an_answer_that_names_no_request_a_connection_settles_before_the_next_flow() {
     let ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-    for (origin, whole, settles) in [
+    for (origin, reply, settles) in [
         (false, "EN O9\r\n", false),
         (false, "VA 1 O9 h1\r\nv\r\n", false),
         (false, "SERVER_ERROR busy\r\n", true),
@@ -219,9 +219,9 @@
     ] {
         let mut fixture = Fixture::new(origin, 1);
         fixture.establish(0);
-        assert_eq!(fixture.answer(0, whole), (true, 1));
+        assert_eq!(fixture.answer(0, reply), (true, 1));
         fixture.send(1, SETTLE_TIME - 1);
-        assert_eq!(fixture.pool.connections[&Conn(0)].flows(), usize::from(!settles), "{whole}");
+        assert_eq!(fixture.pool.connections[&Conn(0)].flows(), usize::from(!settles), "{reply}");
         if settles {
             fixture.pool.on_deadline(Conn(0), SETTLE_TIME, &mut fixture.deadlines);
             assert_eq!(fixture.pool.connections[&Conn(0)].flows(), 1, "the waiting flow");
--- a/crates/engine/src/watch.rs
+++ b/crates/engine/src/watch.rs
@@ -307,9 +307,9 @@
             return;
         }
         self.link = Link::Down;
-        let unheard = self.orders.iter().any(|order| matches!(order, WatchOrder::Connect { .. }));
+        let connect_not_taken = self.orders.iter().any(|order| matches!(order, WatchOrder::Connect { .. }));
         self.orders.retain(|order| *order == WatchOrder::Close);
-        if !unheard {
+        if !connect_not_taken {
             self.orders.push_back(WatchOrder::Close);
         }
     }
--- a/crates/engine/tests/accounting.rs
+++ b/crates/engine/tests/accounting.rs
@@ -59,10 +59,10 @@
         let mut no_answers = |_: RequestId, _: &Request, answer: Answer<'_>| panic!("{answer:?}");
         // In one iteration: the miss, and the client that leaves, in either order.
         if left_first {
-            engine.left(800, RequestId(1));
+            engine.client_left(800, RequestId(1));
         }
         engine.received(800, conn, b"EN Oa1 h0\r\n", &mut no_answers);
-        engine.left(800, RequestId(1));
+        engine.client_left(800, RequestId(1));
         drain(&mut engine, 800);
         let audit = engine.audit();
         assert_eq!(
--- a/crates/engine/tests/end_of_request.rs
+++ b/crates/engine/tests/end_of_request.rs
@@ -201,12 +201,12 @@
                 let before = host.written;
                 assert_eq!(before == 0, matches!(state, State::Connecting | State::Unwritten), "{case}");
                 assert!(host.engine.is_open(RequestId(1)), "{case}");
-                assert!(host.engine.left(host.now, RequestId(1)), "{case}");
+                assert!(host.engine.client_left(host.now, RequestId(1)), "{case}");
                 (host.ended, host.send_space, host.connects) = (true, usize::MAX, true);
                 host.iterate();
                 host.apply(later);
                 assert_eq!(host.written, before, "{case}");
-                assert_eq!((host.engine.open(), host.engine.denied()), (0, 0), "{case}");
+                assert_eq!((host.engine.open_count(), host.engine.denied()), (0, 0), "{case}");
             }
         }
     }
--- a/crates/engine/tests/iteration.rs
+++ b/crates/engine/tests/iteration.rs
@@ -48,10 +48,14 @@
     assert_eq!(engine.take(0, RequestId(2), request("a", false)), Err(TakeError::IdInUse));
     assert_eq!(engine.take(0, RequestId(2), other_class), Err(TakeError::UnknownClass));
     assert_eq!(engine.take(0, RequestId(1), request("b", false)), Err(TakeError::NumberInUse));
-    assert_eq!(engine.open(), 1);
-    assert!(engine.left(0, RequestId(1)) && !engine.left(0, RequestId(1)) && !engine.left(0, RequestId(9)));
+    assert_eq!(engine.open_count(), 1);
+    assert!(
+        engine.client_left(0, RequestId(1))
+            && !engine.client_left(0, RequestId(1))
+            && !engine.client_left(0, RequestId(9))
+    );
     while engine.poll_order(0).is_some() {}
-    assert!(!engine.is_id_in_use(b"a") && engine.open() == 0);
+    assert!(!engine.is_id_in_use(b"a") && engine.open_count() == 0);
 }
 
 #[test]
@@ -69,7 +73,7 @@
     engine.take(0, RequestId(1), request("a", false)).unwrap();
     let Some(Order::Connect { conn, .. }) = engine.poll_order(0) else { panic!() };
     assert!(!engine.received(0, conn, b"VA 1 Oa\r\nv\r\n", &mut none));
-    assert_eq!((engine.poll_order(0), engine.open(), engine.connections()), (None, 1, 1));
+    assert_eq!((engine.poll_order(0), engine.open_count(), engine.connections()), (None, 1, 1));
 }
 
 /// The second copy of an answer arrived some milliseconds late; it closed the connection under the next
@@ -198,7 +202,7 @@
     let conn = on.unwrap();
     let bytes: Vec<u8> = engine.transmit(conn).flatten().copied().collect();
     let first = if String::from_utf8_lossy(&bytes).contains("Oa ") { RequestId(1) } else { RequestId(2) };
-    assert!(engine.left(1, first));
+    assert!(engine.client_left(1, first));
     assert_eq!(engine.poll_order(1), Some(Order::Close { conn }), "the rest of it never goes out");
     assert!(engine.poll_order(1).is_some(), "the other goes on elsewhere");
 }
--- a/crates/engine/tests/large_values.rs
+++ b/crates/engine/tests/large_values.rs
@@ -85,5 +85,5 @@
     assert!(engine.received(9_500_000, second, b"\r\n", &mut passed));
     iterate(&mut engine, 9_500_000);
     assert!((passed.bytes, passed.ended) == (100_000, true), "{}", passed.bytes);
-    assert_eq!((engine.open(), engine.flows()), (0, 0));
+    assert_eq!((engine.open_count(), engine.flows()), (0, 0));
 }
--- a/crates/engine/tests/world/mod.rs
+++ b/crates/engine/tests/world/mod.rs
@@ -169,7 +169,7 @@
             Step::Leave { pick } => {
                 if let Some(id) = nth(self.open.keys(), pick) {
                     self.open.remove(&id);
-                    check(self.engine.left(self.now, id), || format!("{id:?} was owed an answer"))?;
+                    check(self.engine.client_left(self.now, id), || format!("{id:?} had no final answer"))?;
                 }
                 Ok(())
             }
@@ -281,7 +281,7 @@
             self.engine.wake(self.now);
             while let Some(order) = self.engine.poll_order(self.now) {
                 orders += 1;
-                check(orders < 10_000, || "a turn without end".into())?;
+                check(orders < 10_000, || "an endless iteration".into())?;
                 self.carry_out(order)?;
             }
         }
@@ -388,7 +388,7 @@
         let link =
             self.links.get_mut(&conn).filter(|l| l.up).ok_or(format!("a write to {conn:?}, not up"))?;
         check(probe || link.peer.is_busy() || !link.unread.is_empty(), || {
-            format!("{conn:?} is not looked at first")
+            format!("{conn:?} is not checked first")
         })?;
         if probe && (!link.unread.is_empty() || link.over.is_some()) {
             link.end_reported = true;
@@ -423,7 +423,7 @@
             // A flow begins with its first byte: not at a draining member, and not after the final answer.
             check(self.live.contains(&server), || format!("{begun} begins at {server:?}, which drains"))?;
             let wanted = self.open.values().any(|asked| asked.id == *begun);
-            check(wanted, || format!("{begun} begins, and nobody waits for it"))?;
+            check(wanted, || format!("{begun} begins, and no client waits for it"))?;
             let out = |(c, l): (&Conn, &Link)| *c != conn && l.over.is_none() && l.peer.has_pending(begun);
             check(self.copies || !self.links.iter().any(out), || {
                 format!("{begun} begins while another copy is out on an open connection")
@@ -447,8 +447,8 @@
 
     /// Checks counts that must agree at the end of each iteration.
     fn audit(&self) -> Result<(), Violation> {
-        check(self.engine.open() == self.open.len(), || {
-            format!("{} are open, and the engine holds {}", self.open.len(), self.engine.open())
+        check(self.engine.open_count() == self.open.len(), || {
+            format!("{} are open, and the engine holds {}", self.open.len(), self.engine.open_count())
         })?;
         check(self.engine.connections() == self.links.len(), || "the connections differ".into())?;
         self.counts()?;
@@ -495,7 +495,7 @@
         }
         check(self.open.is_empty(), || format!("{} were lost", self.open.len()))?;
         let held = self.engine.flows();
-        check(held == 0, || format!("{held} flows are held for nobody"))?;
+        check(held == 0, || format!("{held} flows are left"))?;
         let load = self.engine.audit().decisions.load;
         check(load == 0.0, || format!("{load} in flight at rest"))?;
         check(self.links.is_empty(), || format!("connections are held: {:?}", self.links.keys()))
--- a/crates/host/src/discovery.rs
+++ b/crates/host/src/discovery.rs
@@ -99,8 +99,8 @@
 
     /// Gives up a call that was not answered in time.
     pub fn wake(&mut self, now: Micros) {
-        let updates = self.watch.wake(now);
-        self.queue_update(updates);
+        let event = self.watch.wake(now);
+        self.queue_update(event);
         self.run_orders();
     }
 
@@ -131,7 +131,7 @@
         };
         // Stops when the socket is replaced: the next call may go out on a new connection.
         while let Some(socket) = self.socket.as_ref().filter(|_| self.up) {
-            let updates = match socket.read(scratch) {
+            let event = match socket.read(scratch) {
                 Read::NotReady => return,
                 Read::Later(_) => return self.retry_pending = true,
                 Read::Bytes(n) => {
@@ -140,19 +140,19 @@
                 Read::End => self.watch.received(now, &[], true, decode),
                 Read::Broken(e) => self.watch.broken(format!("cannot read: {e}")),
             };
-            self.queue_update(updates);
+            self.queue_update(event);
             self.run_orders();
         }
     }
 
     fn broken(&mut self, what: String) {
-        let updates = self.watch.broken(what);
-        self.queue_update(updates);
+        let event = self.watch.broken(what);
+        self.queue_update(event);
         self.run_orders();
     }
 
-    fn queue_update(&mut self, updates: Option<WatchEvent<DiscoveryUpdate>>) {
-        self.updates.extend(updates.map(|updates| match updates {
+    fn queue_update(&mut self, event: Option<WatchEvent<DiscoveryUpdate>>) {
+        self.updates.extend(event.map(|event| match event {
             WatchEvent::List(list) => list,
             WatchEvent::Outdated(DiscoveryUpdate::List { targets, .. }) => {
                 DiscoveryUpdate::List { scope: Scope::Remembered, targets }
@@ -188,8 +188,8 @@
             Opened::Exhausted(scarce) => format!("cannot connect: out of {scarce:?}"),
             Opened::Failed(e) => format!("cannot connect: {e}"),
         };
-        let updates = self.watch.broken(reason);
-        self.queue_update(updates);
+        let event = self.watch.broken(reason);
+        self.queue_update(event);
     }
 
     /// A call has to be retried by [`Discovery::retry`].
@@ -220,8 +220,8 @@
                 Written::Later(_) => return self.retry_pending = true,
                 Written::Bytes(n) => self.watch.transmitted(n),
                 Written::Broken(e) => {
-                    let updates = self.watch.broken(format!("cannot write: {e}"));
-                    return self.queue_update(updates);
+                    let event = self.watch.broken(format!("cannot write: {e}"));
+                    return self.queue_update(event);
                 }
             }
         }
--- a/crates/io/src/local.rs
+++ b/crates/io/src/local.rs
@@ -58,9 +58,9 @@
     ///
     /// # Errors
     /// The timeouts cannot be set.
-    pub fn set_io_timeout(&self, most: Duration) -> io::Result<()> {
-        retry_immediately(Operation::Open, || self.0.set_read_timeout(Some(most)))?;
-        retry_immediately(Operation::Open, || self.0.set_write_timeout(Some(most)))
+    pub fn set_io_timeout(&self, timeout: Duration) -> io::Result<()> {
+        retry_immediately(Operation::Open, || self.0.set_read_timeout(Some(timeout)))?;
+        retry_immediately(Operation::Open, || self.0.set_write_timeout(Some(timeout)))
     }
 
     /// Sends bytes, and a descriptor with the first of them.
--- a/crates/lab/src/sim/audit.rs
+++ b/crates/lab/src/sim/audit.rs
@@ -152,7 +152,7 @@
     if let Some(at) = p.engine.next_wake().filter(|at| *at < missed) {
         cx.broken("lost-wake", || format!("n{node} wants to be woken {} us ago", now - at));
     }
-    let (open, owed) = (p.engine.open(), p.ledger.owed.len());
+    let (open, owed) = (p.engine.open_count(), p.ledger.owed.len());
     if open != owed {
         cx.broken("books", || format!("n{node}: the engine owes {open} answers, its host {owed}"));
     }
--- a/crates/lab/src/sim/node.rs
+++ b/crates/lab/src/sim/node.rs
@@ -575,13 +575,13 @@
                     if let Some(owed) = self.ledger.take(RequestId(request)) {
                         self.front.over(owed.ticket, false, cx.now);
                         self.flows.left(request);
-                        self.engine.left(cx.now, RequestId(request));
+                        self.engine.client_left(cx.now, RequestId(request));
                     }
                 }
                 FrontNews::Recall { ticket, retry_ms } => {
                     let Some(&request) = self.ledger.tickets.get(&ticket) else { continue };
                     self.end(request, format!("SERVER_ERROR busy {retry_ms}\r\n").as_bytes(), cx);
-                    self.engine.left(cx.now, request);
+                    self.engine.client_left(cx.now, request);
                 }
             }
         }
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -271,7 +271,7 @@
     pub fn end_wait(&mut self, found: bool) -> Micros {
         let look = self.attention.end(self.clock.now(), found);
         if let Some(held_up) = look.stalled_for {
-            info!(ms = held_up / 1000, open = self.engine.open(), "held up");
+            info!(ms = held_up / 1000, open = self.engine.open_count(), "held up");
         }
         look.came_after
     }
--- a/src/net/requests.rs
+++ b/src/net/requests.rs
@@ -92,7 +92,7 @@
     /// Ends a request: its client is answered, the limits are told, and its attempts are called off.
     pub fn close(&mut self, id: RequestId, ending: Ending<'_>, parties: Parties<'_>) {
         let Parties { server, engine, deadlines, now } = parties;
-        engine.left(now, id);
+        engine.client_left(now, id);
         let reason = match &ending {
             Ending::Answer(_, reason) => *reason,
             Ending::ClientLeft => EndReason::ClientLeft,
@@ -129,7 +129,7 @@
 
     /// Requests about which this record and the engine's differ. Nothing may be on its way between the two.
     pub fn differences(&self, engine: &Engine) -> Vec<Difference> {
-        if self.open.len() - self.streaming == engine.open() {
+        if self.open.len() - self.streaming == engine.open_count() {
             return Vec::new();
         }
         let here = self.open.iter().filter(|(id, request)| !request.streams && !engine.is_open(**id));
