--- a/crates/engine/src/connection.rs
+++ b/crates/engine/src/connection.rs
@@ -77,8 +77,8 @@
 impl Slot {
     /// Whether the flow may begin.
     fn permit(&self, now: Micros, server_open: bool) -> Result<(), Denial> {
-        let Flow { call, until, begin_by, .. } = &self.flow;
-        Begin { now, owed: !call.answered(), until: *until, begin_by: *begin_by, server_open }.check()
+        let Flow { shared, until, begin_by, .. } = &self.flow;
+        Begin { now, owed: !shared.answered(), until: *until, begin_by: *begin_by, server_open }.check()
     }
 }
 
@@ -228,7 +228,7 @@
 
     /// Encodes an attempt, with the time from now on for which its answer is awaited.
     fn compose(&self, flow: &Flow, now: Micros, bytes: &mut Vec<u8>) {
-        let command = &flow.call.request.command;
+        let command = &flow.shared.request.command;
         bytes.clear();
         bytes.reserve(command.bytes() + 128);
         let wait_ms = ((flow.until - now) / 1000).max(1) as u64;
@@ -428,7 +428,7 @@
                 self.slots.pop_front();
                 continue;
             }
-            let command = &slot.flow.call.request.command;
+            let command = &slot.flow.shared.request.command;
             let mut pass = |answer| !slot.abandoned && answered(&slot.flow, AnswerPart::Answer(answer));
             taken += if self.origin {
                 let response = http::parse_response_or_head(rest, ended, MAX_WHOLE, MAX_VALUE)?;
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -4,7 +4,7 @@
 use crate::config::{Config, Limits};
 use crate::connection::AnswerPart;
 use crate::deadlines::{Deadline, Deadlines};
-use crate::flow::{Call, Flow, FlowId};
+use crate::flow::{Flow, FlowId, SharedRequest};
 use crate::generations::Generations;
 use crate::order::{Answer, Conn, Final, Order};
 use crate::pool::Pool;
@@ -140,7 +140,7 @@
     /// Applies new settings. Returns the index of each of their classes, which later requests use. Open
     /// transactions keep the class under which they were taken.
     pub fn reconfigure(&mut self, mut settings: Settings, limits: Limits) -> Vec<usize> {
-        let open: Vec<usize> = self.transactions.all.values().map(|t| t.call.request.class).collect();
+        let open: Vec<usize> = self.transactions.all.values().map(|t| t.shared.request.class).collect();
         let indices = self.classes.next(&mut settings, |index| open.contains(&index));
         self.second_copies = settings.second_copies;
         self.maintenance.set_origin_kind(settings.origin_kind);
@@ -183,9 +183,9 @@
         let deadline = Some(self.deadlines.add(due + OVERDUE_GRACE, Deadline::Transaction(transaction)));
         let id = ClientId::new(request.command.id());
         self.transactions.recorder.note(now, transaction, None, Step::Taken(id));
-        let call = Arc::new(Call::new(request));
+        let shared = Arc::new(SharedRequest::new(request));
         self.transactions
-            .add(transaction, Transaction { call, due, deadline, flows: Vec::new(), stream: None });
+            .add(transaction, Transaction { shared, due, deadline, flows: Vec::new(), stream: None });
         Ok(())
     }
 
@@ -282,9 +282,9 @@
                 }
             };
             let (outcome, note) = flow_outcome(&answer);
-            let request = &flow.call.request;
+            let request = &flow.shared.request;
             if let memcache::Answer::Begins { length, .. } = answer
-                && !flow.call.answered()
+                && !flow.shared.answered()
                 && !answers.begins(id, request, length)
             {
                 ended.push((flow.id, Outcome::Error, None));
@@ -292,7 +292,7 @@
                 return false;
             }
             // The first answer that serves the transaction is passed on; later ones are dropped.
-            if outcome == Outcome::Served && flow.call.answer() {
+            if outcome == Outcome::Served && flow.shared.answer() {
                 transactions.open -= 1;
                 transactions.answered.push(id);
                 match answer {
@@ -511,9 +511,9 @@
         let until = if until <= 0 { transaction.due } else { until.min(transaction.due) };
         let deadline = Some(self.deadlines.add(until.min(begin), Deadline::Flow(id)));
         transaction.flows.push(FlowState { server, sent: now, until, deadline, ended: None });
-        let call = transaction.call.clone();
+        let shared = transaction.shared.clone();
         debug!(
-            request = %String::from_utf8_lossy(call.request.command.id()),
+            request = %String::from_utf8_lossy(shared.request.command.id()),
             attempt = id.attempt,
             server = server.0,
             wait_us = until - now,
@@ -521,12 +521,12 @@
         );
         self.transactions.recorder.note(now, request, Some(id.attempt), Step::Chosen(server));
         let begin_by = begin;
-        let permit = Begin { now, owed: !call.answered(), until, begin_by, server_open: true };
+        let permit = Begin { now, owed: !shared.answered(), until, begin_by, server_open: true };
         // The pool checks whether the server may be sent anything new.
         if permit.check().is_err() {
             return self.transactions.flow_ended(id, Outcome::NeverSent, None, now, &mut self.deadlines);
         }
-        self.pool.send(server, Flow { id, call, until, begin_by, moved: false }, now, &mut self.deadlines);
+        self.pool.send(server, Flow { id, shared, until, begin_by, moved: false }, now, &mut self.deadlines);
     }
 
     /// Called when a deadline of a flow passes whose answer is awaited until a later time, `at`. The flow may
@@ -550,7 +550,7 @@
         let Some(server) = state.filter(|f| f.ended.is_none()).map(|f| f.server) else { return };
         // Where a second copy is not allowed, the connection closes before the next attempt goes to another
         // server: kept open for other flows, it would still carry this attempt.
-        let is_open = transaction.is_some_and(|t| !t.call.answered());
+        let is_open = transaction.is_some_and(|t| !t.shared.answered());
         let closes = is_open && outcome == Outcome::TimedOut && !self.second_copies;
         let unsent = self.pool.abandon(server, flow, closes, now, &mut self.deadlines);
         let outcome = if unsent { Outcome::NeverSent } else { outcome };
@@ -608,7 +608,7 @@
 
     /// A request that the engine holds, also when it has been answered.
     pub fn request(&self, transaction: RequestId) -> Option<&Request> {
-        self.transactions.all.get(&transaction).map(|t| &t.call.request)
+        self.transactions.all.get(&transaction).map(|t| &t.shared.request)
     }
 
     /// The attempts of a request that have not ended.
@@ -625,13 +625,13 @@
 
     /// The transaction has no final answer yet.
     pub fn is_open(&self, transaction: RequestId) -> bool {
-        self.transactions.all.get(&transaction).is_some_and(|t| !t.call.answered())
+        self.transactions.all.get(&transaction).is_some_and(|t| !t.shared.answered())
     }
 
     /// All transactions that have no final answer yet.
     pub fn open_requests(&self) -> impl Iterator<Item = RequestId> {
         let all = self.transactions.all.iter();
-        all.filter(|(_, t)| !t.call.answered()).map(|(id, _)| *id)
+        all.filter(|(_, t)| !t.shared.answered()).map(|(id, _)| *id)
     }
 
     /// Number of transactions that have no final answer yet.
--- a/crates/engine/src/flow.rs
+++ b/crates/engine/src/flow.rs
@@ -12,18 +12,18 @@
     pub attempt: u32,
 }
 
-/// What a transaction and its flows share.
+/// A request, with the state that a transaction shares with its flows.
 #[derive(Debug)]
-pub(crate) struct Call {
+pub(crate) struct SharedRequest {
     pub request: Request,
     /// The final answer has been given, or is not needed any more: nothing more may be sent. An engine is
     /// driven by one thread; the flag is atomic so that engines can move between threads.
     answered: AtomicBool,
 }
 
-impl Call {
-    pub(crate) fn new(request: Request) -> Call {
-        Call { request, answered: AtomicBool::new(false) }
+impl SharedRequest {
+    pub(crate) fn new(request: Request) -> SharedRequest {
+        SharedRequest { request, answered: AtomicBool::new(false) }
     }
 
     pub(crate) fn answered(&self) -> bool {
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub(crate) struct Flow {
     pub id: FlowId,
-    pub call: Arc<Call>,
+    pub shared: Arc<SharedRequest>,
     pub until: Micros,
     /// Latest time at which it may begin.
     pub begin_by: Micros,
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::flow::Call;
+use crate::flow::SharedRequest;
 use crate::request::Request;
 use lapisrudder_codec::memcache::{OwnedRequest, Parts};
 use lapisrudder_decisions::{Key, RequestId};
@@ -12,7 +12,7 @@
     pool: Pool,
     deadlines: Deadlines,
     at: SocketAddr,
-    call: Arc<Call>,
+    shared: Arc<SharedRequest>,
 }
 
 impl Fixture {
@@ -35,7 +35,7 @@
             pool: Pool::new(limits),
             deadlines: Deadlines::default(),
             at: ([127, 0, 0, 1], 1).into(),
-            call: Arc::new(Call::new(request)),
+            shared: Arc::new(SharedRequest::new(request)),
         };
         fixture.pool.update_member(MEMBER, fixture.at, origin, Stage::Live, &mut fixture.deadlines);
         fixture.send(0, 0);
@@ -49,7 +49,7 @@
     fn send(&mut self, attempt: u32, now: Micros) {
         let id = FlowId { request: RequestId(1), attempt };
         let flow =
-            Flow { id, call: self.call.clone(), until: Micros::MAX, begin_by: Micros::MAX, moved: false };
+            Flow { id, shared: self.shared.clone(), until: Micros::MAX, begin_by: Micros::MAX, moved: false };
         self.pool.send(MEMBER, flow, now, &mut self.deadlines);
     }
 
@@ -100,7 +100,7 @@
         fixture.lost_outcomes()
     };
     assert_eq!(outcomes(|_| {}), []);
-    assert_eq!(outcomes(|fixture| assert!(fixture.call.answer())), [Outcome::NeverSent]);
+    assert_eq!(outcomes(|fixture| assert!(fixture.shared.answer())), [Outcome::NeverSent]);
     assert_eq!(
         outcomes(|fixture| fixture.pool.update_member(
             MEMBER,
@@ -156,7 +156,7 @@
     fixture.pool.update_member(ServerId(2), fixture.at, false, Stage::Live, &mut fixture.deadlines);
     let id = FlowId { request: RequestId(1), attempt: 2 };
     let flow =
-        Flow { id, call: fixture.call.clone(), until: Micros::MAX, begin_by: Micros::MAX, moved: false };
+        Flow { id, shared: fixture.shared.clone(), until: Micros::MAX, begin_by: Micros::MAX, moved: false };
     fixture.pool.send(ServerId(2), flow, 0, &mut fixture.deadlines);
     assert!(fixture.pool.connections.keys().eq([&Conn(2)]));
     assert_eq!(fixture.deadlines.next(), Some(1), "closed connections leave no deadline");
@@ -378,8 +378,13 @@
     assert_eq!(fixture.answer(0, "EN O9\r\n"), (true, 1));
     for (n, server) in (1..).zip(&servers) {
         let id = FlowId { request: RequestId(1), attempt: n };
-        let flow =
-            Flow { id, call: fixture.call.clone(), until: Micros::MAX, begin_by: Micros::MAX, moved: false };
+        let flow = Flow {
+            id,
+            shared: fixture.shared.clone(),
+            until: Micros::MAX,
+            begin_by: Micros::MAX,
+            moved: false,
+        };
         fixture.pool.send(*server, flow, Micros::from(n), &mut fixture.deadlines);
         fixture.establish(u64::from(n));
         fixture.pool.received(
@@ -425,7 +430,8 @@
     fixture.establish(0);
     fixture.answer(0, "EN O9 h0\r\n");
     let id = FlowId { request: RequestId(1), attempt: 1 };
-    let flow = Flow { id, call: fixture.call.clone(), until: 500 * MS, begin_by: Micros::MAX, moved: false };
+    let flow =
+        Flow { id, shared: fixture.shared.clone(), until: 500 * MS, begin_by: Micros::MAX, moved: false };
     fixture.pool.send(MEMBER, flow, 0, &mut fixture.deadlines);
     let command = |fixture: &Fixture| String::from_utf8(fixture.unwritten(Conn(0))).expect("a command");
     assert!(command(&fixture).contains("d=500"), "{}", command(&fixture));
@@ -452,7 +458,7 @@
         fixture.establish(0);
         fixture.answer(0, "EN O9 h0\r\n");
         let id = FlowId { request: RequestId(1), attempt: 1 };
-        let flow = Flow { id, call: fixture.call.clone(), until, begin_by, moved: false };
+        let flow = Flow { id, shared: fixture.shared.clone(), until, begin_by, moved: false };
         fixture.pool.send(MEMBER, flow, 0, &mut fixture.deadlines);
         fixture.pool.flush_next(99, &mut fixture.deadlines);
         assert!(!fixture.unwritten(Conn(0)).is_empty() && fixture.pool.lost.is_empty());
@@ -471,7 +477,7 @@
     fixture.answer(0, "EN O9 h0\r\n");
     fixture.send(1, 0);
     fixture.pool.flush_next(0, &mut fixture.deadlines);
-    assert!(fixture.call.answer(), "between the order and the write");
+    assert!(fixture.shared.answer(), "between the order and the write");
     fixture.pool.transmitted(Conn(0), 1);
     assert_eq!(fixture.pool.violations().found().collect::<Vec<_>>(), [(Denial::NoAnswerPending, 1)]);
 }
--- a/crates/engine/src/transactions.rs
+++ b/crates/engine/src/transactions.rs
@@ -1,7 +1,7 @@
 //! Transactions, and their events in the form that the decisions take.
 
 use crate::deadlines::{Deadline, Deadlines, Key};
-use crate::flow::{Call, FlowId};
+use crate::flow::{FlowId, SharedRequest};
 use crate::recorder::{Recorder, Step};
 use lapisrudder_decisions::permit::Denial;
 use lapisrudder_decisions::{CacheNote, Ended, Event, Micros, Outcome, RequestId, ServerId};
@@ -23,7 +23,7 @@
 }
 
 pub(crate) struct Transaction {
-    pub call: Arc<Call>,
+    pub shared: Arc<SharedRequest>,
     pub due: Micros,
     pub deadline: Option<Key>,
     pub flows: Vec<FlowState>,
@@ -45,7 +45,7 @@
 impl Transaction {
     /// It is answered, and all of its flows have ended.
     fn is_over(&self) -> bool {
-        self.call.answered() && self.flows.iter().all(|f| f.ended.is_some())
+        self.shared.answered() && self.flows.iter().all(|f| f.ended.is_some())
     }
 
     /// Flows that have not ended count, since they may still run.
@@ -79,7 +79,7 @@
 const STREAM_STALL_TIMEOUT: Micros = 30_000_000;
 
 /// A transaction's shared state, hashed and compared by its client's id.
-struct ByClientId(Arc<Call>);
+struct ByClientId(Arc<SharedRequest>);
 
 impl Borrow<[u8]> for ByClientId {
     fn borrow(&self) -> &[u8] {
@@ -112,8 +112,8 @@
     }
 
     pub(crate) fn add(&mut self, id: RequestId, transaction: Transaction) {
-        self.client_ids.insert(ByClientId(transaction.call.clone()));
-        self.events.push_back(Event::Request(transaction.call.request.event(id)));
+        self.client_ids.insert(ByClientId(transaction.shared.clone()));
+        self.events.push_back(Event::Request(transaction.shared.request.event(id)));
         self.open += 1;
         self.all.insert(id, transaction);
     }
@@ -205,7 +205,7 @@
         };
         state.ended = Some(outcome);
         debug!(
-            request = %String::from_utf8_lossy(transaction.call.request.command.id()),
+            request = %String::from_utf8_lossy(transaction.shared.request.command.id()),
             attempt = flow.attempt,
             server = state.server.0,
             ?outcome,
@@ -223,7 +223,7 @@
         // otherwise cancel it.
         let streams = transaction.stream.filter(|other| other.attempt != flow.attempt);
         let streams = streams.and_then(|other| transaction.flows.get(other.attempt as usize));
-        let finished = transaction.call.answered() && streams.is_none_or(|other| other.ended.is_some());
+        let finished = transaction.shared.answered() && streams.is_none_or(|other| other.ended.is_some());
         if finished {
             deadlines.remove(transaction.deadline.take());
         }
@@ -242,7 +242,7 @@
 
     /// Marks a transaction as answered. Returns whether it may have run, or `None` if it was answered before.
     pub(crate) fn answer(&mut self, request: RequestId, deadlines: &mut Deadlines<Deadline>) -> Option<bool> {
-        let transaction = self.all.get_mut(&request).filter(|t| t.call.answer())?;
+        let transaction = self.all.get_mut(&request).filter(|t| t.shared.answer())?;
         deadlines.remove(transaction.deadline.take());
         let may_have_run = transaction.may_have_run();
         self.open -= 1;
@@ -266,7 +266,7 @@
             if self.all.get(&request).is_some_and(Transaction::is_over)
                 && let Some(transaction) = self.all.remove(&request)
             {
-                self.client_ids.remove(transaction.call.request.command.id());
+                self.client_ids.remove(transaction.shared.request.command.id());
             }
         }
     }
