--- a/crates/engine/src/flow.rs
+++ b/crates/engine/src/flow.rs
@@ -5,32 +5,32 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 
-/// A server-side flow: the attempt of that number for that transaction.
+/// Identifies a server-side flow: the transaction, and the number of the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FlowId {
     pub request: RequestId,
     pub attempt: u32,
 }
 
-/// What a transaction and its flows share.
+/// A request, with the state that a transaction shares with its flows.
 #[derive(Debug)]
-pub(crate) struct Call {
+pub(crate) struct SharedRequest {
     pub request: Request,
-    /// The final answer has gone out, or nobody waits for one: nothing more may be sent for it. Only one thread
-    /// drives an engine; it is atomic so that engines may be moved between threads.
+    /// The final answer has been given, or is not needed any more: nothing more may be sent. An engine is
+    /// driven by one thread; the flag is atomic so that engines can move between threads.
     answered: AtomicBool,
 }
 
-impl Call {
-    pub(crate) fn new(request: Request) -> Call {
-        Call { request, answered: AtomicBool::new(false) }
+impl SharedRequest {
+    pub(crate) fn new(request: Request) -> SharedRequest {
+        SharedRequest { request, answered: AtomicBool::new(false) }
     }
 
     pub(crate) fn answered(&self) -> bool {
         self.answered.load(Relaxed)
     }
 
-    /// Marks it; true if it was not before.
+    /// Marks it as answered; true if it was not before.
     pub(crate) fn answer(&self) -> bool {
         let before = self.answered();
         self.answered.store(true, Relaxed);
@@ -38,14 +38,14 @@
     }
 }
 
-/// What is to be sent, and for how long its answer is waited for.
+/// An attempt to be sent, and how long its answer is awaited.
 #[derive(Debug)]
 pub(crate) struct Flow {
     pub id: FlowId,
-    pub call: Arc<Call>,
+    pub shared: Arc<SharedRequest>,
     pub until: Micros,
-    /// It may begin until then.
+    /// Latest time at which it may begin.
     pub begin_by: Micros,
-    /// It was put on a connection that turned out to be dead.
+    /// It has been moved once, from a connection that turned out to be closed.
     pub moved: bool,
 }
