--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,7 +1,7 @@
 //! `[fleet]` of the operators' file: the node among its fellows. Without the section there is nothing of it.
 
 use crate::operators::{Refusal, Section};
-use lapisrudder_membership::{Key, MOST_SEEDS, Name, Settings};
+use lapisrudder_membership::{Key, MAX_SEEDS, Name, Settings};
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -117,8 +117,8 @@
         if self.hold_s > 86_400 {
             return Err(refusal("hold_s", format!("{} is not within 0 to 86400", self.hold_s)));
         }
-        if self.seeds.len() > MOST_SEEDS {
-            return Err(refusal("seeds", format!("{} are more than {MOST_SEEDS}", self.seeds.len())));
+        if self.seeds.len() > MAX_SEEDS {
+            return Err(refusal("seeds", format!("{} are more than {MAX_SEEDS}", self.seeds.len())));
         }
         let unreachable =
             |at: &SocketAddr| at.port() == 0 || at.ip().is_unspecified() || at.ip().is_multicast();
--- a/crates/membership/src/core.rs
+++ b/crates/membership/src/core.rs
@@ -36,7 +36,7 @@
 /// One that goes tells so many others at once; gossip carries it on.
 const FAREWELLS: usize = 8;
 /// Seeds at the most. Guards against a list that makes each start a flood.
-pub const MOST_SEEDS: usize = 64;
+pub const MAX_SEEDS: usize = 64;
 /// While nobody is known, seeds are called at least this often: the first to answer is the whole fleet.
 const ALONE_MOST: Micros = 5_000_000;
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -51,7 +51,7 @@
 mod timers;
 
 pub use census::Census;
-pub use core::{Change, Config, Counts, Inherited, MOST_SEEDS, Membership, Output};
+pub use core::{Change, Config, Counts, Inherited, MAX_SEEDS, Membership, Output};
 pub use envelope::{BadDatagram, Envelope, Key, MOST_DATAGRAM};
 pub use heard::Heard;
 pub use packet::{BadName, Name, State};
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -231,7 +231,7 @@
     }
 
     /// Something is to be come back to by [`Fleet::retry`].
-    pub fn is_behind(&self) -> bool {
+    pub fn needs_retry(&self) -> bool {
         !self.socket.is_telling() || self.look.as_ref().is_some_and(Look::is_behind)
     }
 
@@ -242,22 +242,22 @@
     }
 
     /// What the loop would have told may have been lost.
-    pub fn look_at_all(&mut self) {
+    pub fn recheck_all(&mut self) {
         self.look.iter_mut().for_each(Look::look_at_all);
     }
 
     /// Somebody would look inside.
-    pub fn on_look(&mut self) {
+    pub fn accept_view_clients(&mut self) {
         self.look.iter_mut().for_each(Look::accept);
     }
 
     /// One that looks has something to say, or can be told more.
-    pub fn on_looker(&mut self, id: u64) {
+    pub fn on_view_client(&mut self, id: u64) {
         self.look.iter_mut().for_each(|look| look.on_ready(id));
     }
 
     /// What is due, and what follows from what has come.
-    pub fn turn(&mut self, now: Micros) {
+    pub fn run_due(&mut self, now: Micros) {
         if self.core.next_wake() <= now {
             self.core.wake(now);
         }
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -308,8 +308,8 @@
             }
             Owner::Caller(id) => self.management.iter_mut().for_each(|m| m.on_ready(id)),
             Owner::Fleet => self.fleet.iter_mut().for_each(|f| f.on_ready(now)),
-            Owner::Look => self.fleet.iter_mut().for_each(Fleet::on_look),
-            Owner::Looker(id) => self.fleet.iter_mut().for_each(|f| f.on_looker(id)),
+            Owner::Look => self.fleet.iter_mut().for_each(Fleet::accept_view_clients),
+            Owner::Looker(id) => self.fleet.iter_mut().for_each(|f| f.on_view_client(id)),
             Owner::Door => self.somebody_knocks(),
             Owner::Successor => self.hear_successor(now),
             Owner::Predecessor => self.hear_predecessor(now),
--- a/src/net/node/among.rs
+++ b/src/net/node/among.rs
@@ -16,7 +16,7 @@
     pub(super) fn among_others(&mut self) {
         let now = self.clock.now();
         let Some(fleet) = &mut self.fleet else { return };
-        fleet.turn(now);
+        fleet.run_due(now);
         if fleet.counted() != self.options.siblings {
             self.share();
         }
--- a/src/net/node/come_back.rs
+++ b/src/net/node/come_back.rs
@@ -17,7 +17,7 @@
         self.members.is_behind()
             || self.discovery.is_behind()
             || self.management.as_ref().is_some_and(Management::is_behind)
-            || self.fleet.as_ref().is_some_and(Fleet::is_behind)
+            || self.fleet.as_ref().is_some_and(Fleet::needs_retry)
             || self.door.as_ref().is_some_and(|door| !door.is_telling())
             || link.into_iter().any(Link::is_behind)
     }
@@ -48,7 +48,7 @@
         self.members.look_at_all();
         self.discovery.look_again();
         self.management.iter_mut().for_each(Management::look_at_all);
-        self.fleet.iter_mut().for_each(Fleet::look_at_all);
+        self.fleet.iter_mut().for_each(Fleet::recheck_all);
         let links = [&mut self.predecessor, &mut self.knocking];
         links.into_iter().flatten().for_each(Link::look_again);
         self.successor.iter_mut().for_each(|s| s.link.look_again());
