--- a/crates/membership/src/census.rs
+++ b/crates/membership/src/census.rs
@@ -1,68 +1,69 @@
-//! How many nodes count for shares under one budget: cold servers, the origin, connections, further attempts.
+//! How many nodes share the budgets of a fleet: cold servers, the origin, connections, retries and hedged
+//! attempts.
 
 use crate::{Micros, Name, State};
 use std::collections::BTreeMap;
 
-/// How many nodes share a budget, as one of them counts.
+/// The number of nodes that share a budget, as one node counts them.
 ///
-/// A half that is cut off sees itself as all, and cannot tell a cut from the death of the rest. So the count goes up at
-/// once with each node that was ever seen, and down only for one that said itself that it goes, after a hold (it
-/// may still serve) and never under what operators expect. One that was found dead goes on counting, since it may be
-/// the other half that lives; only a grant by those who are more than half (ownership) takes it out, or its
-/// being forgotten.
+/// A side of a partition sees only itself as alive, and cannot tell a partition from the death of the other
+/// nodes. So the count rises at once with each node that is seen for the first time. It falls only for a node
+/// that announced that it leaves, after a hold in which that node may still serve, and never below the number
+/// that operators expect. A node that was declared dead still counts, since it may live on the other side;
+/// only the grant of a majority (ownership) overrides that, or its removal from the table of members.
 ///
-/// Whatever a cut makes of the views, shares of all live nodes sum to at most one, as long as `expected` is no less than the
-/// nodes that never saw each other.
+/// The shares of all live nodes sum to at most one however a partition splits the views, as long as
+/// `expected` is no less than the number of nodes that never saw each other.
 #[derive(Clone, Debug)]
 pub struct Census {
     expected: u32,
-    hold: Micros,
-    /// Nodes that count, and until when one that has left does.
+    leave_hold: Micros,
+    /// The nodes that count; for one that has left, the time until which it does.
     nodes: BTreeMap<Name, Option<Micros>>,
-    /// What those who are more than half said.
+    /// The number granted by a majority.
     granted: Option<u32>,
 }
 
 impl Census {
-    /// Of a fleet of `expected` nodes; one that has left counts for `hold` more.
+    /// A census of a fleet of `expected` nodes. A node that has left counts for `leave_hold` µs more.
     #[must_use]
-    pub fn new(expected: u32, hold: Micros) -> Census {
-        Census { expected: expected.max(1), hold, nodes: BTreeMap::new(), granted: None }
+    pub fn new(expected: u32, leave_hold: Micros) -> Census {
+        Census { expected: expected.max(1), leave_hold, nodes: BTreeMap::new(), granted: None }
     }
 
-    /// Operators expect another number.
-    pub fn expect(&mut self, expected: u32, hold: Micros) {
-        (self.expected, self.hold) = (expected.max(1), hold);
+    /// Applies changed settings.
+    pub fn set_expected(&mut self, expected: u32, leave_hold: Micros) {
+        (self.expected, self.leave_hold) = (expected.max(1), leave_hold);
     }
 
-    /// A member is held to be in that state.
-    pub fn saw(&mut self, now: Micros, name: &Name, state: State) {
-        let counts = self.nodes.entry(name.clone()).or_default();
+    /// Records the state in which a member is seen.
+    pub fn observe(&mut self, now: Micros, name: &Name, state: State) {
+        let counts_until = self.nodes.entry(name.clone()).or_default();
         match state {
-            State::Left if counts.is_none() => *counts = Some(now + self.hold),
+            State::Left if counts_until.is_none() => *counts_until = Some(now + self.leave_hold),
             State::Left => {}
-            State::Alive | State::Suspect | State::Dead => *counts = None,
+            State::Alive | State::Suspect | State::Dead => *counts_until = None,
         }
     }
 
-    /// A member was forgotten.
-    pub fn forgot(&mut self, name: &Name) {
+    /// Records that a member was removed from the table of members.
+    pub fn forget(&mut self, name: &Name) {
         self.nodes.remove(name);
     }
 
-    /// Those who are more than half say how many count from here on, or nothing more.
+    /// Sets the count that a majority has granted from here on, or withdraws it.
     pub fn grant(&mut self, granted: Option<u32>) {
         self.granted = granted;
     }
 
-    /// How many count now.
+    /// The number of nodes that count now.
     pub fn count(&mut self, now: Micros) -> u32 {
         self.nodes.retain(|_, until| until.is_none_or(|until| now < until));
         let seen = u32::try_from(self.nodes.len()).unwrap_or(u32::MAX);
         self.granted.unwrap_or_else(|| seen.max(self.expected)).max(1)
     }
 
-    /// When the count may fall by itself.
+    /// When the count may fall because the hold of a left node ends.
     #[must_use]
     pub fn next_wake(&self) -> Option<Micros> {
         self.nodes.values().flatten().min().copied()
@@ -79,28 +80,28 @@
     }
 
     #[test]
-    fn up_at_once_and_down_after_a_hold_and_only_for_those_that_left() {
+    fn count_rises_at_once_and_falls_after_a_hold_for_left_nodes_only() {
         let mut census = Census::new(3, 100);
-        (0..5).for_each(|n| census.saw(0, &name(n), State::Alive));
+        (0..5).for_each(|n| census.observe(0, &name(n), State::Alive));
         assert_eq!(census.count(0), 5);
-        census.saw(10, &name(0), State::Dead);
-        census.saw(10, &name(1), State::Left);
+        census.observe(10, &name(0), State::Dead);
+        census.observe(10, &name(1), State::Left);
         assert_eq!((census.count(109), census.next_wake()), (5, Some(110)));
         assert_eq!((census.count(110), census.next_wake()), (4, None));
-        assert_eq!(census.count(1_000_000), 4, "one that was found dead may be the other half");
-        census.saw(200, &name(1), State::Alive);
+        assert_eq!(census.count(1_000_000), 4, "a node declared dead may live on the other side");
+        census.observe(200, &name(1), State::Alive);
         assert_eq!(census.count(200), 5);
-        (0..5).for_each(|n| census.saw(300, &name(n), State::Left));
-        assert_eq!(census.count(1_000), 3, "never under what is expected");
+        (0..5).for_each(|n| census.observe(300, &name(n), State::Left));
+        assert_eq!(census.count(1_000), 3, "never below the expected number");
         census.grant(Some(2));
         assert_eq!(census.count(1_000), 2);
     }
 
     proptest! {
-        /// Nodes start, are cut into parts, called dead by the other parts, leave and come back, in any order. At
-        /// each moment the shares of all that live sum to at most one.
+        /// Nodes start, are partitioned, declared dead by the other side, leave and come back, in any order.
+        /// At each moment the shares of all live nodes sum to at most one.
         #[test]
-        fn shares_never_sum_to_more_than_one_whatever_a_cut_makes_of_the_views(
+        fn shares_sum_to_at_most_one_under_any_partition(
             steps in proptest::collection::vec((0usize..4, 0usize..12, any::<u16>()), 1..60),
             first in 1usize..12,
         ) {
@@ -109,34 +110,35 @@
             let mut live: Vec<bool> = (0..12).map(|n| n < first).collect();
             let mut side = [0u16; 12];
             let mut views: Vec<Census> = (0..12).map(|_| Census::new(first as u32, HOLD)).collect();
-            views.iter_mut().take(first).for_each(|v| (0..first).for_each(|m| v.saw(0, &name(m), State::Alive)));
+            views.iter_mut().take(first).for_each(|v| (0..first).for_each(|m| v.observe(0, &name(m), State::Alive)));
             for (what, n, cut) in steps {
                 now += 7;
                 match what {
-                    // A node starts: those on its side know at once, and it them. Nobody else is cut off then.
+                    // A node starts while there is no partition: it and the live nodes see each other at
+                    // once.
                     0 if side.iter().all(|s| *s == side[n]) && !live[n] => {
                         live[n] = true;
                         for m in 0..12 { if live[m] {
-                            views[m].saw(now, &name(n), State::Alive);
-                            views[n].saw(now, &name(m), State::Alive);
+                            views[m].observe(now, &name(n), State::Alive);
+                            views[n].observe(now, &name(m), State::Alive);
                         } }
                     }
-                    // It leaves, and serves no more by the end of the hold.
+                    // A node leaves, and has stopped serving by the end of the hold.
                     1 if live[n] => {
-                        for m in 0..12 { if live[m] && side[m] == side[n] { views[m].saw(now, &name(n), State::Left); } }
+                        for m in 0..12 { if live[m] && side[m] == side[n] { views[m].observe(now, &name(n), State::Left); } }
                         now += HOLD;
                         live[n] = false;
                     }
-                    // A cut, and each side calls the other dead.
+                    // A partition: each side declares the other dead.
                     2 => {
                         side.iter_mut().enumerate().for_each(|(m, side)| *side = cut >> m & 1);
                         for m in 0..12 { for o in 0..12 { if side[m] != side[o] && live[o] {
-                            views[m].saw(now, &name(o), State::Dead);
+                            views[m].observe(now, &name(o), State::Dead);
                         } } }
                     }
                     _ => {
                         side = [0; 12];
-                        for m in 0..12 { for o in 0..12 { if live[m] && live[o] { views[m].saw(now, &name(o), State::Alive); } } }
+                        for m in 0..12 { for o in 0..12 { if live[m] && live[o] { views[m].observe(now, &name(o), State::Alive); } } }
                     }
                 }
                 let sum: f64 = (0..12).filter(|n| live[*n]).map(|n| 1.0 / f64::from(views[n].count(now))).sum();
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -1,5 +1,5 @@
-//! The envelope of all that nodes send each other: a version, the fleet's id and a checksum, keyed where there is a key.
-//! The one place that bounds a datagram's size.
+//! The envelope of all datagrams between nodes: a version, the fleet's id and a checksum, which is keyed if
+//! there is a key. No other module bounds the size of a datagram.
 //!
 //! | bytes | |
 //! |---|---|
@@ -12,55 +12,56 @@
 
 use thiserror::Error;
 
-/// Bytes of a datagram at the most.
-pub const MOST_DATAGRAM: usize = crate::packet::MOST_BYTES + HEAD + TAG;
+/// Maximum size of a datagram.
+pub const MAX_DATAGRAM: usize = crate::packet::MAX_PACKET + HEADER_LEN + TAG_LEN;
 const MAGIC: [u8; 4] = *b"LRfl";
 const VERSION: u8 = 1;
 const PLAIN: u8 = 0;
 const KEYED: u8 = 1;
-const HEAD: usize = 14;
-const TAG: usize = 16;
+const HEADER_LEN: usize = 14;
+const TAG_LEN: usize = 16;
 
-/// A key that members share.
+/// A key that the fleet's nodes share.
 pub type Key = [u8; 32];
 
-/// Why bytes are no datagram of this fleet.
+/// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BadDatagram {
-    /// Too long, too short, or of another program.
-    #[error("it is no datagram of this program")]
+    /// It is too long, too short, or from another program.
+    #[error("not a datagram of this program")]
     Foreign,
-    /// Another version of the form.
-    #[error("it is of version {0}")]
+    /// The envelope has an unsupported version.
+    #[error("unsupported version {0}")]
     Version(u8),
-    /// Of another fleet.
-    #[error("it is of another fleet")]
+    /// It is from another fleet.
+    #[error("from another fleet")]
     Fleet,
-    /// What arrived is not what was sent, or was not sent by somebody with a key.
-    #[error("its checksum is wrong")]
+    /// The datagram is corrupt, or the sender does not have a key of the fleet.
+    #[error("wrong checksum")]
     Checksum,
 }
 
-/// Puts bodies into envelopes and takes them out.
+/// Adds and removes envelopes.
 #[derive(Clone, Debug)]
 pub struct Envelope {
     fleet: [u8; 8],
-    /// The first seals; all open, so that keys can be changed one node after the other.
+    /// The first key seals, and each of them opens, so that keys can be replaced one node after the other.
     keys: Vec<Key>,
 }
 
 impl Envelope {
-    /// For a fleet of that name. Without a key the checksum only guards against accidents.
+    /// An envelope for the fleet of that name. Without a key, the checksum protects against corruption only,
+    /// not against forgery.
     #[must_use]
     pub fn new(fleet: &str, keys: Vec<Key>) -> Envelope {
         let [a, b, c, d, e, f, g, h, ..] = *blake3::hash(fleet.as_bytes()).as_bytes();
         Envelope { fleet: [a, b, c, d, e, f, g, h], keys }
     }
 
-    /// A datagram with this body.
+    /// Returns the datagram that holds this body.
     #[must_use]
     pub fn seal(&self, body: &[u8]) -> Vec<u8> {
-        let mut out = Vec::with_capacity(HEAD + TAG + body.len());
+        let mut out = Vec::with_capacity(HEADER_LEN + TAG_LEN + body.len());
         out.extend_from_slice(&MAGIC);
         out.extend_from_slice(&[VERSION, if self.keys.is_empty() { PLAIN } else { KEYED }]);
         out.extend_from_slice(&self.fleet);
@@ -72,16 +73,16 @@
         out
     }
 
-    /// The body of a datagram.
+    /// Returns the body of a datagram.
     ///
     /// # Errors
-    /// It is none of this fleet, or spoilt.
+    /// The datagram is not from this fleet, or corrupt.
     pub fn open<'a>(&self, datagram: &'a [u8]) -> Result<&'a [u8], BadDatagram> {
-        let Some((head, rest)) = datagram.split_first_chunk::<HEAD>() else {
+        let Some((head, rest)) = datagram.split_first_chunk::<HEADER_LEN>() else {
             return Err(BadDatagram::Foreign);
         };
         let [m0, m1, m2, m3, version, kind, fleet @ ..] = *head;
-        if [m0, m1, m2, m3] != MAGIC || datagram.len() > MOST_DATAGRAM {
+        if [m0, m1, m2, m3] != MAGIC || datagram.len() > MAX_DATAGRAM {
             return Err(BadDatagram::Foreign);
         }
         if version != VERSION {
@@ -90,23 +91,24 @@
         if fleet != self.fleet {
             return Err(BadDatagram::Fleet);
         }
-        // Danger: where there are keys a plain checksum must not pass, or anybody could speak.
+        // With keys configured, a datagram with a plain checksum must be rejected, or anyone could forge
+        // packets.
         let body = match (kind, self.keys.is_empty()) {
             (PLAIN, true) => {
                 let (tag, body) = rest.split_first_chunk::<4>().ok_or(BadDatagram::Foreign)?;
                 (u32::from_be_bytes(*tag) == self.crc(body)).then_some(body)
             }
             (KEYED, false) => {
-                let (tag, body) = rest.split_first_chunk::<TAG>().ok_or(BadDatagram::Foreign)?;
-                // Compared in constant time, as BLAKE3's hashes are.
-                let mut wide = [0; 32];
-                wide[..TAG].copy_from_slice(tag);
-                let fits = |key: &Key| {
+                let (tag, body) = rest.split_first_chunk::<TAG_LEN>().ok_or(BadDatagram::Foreign)?;
+                // BLAKE3's hash type compares in constant time.
+                let mut received = [0; 32];
+                received[..TAG_LEN].copy_from_slice(tag);
+                let matches = |key: &Key| {
                     let mut own = [0; 32];
-                    own[..TAG].copy_from_slice(&self.tag(key, body));
-                    blake3::Hash::from(own) == blake3::Hash::from(wide)
+                    own[..TAG_LEN].copy_from_slice(&self.tag(key, body));
+                    blake3::Hash::from(own) == blake3::Hash::from(received)
                 };
-                self.keys.iter().any(fits).then_some(body)
+                self.keys.iter().any(matches).then_some(body)
             }
             _ => None,
         };
@@ -120,10 +122,10 @@
         crc.finalize()
     }
 
-    fn tag(&self, key: &Key, body: &[u8]) -> [u8; TAG] {
+    fn tag(&self, key: &Key, body: &[u8]) -> [u8; TAG_LEN] {
         let mut hasher = blake3::Hasher::new_keyed(key);
         hasher.update(&self.fleet).update(body);
-        let mut tag = [0; TAG];
+        let mut tag = [0; TAG_LEN];
         hasher.finalize_xof().fill(&mut tag);
         tag
     }
@@ -134,7 +136,7 @@
     use super::*;
 
     #[test]
-    fn only_what_this_fleet_sealed_opens() {
+    fn only_datagrams_sealed_by_this_fleet_open() {
         let (old, new) = ([1; 32], [2; 32]);
         let plain = Envelope::new("f", vec![]);
         let keyed = Envelope::new("f", vec![old]);
@@ -152,9 +154,9 @@
         }
         for sealed in [plain.seal(b"body"), keyed.seal(b"body")] {
             for at in 0..sealed.len() {
-                let mut spoilt = sealed.clone();
-                spoilt[at] ^= 4;
-                assert!(plain.open(&spoilt).is_err() && keyed.open(&spoilt).is_err(), "byte {at}");
+                let mut corrupt = sealed.clone();
+                corrupt[at] ^= 4;
+                assert!(plain.open(&corrupt).is_err() && keyed.open(&corrupt).is_err(), "byte {at}");
                 assert!(
                     plain.open(&sealed[..at]).is_err() && keyed.open(&sealed[..at]).is_err(),
                     "cut at {at}"
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,13 +1,14 @@
-//! Who is in the fleet, in what state, and how many nodes count for shares.
+//! Gossip membership of the fleet: which nodes there are, in what state, and how many count for shares.
 //!
-//! A state machine after SWIM (Das, Gupta, Motivala, DSN 2002) and Lifeguard (Dadgar, Phillips, Currey, DSN 2018),
-//! without I/O, clock or threads: datagrams and the time go in ([`Membership::receive`], [`Membership::wake`]), orders
-//! come out ([`Membership::poll`]), and [`Membership::next_wake`] says when it wants to be called again. Random numbers
-//! are from a seed, so that the same calls give the same orders.
+//! A state machine after SWIM (Das, Gupta, Motivala, DSN 2002) and Lifeguard (Dadgar, Phillips, Currey, DSN
+//! 2018), without I/O, clock or threads. Datagrams and the time are passed in ([`Membership::receive`],
+//! [`Membership::wake`]), outputs are taken out ([`Membership::poll`]), and [`Membership::next_wake`] says
+//! when the next call is due. Random numbers come from a seed, so that the same calls give the same outputs.
 //!
-//! It is *not* a consensus: two members may see the fleet differently for a while, and a half that is cut off sees
-//! itself as all. What must be true of one side only is the matter of ownership; what is safe whatever a cut makes of
-//! the views is [`Census`].
+//! It gives *no* consensus: two members may see the fleet differently for a while, and each side of a
+//! partition sees only itself as alive. What has to hold on one side alone needs the grant of a majority
+//! (ownership), which is not part of this crate. What stays safe however a partition splits the views is
+//! [`Census`].
 //!
 //! A *fleet member* is a node. A *pool member*, elsewhere in this project, is a cache server.
 //!
@@ -23,8 +24,8 @@
 //! for now in (0..2_000_000).step_by(1_000) {
 //!     for n in 0..2 {
 //!         nodes[n].wake(now);
-//!         while let Some(order) = nodes[n].poll() {
-//!             if let Output::Send { body, .. } = order { nodes[1 - n].receive(now, at(n as u16 + 1), &body); }
+//!         while let Some(output) = nodes[n].poll() {
+//!             if let Output::Send { body, .. } = output { nodes[1 - n].receive(now, at(n as u16 + 1), &body); }
 //!         }
 //!     }
 //! }
@@ -33,32 +34,32 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs, unreachable_pub)]
 
+mod ablation;
 mod awareness;
 mod broadcast;
 mod budget;
 mod census;
 mod core;
 mod envelope;
-mod exchange;
-mod heard;
 mod merge;
 mod packet;
-mod planted;
 mod probe;
+mod push_pull;
+mod reachability;
 mod settings;
 mod suspicion;
 mod table;
 mod timers;
 
+#[cfg(feature = "planted")]
+pub use ablation::Ablation;
 pub use census::Census;
 pub use core::{Change, Config, Counts, Inherited, MAX_SEEDS, Membership, Output};
-pub use envelope::{BadDatagram, Envelope, Key, MOST_DATAGRAM};
-pub use heard::Heard;
+pub use envelope::{BadDatagram, Envelope, Key, MAX_DATAGRAM};
 pub use packet::{BadName, Name, State};
-#[cfg(feature = "planted")]
-pub use planted::Planted;
+pub use reachability::Reachability;
 pub use settings::{Settings, SettingsError};
 pub use table::View;
 
-/// Microseconds, as a point on the caller's clock or as a length.
+/// Microseconds: a time on the caller's clock, or a duration.
 pub type Micros = i64;
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -1,90 +1,96 @@
-//! What words on members change: the greater of two holds, and nobody goes from alive to dead without being suspect for
-//! a while here.
+//! Merging of updates on members. Of two updates on a member, the one with the greater start, incarnation and
+//! state wins, except that a member known as alive becomes dead only after a time as suspect in this member's
+//! view.
 
 use crate::Micros;
-use crate::core::{Change, MOST_RAISES, Membership, YOUNG};
-use crate::packet::{MOST_BYTES, Name, State, Update, What};
-use crate::planted::Planted;
+use crate::ablation::Ablation;
+use crate::core::{Change, JOIN_GRACE, MAX_START_RAISES, Membership};
+use crate::packet::{MAX_PACKET, Message, Name, State, Update};
 use crate::settings::ms;
 use crate::suspicion::Suspicion;
-use crate::table::{MOST_MEMBERS, Member};
+use crate::table::{MAX_MEMBERS, Member};
 use crate::timers::Timer;
 use rand::Rng;
 use std::net::SocketAddr;
 
-/// Members that must accuse one before it is held for dead. Guards a fleet against a member that hears nothing, and
-/// that member against holding all others for dead: its own word alone is not enough for either. So one that
-/// is left alone, with another or without, holds nobody for dead.
-const NEEDED: usize = 2;
-/// A suspect that too few accuse is probed again so often.
-const AGAIN: Micros = 500_000;
-/// A raised start is up to so much above the other, so that two that raise at once do not meet again.
-const RAISE: u64 = 1 << 20;
+/// Members that have to accuse a suspect before it is declared dead. A member that receives nothing must
+/// neither be able to declare all others dead, nor be declared dead on the accusation of one. A member with
+/// no other member to confirm its accusations, as the survivor of a fleet of two, therefore declares nobody
+/// dead.
+const MIN_ACCUSERS: usize = 2;
+/// Interval at which a suspect with too few accusers is probed again.
+const REPROBE_INTERVAL: Micros = 500_000;
+/// A raised start exceeds the other one by a random amount up to this, so that two processes that raise at
+/// once get different starts.
+const MAX_START_RAISE: u64 = 1 << 20;
 
 impl Membership {
-    /// Somebody's word on a member.
+    /// Merges an update received on a member.
     pub(crate) fn merge(&mut self, now: Micros, update: Update) {
         if update.name == self.me.name {
-            return self.about_me(now, &update);
+            return self.merge_self(now, &update);
         }
-        let Some(place) = self.table.find(&update.name) else { return self.meet(now, update) };
-        let Some(known) = self.table.get(place) else { return };
+        let Some(index) = self.table.find(&update.name) else { return self.add_member(now, update) };
+        let Some(known) = self.table.get(index) else { return };
         let (old, new) = ((known.start, known.incarnation), (update.start, update.incarnation));
         let state = known.state;
         if new < old {
-            if self.planted == Planted::NoIncarnations {
-                self.adopt(now, place, update);
+            if self.ablation == Ablation::NoIncarnations {
+                self.adopt(now, index, update);
             }
             return;
         }
         if new == old {
             match (update.state, state) {
-                (State::Suspect, State::Alive | State::Suspect) => self.accuse(now, place, &update.by, false),
-                (State::Dead, State::Alive | State::Suspect) => self.accuse(now, place, &update.by, true),
-                (State::Left, State::Alive | State::Suspect | State::Dead) => self.adopt(now, place, update),
+                (State::Suspect, State::Alive | State::Suspect) => self.accuse(now, index, &update.by, false),
+                (State::Dead, State::Alive | State::Suspect) => self.accuse(now, index, &update.by, true),
+                (State::Left, State::Alive | State::Suspect | State::Dead) => self.adopt(now, index, update),
                 _ => {}
             }
             return;
         }
         match (update.state, state) {
-            (State::Alive | State::Left, _) => self.adopt(now, place, update),
-            // Its coming back was missed, and it is away again.
-            (State::Dead, State::Dead | State::Left) => self.adopt(now, place, update),
+            (State::Alive | State::Left, _) => self.adopt(now, index, update),
+            // The member was alive again in between, which was not seen here.
+            (State::Dead, State::Dead | State::Left) => self.adopt(now, index, update),
             (State::Suspect | State::Dead, _) => {
                 let (by, dead) = (update.by.clone(), update.state == State::Dead);
-                self.adopt(now, place, Update { state: State::Alive, ..update });
-                self.accuse(now, place, &by, dead);
+                self.adopt(now, index, Update { state: State::Alive, ..update });
+                self.accuse(now, index, &by, dead);
             }
         }
     }
 
-    /// One that was not known.
-    fn meet(&mut self, now: Micros, update: Update) {
-        if self.table.len() >= MOST_MEMBERS {
-            // Room for those who live is made by those who do not.
-            if let Some(oldest) = self.table.iter().filter(|(_, m)| !m.is_in()).map(|(_, m)| m.since).min() {
-                self.forget_those(|m| m.since <= oldest);
+    /// Adds a member that was not known.
+    fn add_member(&mut self, now: Micros, update: Update) {
+        if self.table.len() >= MAX_MEMBERS {
+            // A full table makes room by dropping the member that has been dead or left for longest.
+            if let Some(oldest) =
+                self.table.iter().filter(|(_, m)| !m.participates()).map(|(_, m)| m.since).min()
+            {
+                self.forget_matching(|m| m.since <= oldest);
             }
         }
         let (by, state) = (update.by.clone(), update.state);
         let first = if state == State::Suspect { State::Alive } else { state };
         let member = Member::new(Update { state: first, ..update }, now);
-        let Some(place) = self.table.add(member) else { return };
-        self.speak_of(place, now);
-        self.tell_of(place, now);
-        // A round that goes on takes it in at some place, so that it waits no longer than others.
-        if let Some(name) = self.table.get(place).filter(|m| m.is_in()).map(|m| m.name.clone()) {
-            let at = self.rng.random_range(0..=self.round.len());
-            self.round.insert(at, name);
+        let Some(index) = self.table.add(member) else { return };
+        self.broadcast_member(index, now);
+        self.emit_member(index, now);
+        // The member gets a random position in the current probe round, so that it waits no longer than
+        // others.
+        if let Some(name) = self.table.get(index).filter(|m| m.participates()).map(|m| m.name.clone()) {
+            let at = self.rng.random_range(0..=self.probe_round.len());
+            self.probe_round.insert(at, name);
         }
         if state == State::Suspect {
-            self.accuse(now, place, &by, false);
+            self.accuse(now, index, &by, false);
         }
     }
 
-    /// Takes a newer word as it is.
-    fn adopt(&mut self, now: Micros, place: usize, update: Update) {
-        let changed = self.table.change(place, |m| {
+    /// Takes over an update that is newer than what is known.
+    fn adopt(&mut self, now: Micros, index: usize, update: Update) {
+        let changed = self.table.change(index, |m| {
             let before = (m.state, m.start, m.at);
             (m.start, m.incarnation, m.at, m.zone) =
                 (update.start, update.incarnation, update.at, update.zone);
@@ -92,97 +98,100 @@
             if m.state != update.state {
                 (m.state, m.since) = (update.state, now);
             }
-            m.call = (now, 0);
+            m.reconnect = (now, 0);
             before != (m.state, m.start, m.at)
         });
-        self.speak_of(place, now);
+        self.broadcast_member(index, now);
         if changed == Some(true) {
-            self.tell_of(place, now);
+            self.emit_member(index, now);
         }
     }
 
-    /// Members accuse one; others hold it for dead already, perhaps.
-    pub(crate) fn accuse(&mut self, now: Micros, place: usize, by: &[u32], dead: bool) {
-        let Some(begins) = self.table.get(place).map(|m| m.suspicion.is_none()) else { return };
-        let (bounds, believes) = (self.bounds(), self.planted == Planted::AtItsWord);
-        let news = self.table.change(place, |m| {
+    /// Handles an accusation by the members with the digests `by`. `dead` is set if the sender has already
+    /// declared the member dead.
+    pub(crate) fn accuse(&mut self, now: Micros, index: usize, by: &[u32], dead: bool) {
+        let Some(new_suspicion) = self.table.get(index).map(|m| m.suspicion.is_none()) else { return };
+        let (bounds, trusts_report) =
+            (self.suspicion_bounds(), self.ablation == Ablation::TrustReportedDeath);
+        let outcome = self.table.change(index, |m| {
             if m.state == State::Alive {
                 (m.state, m.since) = (State::Suspect, now);
             }
             let suspicion = m.suspicion.get_or_insert_with(|| Suspicion::new(now));
-            let mut news = begins;
-            by.iter().for_each(|by| news |= suspicion.accuse(*by));
-            news |= dead && !suspicion.told_dead;
-            suspicion.told_dead |= dead;
-            let waited = now - suspicion.since >= bounds.least / 2 || believes;
-            (news, dead && waited)
+            let mut changed = new_suspicion;
+            by.iter().for_each(|by| changed |= suspicion.accuse(*by));
+            changed |= dead && !suspicion.reported_dead;
+            suspicion.reported_dead |= dead;
+            let waited = now - suspicion.since >= bounds.min / 2 || trusts_report;
+            (changed, dead && waited)
         });
-        let Some((news, convinced)) = news else { return };
-        if begins {
-            self.tell_of(place, now);
+        let Some((changed, confirmed_dead)) = outcome else { return };
+        if new_suspicion {
+            self.emit_member(index, now);
         }
-        // Half of the least time has passed without its saying that it lives, and others waited for all of theirs. One that
-        // stood still takes their word, too: its suspicion began again then.
-        if convinced {
-            return self.bury(now, place);
+        // A death reported by others is accepted once half of the minimum suspicion timeout has passed here
+        // without a refutation; the others waited for the whole of theirs. That holds also for a member that
+        // stalled, whose suspicions were restarted then.
+        if confirmed_dead {
+            return self.declare_dead(now, index);
         }
-        if news {
-            self.speak_of(place, now);
-            self.time_suspect(place, now);
+        if changed {
+            self.broadcast_member(index, now);
+            self.schedule_suspicion_check(index, now);
         }
-        if begins {
-            self.verify(now, place);
+        if new_suspicion {
+            self.verify_suspect(now, index);
         }
     }
 
-    /// Looks at a suspect when its time is over as things are.
-    pub(crate) fn time_suspect(&mut self, place: usize, now: Micros) {
-        let bounds = self.bounds();
-        if let Some(suspicion) = self.table.get(place).and_then(|m| m.suspicion.as_ref()) {
-            let at = suspicion.until(bounds).max(now + 1);
-            self.timers.retain(|t| *t != Timer::Suspect(place));
-            self.timers.set(at, Timer::Suspect(place));
+    /// Schedules the check of a suspicion at its current deadline.
+    pub(crate) fn schedule_suspicion_check(&mut self, index: usize, now: Micros) {
+        let bounds = self.suspicion_bounds();
+        if let Some(suspicion) = self.table.get(index).and_then(|m| m.suspicion.as_ref()) {
+            let at = suspicion.deadline(bounds).max(now + 1);
+            self.timers.retain(|t| *t != Timer::Suspicion(index));
+            self.timers.schedule(at, Timer::Suspicion(index));
         }
     }
 
-    /// A suspect's time may be over.
-    pub(crate) fn suspect_due(&mut self, now: Micros, place: usize) {
-        let bounds = self.bounds();
-        let Some(member) = self.table.get(place) else { return };
+    /// Checks a suspicion whose deadline may have passed.
+    pub(crate) fn check_suspicion(&mut self, now: Micros, index: usize) {
+        let bounds = self.suspicion_bounds();
+        let Some(member) = self.table.get(index) else { return };
         let Some(suspicion) = &member.suspicion else { return };
-        if now < suspicion.until(bounds) {
-            return self.time_suspect(place, now);
+        if now < suspicion.deadline(bounds) {
+            return self.schedule_suspicion_check(index, now);
         }
-        let needed = if self.planted == Planted::OneAccuser { 1 } else { NEEDED };
-        let enough = self.convalescent.is_none() && suspicion.accusers().len() >= needed;
+        let needed = if self.ablation == Ablation::OneAccuser { 1 } else { MIN_ACCUSERS };
+        let enough = self.heard_since_stall.is_none() && suspicion.accusers().len() >= needed;
         let name = member.name.clone();
-        if suspicion.told_dead || enough {
-            return self.bury(now, place);
+        if suspicion.reported_dead || enough {
+            return self.declare_dead(now, index);
         }
-        self.timers.set(now + self.awareness.stretch(AGAIN), Timer::Suspect(place));
+        self.timers.schedule(now + self.awareness.scale(REPROBE_INTERVAL), Timer::Suspicion(index));
         if self.me.state != State::Left {
-            self.probe(now, &name, crate::probe::Kind::Verdict);
+            self.probe(now, &name, crate::probe::ProbeKind::Liveness);
         }
     }
 
-    /// It is held for dead from here on.
-    fn bury(&mut self, now: Micros, place: usize) {
+    /// Marks a member as dead and schedules the first attempt to reconnect.
+    fn declare_dead(&mut self, now: Micros, index: usize) {
         let first = ms(self.settings.call_after_ms);
-        let wait = self.part_of(first);
-        self.table.change(place, |m| {
+        let wait = self.random_up_to(first);
+        self.table.change(index, |m| {
             (m.state, m.since, m.suspicion) = (State::Dead, now, None);
-            m.call = (now + wait, first / 2);
+            m.reconnect = (now + wait, first / 2);
         });
-        self.speak_of(place, now);
-        self.tell_of(place, now);
+        self.broadcast_member(index, now);
+        self.emit_member(index, now);
     }
 
-    // ---- Words on this member ---------------------------------------------------------------------------
+    // ---- Updates on this member ----
 
-    fn about_me(&mut self, now: Micros, update: &Update) {
+    fn merge_self(&mut self, now: Micros, update: &Update) {
         if update.start > self.me.start {
             let gone = matches!(update.state, State::Dead | State::Left);
-            return self.later(now, update.start, Some(update.at), gone);
+            return self.on_later_start(now, update.start, Some(update.at), gone);
         }
         let leaving = self.me.state == State::Left;
         if update.start < self.me.start || leaving || update.incarnation < self.me.incarnation {
@@ -191,48 +200,53 @@
         if update.incarnation == self.me.incarnation && update.state == State::Alive {
             return;
         }
-        // Others hold it for less than alive: it says again that it lives, to those first who accuse it.
+        // Other members see this one as suspect, dead or left. It refutes that with a greater incarnation,
+        // and sends the refutation first to the members that accuse it.
         self.me.incarnation = update.incarnation.saturating_add(1);
         if update.state != State::Alive {
-            self.awareness.ill();
+            self.awareness.degrade();
         }
-        self.speak_of_me(now);
-        let accuses = |m: &Member| m.is_in() && update.by.contains(&m.name.digest());
-        let mut hear: Vec<Name> =
+        self.broadcast_self(now);
+        let accuses = |m: &Member| m.participates() && update.by.contains(&m.name.digest());
+        let mut recipients: Vec<Name> =
             self.table.iter().filter(|(_, m)| accuses(m)).map(|(_, m)| m.name.clone()).collect();
-        hear.extend(self.some(self.settings.fanout as usize, None));
-        hear.into_iter().for_each(|name| self.say(now, &name, What::News));
+        recipients.extend(self.random_members(self.settings.fanout as usize, None));
+        recipients.into_iter().for_each(|name| self.send_to(now, &name, Message::News));
     }
 
-    /// There is, or was, a process of this member's name with a later start.
-    pub(crate) fn later(&mut self, now: Micros, start: u64, at: Option<SocketAddr>, gone: bool) {
-        let young = self.joined.is_none_or(|joined| now - joined < YOUNG) && self.raises < MOST_RAISES;
+    /// Handles the report that a process of this member's name with a later start is or was alive. `gone` is
+    /// set if it is dead or has left.
+    pub(crate) fn on_later_start(&mut self, now: Micros, start: u64, at: Option<SocketAddr>, gone: bool) {
+        let recently_joined = self.joined_at.is_none_or(|joined_at| now - joined_at < JOIN_GRACE)
+            && self.start_raises < MAX_START_RAISES;
         if start <= self.me.start || self.me.state == State::Left {
             return;
         }
-        // A clock that was set back made this start too small, or the later process is gone: this one goes before it.
-        if gone || young {
-            self.raises += u32::from(!gone);
+        // Either the later process is gone, or it was the predecessor of this one, whose start is too small
+        // because its clock was set back. Both times this process has to take precedence.
+        if gone || recently_joined {
+            self.start_raises += u32::from(!gone);
             self.superseded = false;
-            self.me.start = start.saturating_add(1 + self.rng.random_range(0..RAISE));
+            self.me.start = start.saturating_add(1 + self.rng.random_range(0..MAX_START_RAISE));
             self.me.incarnation = 0;
-            self.speak_of_me(now);
+            self.broadcast_self(now);
             let start = self.me.start;
-            return self.tell(Change::Raised(start));
+            return self.emit(Change::StartRaised(start));
         }
         let Some(at) = at else { return };
         if !std::mem::replace(&mut self.superseded, true) {
-            self.tell(Change::Superseded(at));
+            self.emit(Change::Superseded(at));
         }
-        // The later one hears of this one, too: it asks back.
-        self.ask_twin(now, at, start, MOST_BYTES);
+        // The probe also makes this process known to the later one, which probes it in turn.
+        self.probe_duplicate(now, at, start, MAX_PACKET);
     }
 
-    /// Somebody would join: it hears of as many as it sent bytes for.
-    pub(crate) fn welcome(&mut self, now: Micros, from: SocketAddr, bytes: usize) {
-        let some = self.some(self.table.inside(), None);
+    /// Answers a process that wants to join with a random selection of members, in no more bytes than it
+    /// sent.
+    pub(crate) fn answer_hello(&mut self, now: Micros, from: SocketAddr, bytes: usize) {
+        let some = self.random_members(self.table.participants(), None);
         let news: Vec<Update> =
             some.iter().filter_map(|name| self.table.named(name)).map(Member::update).collect();
-        self.send_records(now, from, What::News, news, bytes.min(MOST_BYTES), 1);
+        self.send_in_pieces(now, from, Message::News, news, bytes.min(MAX_PACKET), 1);
     }
 }
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -1,4 +1,5 @@
-//! What members say to each other: one datagram is one [`Packet`]. The checksum round it is [`Envelope`]'s.
+//! The wire format of the protocol: one datagram holds one [`Packet`]. The checksum around it is added by
+//! [`Envelope`].
 //!
 //! [`Envelope`]: crate::Envelope
 
@@ -9,23 +10,23 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Bytes of a packet at the most. With its envelope and the headers of UDP and IPv6 it fits an Ethernet frame of 1500
-/// bytes, so that it is never cut up on the way.
-pub(crate) const MOST_BYTES: usize = 1380;
-/// Bytes of a name at the most.
-const MOST_NAME: usize = 64;
-/// Bytes of a zone's name at the most.
-pub(crate) const MOST_ZONE: usize = 32;
-/// News of one packet at the most, for those who write as for those who read: a short word takes 17 bytes, so bytes alone
-/// would let more in.
-pub(crate) const MOST_NEWS: usize = 64;
+/// Maximum size of a packet. With its envelope and the headers of UDP and IPv6 it fits an Ethernet frame of
+/// 1500 bytes, so that it is never fragmented.
+pub(crate) const MAX_PACKET: usize = 1380;
+/// Maximum length of a name, in bytes.
+const MAX_NAME: usize = 64;
+/// Maximum length of a zone's name, in bytes.
+pub(crate) const MAX_ZONE: usize = 32;
+/// Maximum number of updates in a packet, checked when writing and when reading. An update can be as short as
+/// 17 bytes, so the packet's size alone would allow more.
+pub(crate) const MAX_UPDATES: usize = 64;
 
 /// A member's name: 1 to 64 visible ASCII characters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(Arc<str>);
 
-/// What is no name.
+/// The text is not a valid member name.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{0:?} is no name: it must have 1 to 64 visible ASCII characters")]
 pub struct BadName(String);
@@ -37,7 +38,7 @@
         &self.0
     }
 
-    /// A short digest, the same everywhere.
+    /// A short digest of the name, the same on all members.
     pub(crate) fn digest(&self) -> u32 {
         crc32fast::hash(self.0.as_bytes())
     }
@@ -47,8 +48,8 @@
     type Err = BadName;
 
     fn from_str(text: &str) -> Result<Name, BadName> {
-        if text.is_empty() || text.len() > MOST_NAME || !text.bytes().all(|b| b.is_ascii_graphic()) {
-            return Err(BadName(text.chars().take(MOST_NAME).collect()));
+        if text.is_empty() || text.len() > MAX_NAME || !text.bytes().all(|b| b.is_ascii_graphic()) {
+            return Err(BadName(text.chars().take(MAX_NAME).collect()));
         }
         Ok(Name(text.into()))
     }
@@ -74,113 +75,115 @@
     }
 }
 
-/// What a member is held to be. Of two words on one start and one incarnation the later one here holds.
+/// The state in which a member is seen. Between two updates with the same start and incarnation, the one
+/// whose state is listed later here wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It is there.
+    /// The member answers.
     Alive,
-    /// Somebody does not hear it.
+    /// A member got no answer from it.
     Suspect,
-    /// Enough members have not heard it for long enough.
+    /// It was suspect until the suspicion timed out.
     Dead,
-    /// It said itself that it goes.
+    /// It announced that it leaves.
     Left,
 }
 
-/// A word on one member.
+/// What is known of one member, as sent to others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Update {
     pub(crate) name: Name,
-    /// Orders processes of one name.
+    /// Orders the processes that bear this name.
     pub(crate) start: u64,
-    /// Raised by the member itself alone, when others hold it for less than alive.
+    /// Raised only by the member itself, to refute a state other than alive.
     pub(crate) incarnation: u64,
     pub(crate) state: State,
     pub(crate) at: SocketAddr,
     pub(crate) zone: String,
-    /// Who accuses a suspect: digests of names.
+    /// The accusers of a suspect, as digests of their names.
     pub(crate) by: Vec<u32>,
 }
 
-/// What a packet is for.
+/// The purpose of a packet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum What {
-    /// Just its news.
+pub(crate) enum Message {
+    /// None but its updates.
     News,
-    /// Are you that member?
+    /// Direct probe: is the receiver this member, in a process with this start?
     Probe { seq: u64, target: Name, start: u64 },
-    /// I am who says this.
+    /// Answer of the member that was probed.
     Ack { seq: u64 },
-    /// Ask that member for me.
+    /// Request to a helper for an indirect probe.
     Ask { seq: u64, target: Name, start: u64, at: SocketAddr },
-    /// It answered me.
+    /// A helper's answer: the target answered it.
     Vouch { seq: u64 },
-    /// It did not answer me; I heard your asking, though.
+    /// A helper's answer: the target has not answered it in time, but the request arrived.
     Nack { seq: u64 },
-    /// There is a later process of your name.
+    /// A later process of the receiver's name is known.
     Later { start: u64, at: SocketAddr },
-    /// I would join. Filled up, so that an answer as long as this may be had by somebody nobody knows.
+    /// Request to join. It is padded, since a stranger gets no longer answer than its request.
     Hello { filling: Vec<u8> },
-    /// A digest of all that I know, by buckets.
+    /// Push-pull: a digest of the table, one number for each bucket of members.
     Digest { buckets: Vec<u32> },
-    /// What I know of these buckets is in the news of this and further ones; I want yours of these.
+    /// Push-pull: the sender's records of the buckets that differ are in this packet and the following ones;
+    /// `wanted` is the set of buckets whose records it wants in return.
     Records { wanted: u64 },
 }
 
-/// One datagram: who sends it, what for, and words on others.
+/// The content of one datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Packet {
-    /// The sender's word on itself.
+    /// The sender's update on itself.
     pub(crate) from: Update,
-    pub(crate) what: What,
+    pub(crate) what: Message,
     pub(crate) news: Vec<Update>,
 }
 
-/// Why bytes are no packet.
+/// Why bytes are not a valid packet.
 #[derive(Debug, Error)]
 pub(crate) enum BadPacket {
-    #[error("{0} bytes are more than a packet has")]
+    #[error("packet of {0} bytes is too long")]
     TooLong(usize),
-    #[error("it cannot be read: {0}")]
+    #[error("packet cannot be decoded: {0}")]
     Unreadable(#[from] postcard::Error),
-    #[error("something stands behind its end")]
-    Behind,
-    #[error("it says what cannot be")]
-    Impossible,
+    #[error("bytes follow the end of the packet")]
+    TrailingBytes,
+    #[error("packet holds a value out of range")]
+    InvalidValue,
 }
 
 impl Packet {
-    /// Reads one; all that it says is within its bounds.
+    /// Decodes a packet and checks all values against their bounds.
     pub(crate) fn read(body: &[u8]) -> Result<Packet, BadPacket> {
-        if body.len() > MOST_BYTES {
+        if body.len() > MAX_PACKET {
             return Err(BadPacket::TooLong(body.len()));
         }
         let (packet, rest) = postcard::take_from_bytes::<Packet>(body)?;
         if !rest.is_empty() {
-            return Err(BadPacket::Behind);
+            return Err(BadPacket::TrailingBytes);
         }
-        let sound = |u: &Update| {
-            let at = u.at.port() != 0 && !u.at.ip().is_unspecified() && !u.at.ip().is_multicast();
-            let zone = u.zone.len() <= MOST_ZONE && u.zone.bytes().all(|b| b.is_ascii_graphic());
-            at && zone && u.by.len() <= crate::suspicion::MOST_ACCUSERS
+        let is_valid = |u: &Update| {
+            let address = u.at.port() != 0 && !u.at.ip().is_unspecified() && !u.at.ip().is_multicast();
+            let zone = u.zone.len() <= MAX_ZONE && u.zone.bytes().all(|b| b.is_ascii_graphic());
+            address && zone && u.by.len() <= crate::suspicion::MAX_ACCUSERS
         };
-        let own = matches!(packet.from.state, State::Alive | State::Left);
-        let news = packet.news.len() <= MOST_NEWS && packet.news.iter().all(sound);
-        if own && news && sound(&packet.from) { Ok(packet) } else { Err(BadPacket::Impossible) }
+        let own_state = matches!(packet.from.state, State::Alive | State::Left);
+        let news = packet.news.len() <= MAX_UPDATES && packet.news.iter().all(is_valid);
+        if own_state && news && is_valid(&packet.from) { Ok(packet) } else { Err(BadPacket::InvalidValue) }
     }
 
-    /// As bytes.
+    /// Encodes the packet.
     pub(crate) fn write(&self) -> Vec<u8> {
-        // These types have no form that the writer lacks.
+        // Serialization cannot fail: all fields are of types that postcard encodes.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 }
 
-/// Bytes that something takes in a packet.
-pub(crate) fn length(part: &impl Serialize) -> usize {
+/// The number of bytes that a value takes up in a packet.
+pub(crate) fn encoded_len(part: &impl Serialize) -> usize {
     let size = postcard::ser_flavors::Size::default();
-    postcard::serialize_with_flavor(part, size).unwrap_or(MOST_BYTES)
+    postcard::serialize_with_flavor(part, size).unwrap_or(MAX_PACKET)
 }
 
 #[cfg(test)]
@@ -194,32 +197,33 @@
         Update { name, start: u64::MAX, incarnation: 3, state: State::Alive, at, zone, by: vec![7] }
     }
 
-    fn packet(what: What) -> Packet {
+    fn packet(what: Message) -> Packet {
         Packet { from: update("n1"), what, news: vec![update("n2"), update("n3")] }
     }
 
     #[test]
-    fn what_is_written_is_read_and_nothing_else_is() {
+    fn encoded_packets_decode_and_invalid_ones_are_rejected() {
         let all = [
-            What::News,
-            What::Ask { seq: 1, target: "n9".parse().unwrap(), start: 4, at: "[::1]:1".parse().unwrap() },
-            What::Hello { filling: vec![0; 900] },
-            What::Records { wanted: 5 },
+            Message::News,
+            Message::Ask { seq: 1, target: "n9".parse().unwrap(), start: 4, at: "[::1]:1".parse().unwrap() },
+            Message::Hello { filling: vec![0; 900] },
+            Message::Records { wanted: 5 },
         ];
         for what in all {
             let packet = packet(what);
             let body = packet.write();
             assert_eq!(Packet::read(&body).unwrap(), packet);
-            assert_eq!(length(&packet), body.len());
+            assert_eq!(encoded_len(&packet), body.len());
             (0..body.len()).for_each(|cut| assert!(Packet::read(&body[..cut]).is_err(), "cut at {cut}"));
             assert!(Packet::read(&[&body[..], &[0]].concat()).is_err());
         }
-        let mut odd = [packet(What::News), packet(What::News), packet(What::News), packet(What::News)];
-        odd[0].from.state = State::Dead;
-        odd[1].news[0].zone = "z".repeat(33);
-        odd[2].news[0].by = vec![1; 5];
-        odd[3].from.at = "0.0.0.0:5".parse().unwrap();
-        odd.iter().for_each(|odd| assert!(Packet::read(&odd.write()).is_err(), "{odd:?}"));
+        let mut invalid =
+            [packet(Message::News), packet(Message::News), packet(Message::News), packet(Message::News)];
+        invalid[0].from.state = State::Dead;
+        invalid[1].news[0].zone = "z".repeat(33);
+        invalid[2].news[0].by = vec![1; 5];
+        invalid[3].from.at = "0.0.0.0:5".parse().unwrap();
+        invalid.iter().for_each(|packet| assert!(Packet::read(&packet.write()).is_err(), "{packet:?}"));
         assert!(Packet::read(&vec![0; 64 << 10]).is_err());
         for bad in ["", "a b", "\u{e9}", &"n".repeat(65)] {
             assert!(bad.parse::<Name>().is_err(), "{bad}");
@@ -228,13 +232,13 @@
 
     proptest! {
         #[test]
-        fn any_bytes_are_read_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..1500)) {
+        fn decoding_any_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..1500)) {
             let _ = Packet::read(&bytes);
         }
 
         #[test]
-        fn a_flipped_byte_is_read_without_a_panic(at in 0usize..100, to in any::<u8>()) {
-            let mut body = packet(What::Digest { buckets: vec![1; 32] }).write();
+        fn decoding_a_corrupt_packet_does_not_panic(at in 0usize..100, to in any::<u8>()) {
+            let mut body = packet(Message::Digest { buckets: vec![1; 32] }).write();
             let at = at % body.len();
             body[at] = to;
             let _ = Packet::read(&body);
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,255 +1,282 @@
-//! Probes: one member after the other in a shuffled round, others asked where there is no ack, and what follows.
+//! Failure detection: direct probes of one member after the other in a shuffled round, indirect probes
+//! through helpers when an ack is missing, and the handling of packets that arrive.
 
 use crate::Micros;
+use crate::ablation::Ablation;
 use crate::core::{Change, Membership};
-use crate::packet::{Name, Packet, State, Update, What};
-use crate::planted::Planted;
+use crate::packet::{Message, Name, Packet, State, Update};
 use crate::settings::ms;
 use crate::timers::Timer;
 use rand::Rng;
 use rand::seq::SliceRandom;
 use std::net::SocketAddr;
 
-/// What comes for a probe counts for so long: delays of half a second, several times over.
-const OVER: Micros = 5_000_000;
-/// Others are helped with so many probes at a time. Guards against one that asks for many.
-const MOST_HELPS: usize = 256;
-/// About so many members probe a suspect out of turn, whatever the fleet's size: independent accusers, or an
-/// acquittal, come soon.
-const VERIFIERS: f64 = 8.0;
-/// One that speaks by this member's own name is asked whether it lives so often at most.
-const TWIN_EVERY: Micros = 10_000_000;
+/// Answers to a probe are accepted for this long: several times a delay of half a second.
+const PROBE_LIFETIME: Micros = 5_000_000;
+/// Limit of probes relayed for other members at a time, so that a member that asks for many cannot exhaust
+/// memory.
+const MAX_RELAYED_PROBES: usize = 256;
+/// Expected number of members that probe a suspect out of turn, whatever the fleet's size, so that
+/// independent accusers or an answer of the suspect come soon.
+const EXPECTED_VERIFIERS: f64 = 8.0;
+/// Minimum interval between probes of other processes that use this member's name.
+const DUPLICATE_PROBE_INTERVAL: Micros = 10_000_000;
 
-/// What a probe is for.
+/// The purpose of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Kind {
-    /// A verdict.
-    Verdict,
-    /// A dead member may be there again.
-    Call,
-    /// Another process of this member's name may live.
-    Twin,
+pub(crate) enum ProbeKind {
+    /// Failure detection: a probe without an answer accuses its target.
+    Liveness,
+    /// Checks whether a dead member is back.
+    Reconnect,
+    /// Checks whether another process of this member's name is alive.
+    Duplicate,
 }
 
-/// A probe that is out.
+/// A probe in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
     target: Name,
     start: u64,
-    kind: Kind,
-    /// Times that it was sent again.
-    tries: u32,
-    /// Others that were asked.
-    asked: u32,
-    /// Those of them that answered at all.
-    answered: u32,
-    /// One of them heard it.
+    kind: ProbeKind,
+    /// How often it was sent again.
+    retries: u32,
+    /// Helpers asked for an indirect probe.
+    helpers_asked: u32,
+    /// Helpers that answered with a vouch or a nack.
+    helpers_answered: u32,
+    /// A helper reported that the target answered it.
     vouched: bool,
-    /// The time for a verdict is over.
-    late: bool,
+    /// The probe deadline has passed; later answers no longer prevent an accusation.
+    past_deadline: bool,
 }
 
-/// A probe for another member.
+/// A probe that this member sends as helper of another one.
 #[derive(Clone, Debug)]
-pub(crate) struct Help {
+pub(crate) struct RelayedProbe {
     target: Name,
     start: u64,
-    /// Who asked, and by which number.
+    /// The member that asked, and the sequence number of its probe.
     to: Name,
     seq: u64,
 }
 
 impl Membership {
-    /// Probes the next one of the round.
+    /// Probes the next member of the round, and starts a new round after the last.
     pub(crate) fn probe_next(&mut self, now: Micros) {
-        // One that doubts itself asks less often (Lifeguard, IV-A).
-        let wait = self.awareness.stretch(ms(self.settings.probe_every_ms));
-        self.timers.set(now + wait, Timer::Probe);
+        // A bad local health score lengthens the probe interval (Lifeguard, IV-A).
+        let wait = self.awareness.scale(ms(self.settings.probe_every_ms));
+        self.timers.schedule(now + wait, Timer::Probe);
         if self.me.state == State::Left {
             return;
         }
-        for again in [false, true] {
-            if again {
-                let all = self.table.iter().filter(|(_, m)| m.is_in());
-                self.round = all.map(|(_, m)| m.name.clone()).collect();
-                self.round.shuffle(&mut self.rng);
+        for new_round in [false, true] {
+            if new_round {
+                let all = self.table.iter().filter(|(_, m)| m.participates());
+                self.probe_round = all.map(|(_, m)| m.name.clone()).collect();
+                self.probe_round.shuffle(&mut self.rng);
             }
-            while let Some(name) = self.round.pop() {
-                if self.takes_part(&name) {
-                    return self.probe(now, &name, Kind::Verdict);
+            while let Some(name) = self.probe_round.pop() {
+                if self.is_participant(&name) {
+                    return self.probe(now, &name, ProbeKind::Liveness);
                 }
             }
         }
     }
 
-    fn takes_part(&self, name: &Name) -> bool {
-        self.table.named(name).is_some_and(|m| m.is_in())
+    fn is_participant(&self, name: &Name) -> bool {
+        self.table.named(name).is_some_and(|m| m.participates())
     }
 
-    pub(crate) fn probe(&mut self, now: Micros, target: &Name, kind: Kind) {
+    pub(crate) fn probe(&mut self, now: Micros, target: &Name, kind: ProbeKind) {
         let Some(member) = self.table.named(target) else { return };
         let start = member.start;
-        let seq = self.expect(now, target.clone(), start, kind);
-        if kind == Kind::Verdict {
+        let seq = self.register_probe(now, target.clone(), start, kind);
+        if kind == ProbeKind::Liveness {
             let (ack, verdict) = (ms(self.settings.ack_within_ms), ms(self.settings.verdict_within_ms));
-            self.timers.set(now + self.awareness.stretch(ack), Timer::Ack(seq));
-            self.timers.set(now + self.awareness.stretch(verdict), Timer::Verdict(seq));
+            self.timers.schedule(now + self.awareness.scale(ack), Timer::AckTimeout(seq));
+            self.timers.schedule(now + self.awareness.scale(verdict), Timer::ProbeDeadline(seq));
         }
-        self.say(now, target, What::Probe { seq, target: target.clone(), start });
+        self.send_to(now, target, Message::Probe { seq, target: target.clone(), start });
     }
 
-    fn expect(&mut self, now: Micros, target: Name, start: u64, kind: Kind) -> u64 {
+    fn register_probe(&mut self, now: Micros, target: Name, start: u64, kind: ProbeKind) -> u64 {
         let seq = self.rng.random();
-        let probe =
-            Probe { target, start, kind, tries: 0, asked: 0, answered: 0, vouched: false, late: false };
+        let probe = Probe {
+            target,
+            start,
+            kind,
+            retries: 0,
+            helpers_asked: 0,
+            helpers_answered: 0,
+            vouched: false,
+            past_deadline: false,
+        };
         self.probes.insert(seq, probe);
-        self.timers.set(now + self.awareness.stretch(OVER), Timer::Over(seq));
+        self.timers.schedule(now + self.awareness.scale(PROBE_LIFETIME), Timer::ProbeExpired(seq));
         seq
     }
 
-    /// Another process speaks by this member's name, or what it said is played again: it is asked.
-    pub(crate) fn ask_twin(&mut self, now: Micros, at: SocketAddr, start: u64, most: usize) {
-        if now - self.twin_asked < TWIN_EVERY {
+    /// Probes another process that uses this member's name. Its packet may also be a replayed one; only an
+    /// answer proves that the process is alive.
+    pub(crate) fn probe_duplicate(&mut self, now: Micros, at: SocketAddr, start: u64, most: usize) {
+        if now - self.duplicate_probed_at < DUPLICATE_PROBE_INTERVAL {
             return;
         }
-        self.twin_asked = now;
+        self.duplicate_probed_at = now;
         let name = self.me.name.clone();
-        let seq = self.expect(now, name.clone(), start, Kind::Twin);
-        self.send(now, at, What::Probe { seq, target: name, start }, None, most);
+        let seq = self.register_probe(now, name.clone(), start, ProbeKind::Duplicate);
+        self.send(now, at, Message::Probe { seq, target: name, start }, None, most);
     }
 
-    /// No ack in time: it is probed again, by the same number, and others are asked. Guards a fleet whose ways lose: with three
-    /// datagrams in ten lost, one try and three helpers missed one of five members that live.
-    pub(crate) fn no_ack(&mut self, now: Micros, seq: u64) {
-        let wait = self.awareness.stretch(ms(self.settings.ack_within_ms));
-        let Some(probe) = self.probes.get_mut(&seq).filter(|p| !p.vouched && !p.late) else { return };
-        probe.tries += 1;
-        let (target, start, first) = (probe.target.clone(), probe.start, probe.tries == 1);
-        self.timers.set(now + wait, Timer::Ack(seq));
-        self.say(now, &target, What::Probe { seq, target: target.clone(), start });
+    /// Handles a missing ack: sends the probe again under the same number and, the first time, asks helpers
+    /// for an indirect probe. The retries are for lossy networks: with 30% of datagrams lost, one try and
+    /// three helpers missed one in five live members.
+    pub(crate) fn on_ack_timeout(&mut self, now: Micros, seq: u64) {
+        let wait = self.awareness.scale(ms(self.settings.ack_within_ms));
+        let Some(probe) = self.probes.get_mut(&seq).filter(|p| !p.vouched && !p.past_deadline) else {
+            return;
+        };
+        probe.retries += 1;
+        let (target, start, first) = (probe.target.clone(), probe.start, probe.retries == 1);
+        self.timers.schedule(now + wait, Timer::AckTimeout(seq));
+        self.send_to(now, &target, Message::Probe { seq, target: target.clone(), start });
         if !first {
             return;
         }
         let Some(at) = self.table.named(&target).map(|m| m.at) else {
             return;
         };
-        let count = if self.planted == Planted::NoHelpers { 0 } else { self.settings.helpers };
-        let helpers = self.helpers(count as usize, &target);
+        let count = if self.ablation == Ablation::NoIndirectProbes { 0 } else { self.settings.helpers };
+        let helpers = self.random_helpers(count as usize, &target);
         if let Some(probe) = self.probes.get_mut(&seq) {
-            probe.asked = helpers.len() as u32;
+            probe.helpers_asked = helpers.len() as u32;
         }
         for helper in helpers {
-            self.say(now, &helper, What::Ask { seq, target: target.clone(), start, at });
+            self.send_to(now, &helper, Message::Ask { seq, target: target.clone(), start, at });
         }
     }
 
-    /// The time for a verdict is over, and it did not answer this member.
-    pub(crate) fn no_word(&mut self, now: Micros, seq: u64) {
+    /// Handles the probe deadline: the target has not answered this member, which accuses it unless a helper
+    /// vouched for it.
+    pub(crate) fn on_probe_deadline(&mut self, now: Micros, seq: u64) {
         let Some(probe) = self.probes.get_mut(&seq) else { return };
-        probe.late = true;
+        probe.past_deadline = true;
         let (target, start, vouched) = (probe.target.clone(), probe.start, probe.vouched);
-        // Nobody who was asked answered at all: that speaks of this member and not of the one it asked for.
-        let deaf = probe.answered == 0;
-        let Some(place) = self.table.find(&target) else { return };
-        let same = self.table.change(place, |m| {
-            m.times.missed = now;
-            m.start == start && m.is_in()
+        // If no helper answered at all, the cause is more likely this member than the target.
+        let no_helper_answered = probe.helpers_answered == 0;
+        let Some(index) = self.table.find(&target) else { return };
+        let same_start = self.table.change(index, |m| {
+            m.last_heard.missed = now;
+            m.start == start && m.participates()
         });
-        if deaf && !vouched {
-            self.awareness.ill();
+        if no_helper_answered && !vouched {
+            self.awareness.degrade();
         }
-        if same == Some(true) && !vouched && self.convalescent.is_none() {
+        if same_start == Some(true) && !vouched && self.heard_since_stall.is_none() {
             let own = self.me.name.digest();
-            self.accuse(now, place, &[own], false);
+            self.accuse(now, index, &[own], false);
         }
     }
 
-    /// One that was probed for another has not answered. The other hears that it was heard itself (Lifeguard, IV-A).
-    pub(crate) fn no_help(&mut self, now: Micros, seq: u64) {
-        if let Some(Help { target, start, to, seq: theirs }) = self.helps.get(&seq).cloned() {
-            self.say(now, &to, What::Nack { seq: theirs });
-            self.say(now, &target, What::Probe { seq, target: target.clone(), start });
+    /// The target of a relayed probe has not answered yet. A nack tells the member that asked that its
+    /// request at least arrived (Lifeguard, IV-A), and the target is probed once more.
+    pub(crate) fn on_relayed_ack_timeout(&mut self, now: Micros, seq: u64) {
+        if let Some(RelayedProbe { target, start, to, seq: their_seq }) =
+            self.relayed_probes.get(&seq).cloned()
+        {
+            self.send_to(now, &to, Message::Nack { seq: their_seq });
+            self.send_to(now, &target, Message::Probe { seq, target: target.clone(), start });
         }
     }
 
-    /// Some probe a suspect out of turn.
-    pub(crate) fn verify(&mut self, now: Micros, place: usize) {
-        let part = VERIFIERS / self.table.inside().max(1) as f64;
-        if self.me.state != State::Left && self.rng.random_bool(part.min(1.0)) {
-            let Some(name) = self.table.get(place).map(|m| m.name.clone()) else { return };
-            self.probe(now, &name, Kind::Verdict);
+    /// Probes a new suspect out of turn, with a probability that makes about [`EXPECTED_VERIFIERS`] members
+    /// do so.
+    pub(crate) fn verify_suspect(&mut self, now: Micros, index: usize) {
+        let share = EXPECTED_VERIFIERS / self.table.participants().max(1) as f64;
+        if self.me.state != State::Left && self.rng.random_bool(share.min(1.0)) {
+            let Some(name) = self.table.get(index).map(|m| m.name.clone()) else { return };
+            self.probe(now, &name, ProbeKind::Liveness);
         }
     }
 
-    // ---- What comes -------------------------------------------------------------------------------------
+    // ---- Packets that arrive ----
 
-    /// A packet has come.
-    pub(crate) fn heard(&mut self, now: Micros, from: SocketAddr, packet: Packet, bytes: usize) {
+    /// Handles a packet of `bytes` bytes that arrived from the address `from`.
+    pub(crate) fn on_packet(&mut self, now: Micros, from: SocketAddr, packet: Packet, bytes: usize) {
         let Packet { from: sender, what, news } = packet;
-        let own = sender.name == self.me.name;
-        if own && sender.start == self.me.start {
+        let own_name = sender.name == self.me.name;
+        if own_name && sender.start == self.me.start {
             return;
         }
-        if own && sender.start < self.me.start && !matches!(what, What::Ack { .. }) {
-            self.ask_twin(now, from, sender.start, bytes);
+        if own_name && sender.start < self.me.start && !matches!(what, Message::Ack { .. }) {
+            self.probe_duplicate(now, from, sender.start, bytes);
         }
         self.merge(now, sender.clone());
-        // One that has been replaced by a later process of its name says nothing that counts of others.
-        let place = self
+        // Updates from a process that a later one of its name has replaced are ignored.
+        let index = self
             .table
             .find(&sender.name)
-            .filter(|place| self.table.get(*place).is_some_and(|m| m.start == sender.start));
-        if let Some(place) = place {
-            self.joined.get_or_insert(now);
-            self.table.change(place, |m| m.times.from = now);
+            .filter(|index| self.table.get(*index).is_some_and(|m| m.start == sender.start));
+        if let Some(index) = index {
+            self.joined_at.get_or_insert(now);
+            self.table.change(index, |m| m.last_heard.datagram = now);
         }
-        if place.is_none() && !own {
-            self.tell_of_later(now, from, &sender, bytes);
+        if index.is_none() && !own_name {
+            self.send_later(now, from, &sender, bytes);
         }
-        if place.is_some() || own {
+        if index.is_some() || own_name {
             news.into_iter().for_each(|update| self.merge(now, update));
         }
-        let member = place.and_then(|place| self.table.get(place)).is_some_and(|m| m.is_in());
+        let member = index.and_then(|index| self.table.get(index)).is_some_and(|m| m.participates());
         match what {
-            What::News => {}
-            What::Probe { seq, target, start } => {
+            Message::News => {}
+            Message::Probe { seq, target, start } => {
                 if target == self.me.name {
                     if start > self.me.start {
-                        self.later(now, start, None, false);
+                        self.on_later_start(now, start, None, false);
                     }
-                    self.answer(now, member, &sender.name, from, bytes, What::Ack { seq });
+                    self.reply(now, member, &sender.name, from, bytes, Message::Ack { seq });
                 }
             }
-            What::Ack { seq } => self.acked(now, seq, &sender, from),
-            What::Ask { seq, target, start, .. } if member => {
-                self.help(now, &sender.name, seq, target, start)
+            Message::Ack { seq } => self.on_ack(now, seq, &sender, from),
+            Message::Ask { seq, target, start, .. } if member => {
+                self.relay_probe(now, &sender.name, seq, target, start)
             }
-            What::Ask { .. } => {}
-            What::Vouch { seq } => {
+            Message::Ask { .. } => {}
+            Message::Vouch { seq } => {
                 if let Some(probe) = self.probes.get_mut(&seq) {
-                    (probe.vouched, probe.answered) = (true, probe.answered + 1);
-                    let (target, late) = (probe.target.clone(), probe.late);
-                    self.vouched(now, &target, late);
+                    (probe.vouched, probe.helpers_answered) = (true, probe.helpers_answered + 1);
+                    let (target, late) = (probe.target.clone(), probe.past_deadline);
+                    self.on_vouch(now, &target, late);
                 }
             }
-            What::Nack { seq } => {
+            Message::Nack { seq } => {
                 if let Some(probe) = self.probes.get_mut(&seq) {
-                    probe.answered += 1;
+                    probe.helpers_answered += 1;
                 }
             }
-            What::Later { start, at } => self.later(now, start, Some(at), false),
-            What::Hello { .. } => self.welcome(now, from, bytes),
-            What::Digest { buckets } if member => self.compare(now, &sender.name, &buckets),
-            What::Records { wanted } if member => self.records(now, &sender.name, wanted, 0),
-            What::Digest { .. } | What::Records { .. } => {}
+            Message::Later { start, at } => self.on_later_start(now, start, Some(at), false),
+            Message::Hello { .. } => self.answer_hello(now, from, bytes),
+            Message::Digest { buckets } if member => self.on_digest(now, &sender.name, &buckets),
+            Message::Records { wanted } if member => self.send_bucket_records(now, &sender.name, wanted, 0),
+            Message::Digest { .. } | Message::Records { .. } => {}
         }
     }
 
-    /// Answers a member where it is known to be, and anybody else where that came from, with no more bytes than it sent:
-    /// the address may be another's.
-    fn answer(&mut self, now: Micros, member: bool, name: &Name, from: SocketAddr, bytes: usize, what: What) {
+    /// Answers a member at the address known for it, and any other sender at the packet's source address with
+    /// no more bytes than it sent: a source address can be forged, and must not be used for amplification.
+    fn reply(
+        &mut self,
+        now: Micros,
+        member: bool,
+        name: &Name,
+        from: SocketAddr,
+        bytes: usize,
+        what: Message,
+    ) {
         if member {
-            return self.say(now, name, what);
+            return self.send_to(now, name, what);
         }
         let about = self.table.named(name).map(|m| m.update());
         let packet = Packet { from: self.me.clone(), what, news: about.into_iter().collect() };
@@ -259,77 +286,82 @@
         }
     }
 
-    /// One spoke whose name a later process bears: it hears of that.
-    fn tell_of_later(&mut self, now: Micros, from: SocketAddr, sender: &Update, bytes: usize) {
-        let later = self.table.named(&sender.name).filter(|m| m.is_in());
-        if let Some((start, at)) = later.map(|m| (m.start, m.at)) {
-            self.send(now, from, What::Later { start, at }, None, bytes);
+    /// Informs the sender that a later process of its name is known.
+    fn send_later(&mut self, now: Micros, from: SocketAddr, sender: &Update, bytes: usize) {
+        let successor = self.table.named(&sender.name).filter(|m| m.participates());
+        if let Some((start, at)) = successor.map(|m| (m.start, m.at)) {
+            self.send(now, from, Message::Later { start, at }, None, bytes);
         }
     }
 
-    fn acked(&mut self, now: Micros, seq: u64, sender: &Update, from: SocketAddr) {
-        if let Some(help) = self.helps.get(&seq)
+    fn on_ack(&mut self, now: Micros, seq: u64, sender: &Update, from: SocketAddr) {
+        if let Some(help) = self.relayed_probes.get(&seq)
             && help.target == sender.name
             && sender.start >= help.start
         {
-            let (to, theirs) = (help.to.clone(), help.seq);
-            self.helps.remove(&seq);
-            self.answered(now, sender);
-            return self.say(now, &to, What::Vouch { seq: theirs });
+            let (to, their_seq) = (help.to.clone(), help.seq);
+            self.relayed_probes.remove(&seq);
+            self.record_answer(now, sender);
+            return self.send_to(now, &to, Message::Vouch { seq: their_seq });
         }
         let Some(probe) = self.probes.get(&seq) else { return };
-        // An earlier process at that address is not the one that was asked for.
+        // An ack by an earlier process of the target's name, at the address probed, is ignored.
         if probe.target != sender.name || sender.start < probe.start {
             return;
         }
-        let (kind, late, asked) = (probe.kind, probe.late, probe.tries > 0);
+        let (kind, late, retried) = (probe.kind, probe.past_deadline, probe.retries > 0);
         self.probes.remove(&seq);
-        if kind == Kind::Twin {
-            // A later one that this one asked has heard of it by that.
+        if kind == ProbeKind::Duplicate {
+            // If the answering process is the later one, it knows about this process by the probe itself.
             if sender.start < self.me.start {
-                self.tell(Change::Twin(from));
+                self.emit(Change::DuplicateName(from));
             }
             return;
         }
-        self.answered(now, sender);
+        self.record_answer(now, sender);
         match kind {
-            // It was away, and so perhaps were others with it.
-            Kind::Call => self.compare_with(now, &sender.name),
-            _ if late => self.vouched(now, &sender.name, true),
-            _ if !asked => self.awareness.well(),
+            // The target was unreachable, and its view may be out of date: a push-pull exchange follows.
+            ProbeKind::Reconnect => self.send_digest(now, &sender.name),
+            _ if late => self.on_vouch(now, &sender.name, true),
+            _ if !retried => self.awareness.improve(),
             _ => {}
         }
     }
 
-    /// A member itself has answered.
-    fn answered(&mut self, now: Micros, sender: &Update) {
-        if let Some(place) = self.table.find(&sender.name) {
-            self.table.change(place, |m| m.times.direct = now);
+    /// Records that a member answered this member's own probe.
+    fn record_answer(&mut self, now: Micros, sender: &Update) {
+        if let Some(index) = self.table.find(&sender.name) {
+            self.table.change(index, |m| m.last_heard.direct = now);
         }
-        self.recovers(&sender.name);
+        self.record_answer_after_stall(&sender.name);
     }
 
-    /// Something was heard of a member that is perhaps suspect here by now: its time begins again.
-    fn vouched(&mut self, now: Micros, target: &Name, late: bool) {
-        let Some(place) = self.table.find(target) else { return };
-        self.table.change(place, |m| m.times.through = now);
-        if late && self.table.get(place).is_some_and(|m| m.suspicion.is_some()) {
-            self.table.change(place, |m| m.suspicion.iter_mut().for_each(|s| s.heard(now)));
-            self.time_suspect(place, now);
+    /// Records that a helper reached the target. If the probe deadline has passed, a suspicion of the target
+    /// starts anew.
+    fn on_vouch(&mut self, now: Micros, target: &Name, late: bool) {
+        let Some(index) = self.table.find(target) else { return };
+        self.table.change(index, |m| m.last_heard.indirect = now);
+        if late && self.table.get(index).is_some_and(|m| m.suspicion.is_some()) {
+            self.table.change(index, |m| m.suspicion.iter_mut().for_each(|s| s.sign_of_life(now)));
+            self.schedule_suspicion_check(index, now);
         }
     }
 
-    /// Probes a member for another one.
-    fn help(&mut self, now: Micros, to: &Name, theirs: u64, target: Name, start: u64) {
-        // Only such as are known here, where they are known to be: nobody is led to send to a stranger.
-        if self.helps.len() >= MOST_HELPS || self.table.find(&target).is_none() {
+    /// Probes `target` as helper of the member `to`.
+    fn relay_probe(&mut self, now: Micros, to: &Name, their_seq: u64, target: Name, start: u64) {
+        // Only known members are probed, at the address known here, so that nobody can make this member send
+        // to an arbitrary address.
+        if self.relayed_probes.len() >= MAX_RELAYED_PROBES || self.table.find(&target).is_none() {
             return;
         }
         let seq = self.rng.random();
-        let help = Help { target: target.clone(), start, to: to.clone(), seq: theirs };
-        self.helps.insert(seq, help);
-        self.timers.set(now + self.awareness.stretch(ms(self.settings.ack_within_ms)), Timer::Help(seq));
-        self.timers.set(now + OVER, Timer::Over(seq));
-        self.say(now, &target, What::Probe { seq, target: target.clone(), start });
+        let help = RelayedProbe { target: target.clone(), start, to: to.clone(), seq: their_seq };
+        self.relayed_probes.insert(seq, help);
+        self.timers.schedule(
+            now + self.awareness.scale(ms(self.settings.ack_within_ms)),
+            Timer::RelayedAckTimeout(seq),
+        );
+        self.timers.schedule(now + PROBE_LIFETIME, Timer::ProbeExpired(seq));
+        self.send_to(now, &target, Message::Probe { seq, target: target.clone(), start });
     }
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,60 +1,71 @@
-//! Every timer and number of the protocol, with its reason. The operators' `[fleet.timing]` has the same keys.
+//! The timers and limits of the protocol, with the reasons for their defaults. The operators'
+//! `[fleet.timing]` has the same keys.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A setting that cannot be meant.
+/// A setting that is out of range or contradicts another one.
 #[derive(Debug, Error, PartialEq)]
 #[error("{key}: {what}")]
 pub struct SettingsError {
-    /// The key.
+    /// The key of the setting.
     pub key: &'static str,
-    /// What is wrong.
+    /// What is wrong with its value.
     pub what: String,
 }
 
-/// How a member goes about finding out who lives. All times are in ms.
+/// Settings of the protocol. All times are in ms unless the name says otherwise.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// One member is probed so often. Default 300: with 300 members one that has died is probed by somebody within
-    /// 1.4 s in 99 of 100 cases (SWIM 3.1), which leaves time for suspicion within 4 s.
+    /// Interval between probes, each of another member. Default 300: with 300 members, one that has died is
+    /// probed by some member within 1.4 s in 99 of 100 cases (SWIM 3.1), which leaves time for the suspicion
+    /// within 4 s.
     pub probe_every_ms: u32,
-    /// Without an ack by then, others are asked to probe it. Default 150: several times a round trip within a site.
+    /// Time without an ack after which helpers are asked for an indirect probe. Default 150: several times a
+    /// round trip within a site.
     pub ack_within_ms: u32,
-    /// Without an ack or a word of others by then, it is suspect. Default 450.
+    /// Time after which a probed member becomes suspect, if neither it nor a helper has reported success.
+    /// Default 450.
     pub verdict_within_ms: u32,
-    /// So many others are asked (SWIM 3.1, k). Default 3: with a tenth of datagrams lost, 1 in 100,000 asks fail.
+    /// Number of helpers asked for an indirect probe (SWIM 3.1, k). Default 3: with a tenth of datagrams
+    /// lost, 1 in 100,000 asks fail.
     pub helpers: u32,
-    /// Changes are passed on so often while there are any. Default 150.
+    /// Interval between gossip rounds while there are updates to send. Default 150.
     pub gossip_every_ms: u32,
-    /// To so many members at a time. Default 3.
+    /// Number of members that a gossip round sends to. Default 3.
     pub fanout: u32,
-    /// Times that a change is passed on, for each power of ten of members (SWIM 4.1, lambda). Default 4.
+    /// How often an update is sent for each power of ten in the number of members (SWIM 4.1, lambda). Default
+    /// 4.
     pub repeats: u32,
-    /// A suspect that enough members accuse has at least this long to say that it lives. Default 1500: three
-    /// times a pause of 500 ms, so that one that stood still when it was accused, and once more, is in time.
+    /// Minimum suspicion timeout, for a suspect with enough accusers. Default 1500: three times a pause of
+    /// 500 ms, so that a member that stalled when it was accused, and once more after that, can still refute
+    /// in time.
     pub suspect_least_ms: u32,
-    /// One that a single member accuses has this long (Lifeguard, IV-B). Default 6000.
+    /// Maximum suspicion timeout, for a suspect with a single accuser (Lifeguard, IV-B). Default 6000.
     pub suspect_most_ms: u32,
-    /// Accusers beyond the first after which the least time holds (Lifeguard, K). Default 3.
+    /// Number of accusers after the first that shorten the suspicion timeout to its minimum (Lifeguard, K).
+    /// Default 3.
     pub confirmations: u32,
-    /// How far a member doubts itself at most: its times are up to so many times longer (Lifeguard, S). Default 8.
+    /// Maximum factor by which a bad local health score lengthens a member's own timeouts and intervals
+    /// (Lifeguard, S). Default 8.
     pub doubt_most: u32,
-    /// A member that is called so late has stood still, and passes no verdict on what ran out meanwhile. Default 150.
+    /// A member called this much later than due counts as stalled, and draws no conclusions from timeouts
+    /// that passed meanwhile. Default 150.
     pub still_ms: u32,
-    /// All that is known is compared with one other member so often. Default 10,000.
+    /// Mean interval between push-pull exchanges with one other member. Default 10,000.
     pub exchange_every_ms: u32,
-    /// A dead member, or a seed that is no member, is called again after this long, then after twice that, ... Default
-    /// 2000.
+    /// Delay before a dead member, or a seed that is not a member, is contacted again. It doubles with each
+    /// attempt. Default 2000.
     pub call_after_ms: u32,
-    /// ... up to this long. Default 60,000.
+    /// Maximum of that delay. Default 60,000.
     pub call_most_ms: u32,
-    /// A member that is dead or has left is kept in mind for so many seconds, so that nothing old brings it back.
+    /// How long a dead or left member is remembered, in seconds, so that old updates cannot revive it.
     /// Default 86,400.
     pub forget_s: u32,
-    /// Bytes that are sent in a second at the most, whatever others send. Default 262,144; twice that at once.
+    /// Maximum number of bytes sent per second, whatever others send. Default 262,144. A burst may take twice
+    /// that.
     pub bytes_per_s: u32,
 }
 
@@ -83,10 +94,10 @@
 }
 
 impl Settings {
-    /// Refuses the first value that is out of range or contradicts another.
+    /// Checks all values. Returns the first one that is out of range or contradicts another.
     ///
     /// # Errors
-    /// The key in question, and what is wrong.
+    /// The key of that setting, and what is wrong with it.
     pub fn check(&self) -> Result<(), SettingsError> {
         for (key, value, least, most) in [
             ("probe_every_ms", self.probe_every_ms, 20, 60_000),
@@ -125,7 +136,7 @@
     }
 }
 
-/// A time of the settings in microseconds.
+/// Converts milliseconds of the settings to microseconds.
 pub(crate) fn ms(time: u32) -> Micros {
     Micros::from(time) * 1000
 }
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,38 +1,38 @@
-//! How long a suspect has to say that it lives: less as independent members accuse it (Lifeguard, IV-B).
+//! How long a suspect has to refute a suspicion. Independent accusers shorten the timeout (Lifeguard, IV-B).
 
 use crate::Micros;
 
-/// Accusers that are told apart; beyond them none changes anything.
-pub(crate) const MOST_ACCUSERS: usize = 4;
+/// Maximum number of accusers that are recorded; further ones have no effect.
+pub(crate) const MAX_ACCUSERS: usize = 4;
 
-/// A suspicion of one member in one incarnation.
+/// The suspicion of a member in one of its incarnations.
 #[derive(Clone, Debug)]
 pub(crate) struct Suspicion {
-    /// When it began here.
+    /// When the timeout started at this member.
     pub(crate) since: Micros,
-    /// Who accuses: digests of names, each once.
+    /// The accusers, as digests of their names, without duplicates.
     accusers: Vec<u32>,
-    /// Others hold it for dead already.
-    pub(crate) told_dead: bool,
+    /// Other members have already declared the suspect dead.
+    pub(crate) reported_dead: bool,
 }
 
-/// The times that bound it.
+/// Bounds of the suspicion timeout.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Bounds {
-    pub(crate) least: Micros,
-    pub(crate) most: Micros,
-    /// Accusers beyond the first after which the least time holds.
+    pub(crate) min: Micros,
+    pub(crate) max: Micros,
+    /// Accusers after the first that shorten the timeout to its minimum.
     pub(crate) confirmations: u32,
 }
 
 impl Suspicion {
     pub(crate) fn new(since: Micros) -> Suspicion {
-        Suspicion { since, accusers: Vec::new(), told_dead: false }
+        Suspicion { since, accusers: Vec::new(), reported_dead: false }
     }
 
-    /// Somebody accuses it; false if that was known, or enough do.
+    /// Adds an accuser. Returns false if it is already recorded or the list is full.
     pub(crate) fn accuse(&mut self, by: u32) -> bool {
-        let new = self.accusers.len() < MOST_ACCUSERS && !self.accusers.contains(&by);
+        let new = self.accusers.len() < MAX_ACCUSERS && !self.accusers.contains(&by);
         if new {
             self.accusers.push(by);
         }
@@ -43,28 +43,29 @@
         &self.accusers
     }
 
-    /// It begins again: this member stood still. What others hold it for stands, who did not: only its saying that it
-    /// lives may still wait to be read here.
-    pub(crate) fn again(&mut self, now: Micros, bounds: Bounds) {
-        self.since = if self.told_dead { self.since.max(now - bounds.least / 2) } else { now };
+    /// Restarts the timeout after a stall of this member, during which a refutation may have arrived unread.
+    /// Members that did not stall and report the suspect dead are still relied on: at least half of the
+    /// minimum timeout remains then.
+    pub(crate) fn restart_after_stall(&mut self, now: Micros, bounds: Bounds) {
+        self.since = if self.reported_dead { self.since.max(now - bounds.min / 2) } else { now };
     }
 
-    /// It begins again: something was heard of the suspect.
-    pub(crate) fn heard(&mut self, now: Micros) {
-        (self.since, self.told_dead) = (now, false);
+    /// Restarts the timeout, since the suspect has been heard from.
+    pub(crate) fn sign_of_life(&mut self, now: Micros) {
+        (self.since, self.reported_dead) = (now, false);
     }
 
-    /// When its time is over, as things are.
-    pub(crate) fn until(&self, bounds: Bounds) -> Micros {
-        if self.told_dead {
-            // Nobody goes from alive to dead here without the least time in which it may be heard: a half that was cut
-            // off, or a member that hears nothing, holds others for dead that live.
-            return self.since + bounds.least;
+    /// When the suspicion times out, as far as is known now.
+    pub(crate) fn deadline(&self, bounds: Bounds) -> Micros {
+        if self.reported_dead {
+            // A reported death still leaves the suspect the minimum timeout to be heard here: a partition, or
+            // a member that receives nothing, reports live members as dead.
+            return self.since + bounds.min;
         }
         let confirmed = self.accusers.len().saturating_sub(1) as f64;
-        let shorter = (confirmed + 1.0).ln() / (f64::from(bounds.confirmations) + 1.0).ln();
-        let span = (bounds.most - bounds.least) as f64;
-        self.since + (bounds.most - (span * shorter) as Micros).max(bounds.least)
+        let reduction = (confirmed + 1.0).ln() / (f64::from(bounds.confirmations) + 1.0).ln();
+        let span = (bounds.max - bounds.min) as f64;
+        self.since + (bounds.max - (span * reduction) as Micros).max(bounds.min)
     }
 }
 
@@ -72,33 +73,33 @@
 mod tests {
     use super::*;
 
-    const BOUNDS: Bounds = Bounds { least: 1000, most: 9000, confirmations: 3 };
+    const BOUNDS: Bounds = Bounds { min: 1000, max: 9000, confirmations: 3 };
 
     #[test]
-    fn each_independent_accuser_shortens_it_and_the_same_one_twice_does_not() {
+    fn independent_accusers_shorten_the_timeout_and_repeated_ones_do_not() {
         let mut suspicion = Suspicion::new(500);
         assert!(suspicion.accuse(1));
-        assert_eq!(suspicion.until(BOUNDS), 9500);
+        assert_eq!(suspicion.deadline(BOUNDS), 9500);
         assert!(!suspicion.accuse(1));
-        assert_eq!(suspicion.until(BOUNDS), 9500);
+        assert_eq!(suspicion.deadline(BOUNDS), 9500);
         let mut last = 9500;
         for by in [2, 3, 4] {
             assert!(suspicion.accuse(by));
-            assert!(suspicion.until(BOUNDS) < last);
-            last = suspicion.until(BOUNDS);
+            assert!(suspicion.deadline(BOUNDS) < last);
+            last = suspicion.deadline(BOUNDS);
         }
         assert_eq!(last, 1500);
-        assert!(!suspicion.accuse(5), "enough do");
+        assert!(!suspicion.accuse(5), "at the limit of accusers");
     }
 
     #[test]
-    fn one_that_others_hold_for_dead_has_the_least_time_all_the_same() {
+    fn reported_dead_suspect_still_gets_the_minimum_timeout() {
         let mut suspicion = Suspicion::new(500);
-        suspicion.told_dead = true;
-        assert_eq!(suspicion.until(BOUNDS), 1500);
-        suspicion.again(2000, BOUNDS);
-        assert_eq!(suspicion.until(BOUNDS), 2500);
-        suspicion.heard(2000);
-        assert_eq!(suspicion.until(BOUNDS), 11_000);
+        suspicion.reported_dead = true;
+        assert_eq!(suspicion.deadline(BOUNDS), 1500);
+        suspicion.restart_after_stall(2000, BOUNDS);
+        assert_eq!(suspicion.deadline(BOUNDS), 2500);
+        suspicion.sign_of_life(2000);
+        assert_eq!(suspicion.deadline(BOUNDS), 11_000);
     }
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,37 +1,37 @@
-//! What is known of members: one record each, in a bounded table.
+//! The table of known members: bounded, with one record for each.
 
 use crate::Micros;
-use crate::heard::{Heard, Times};
 use crate::packet::{Name, State, Update};
+use crate::reachability::{LastHeard, Reachability};
 use crate::suspicion::Suspicion;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Members that are known at a time. Guards memory against a sender that makes names up: a record takes about 300
-/// bytes.
-pub(crate) const MOST_MEMBERS: usize = 4096;
+/// Maximum number of known members. Without a limit, a sender that makes up names could exhaust memory; a
+/// record takes about 300 bytes.
+pub(crate) const MAX_MEMBERS: usize = 4096;
 
-/// A member as it is known here.
+/// A member as this one sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct View {
     /// Its name.
     pub name: Name,
-    /// Where it is reached.
+    /// The address at which it is reached.
     pub address: SocketAddr,
-    /// Its zone; empty where it names none.
+    /// Its zone; empty if it has none.
     pub zone: String,
-    /// What it is held to be.
+    /// The state in which it is seen.
     pub state: State,
-    /// Since when, on this member's clock (microseconds).
+    /// When it entered that state, on this member's clock (µs).
     pub since: Micros,
-    /// Which process of that name it is.
+    /// Identifies the process among those that bore the name; a later process has a greater start.
     pub start: u64,
-    /// How often it has said again that it lives.
+    /// Version of its own updates within this start; only the member itself raises it.
     pub incarnation: u64,
-    /// How it is heard here.
-    pub heard: Heard,
-    /// How many members accuse it, if it is suspect.
+    /// How this member reaches it.
+    pub heard: Reachability,
+    /// Number of members that accuse it, if it is suspect.
     pub accusers: usize,
 }
 
@@ -45,19 +45,30 @@
     pub(crate) zone: String,
     pub(crate) since: Micros,
     pub(crate) suspicion: Option<Suspicion>,
-    pub(crate) times: Times,
-    /// A dead one is called again then, and after so long.
-    pub(crate) call: (Micros, Micros),
+    pub(crate) last_heard: LastHeard,
+    /// For a dead member: when it is probed next, and the current backoff.
+    pub(crate) reconnect: (Micros, Micros),
 }
 
 impl Member {
     pub(crate) fn new(update: Update, now: Micros) -> Member {
         let Update { name, start, incarnation, state, at, zone, .. } = update;
-        let (times, call) = (Times::default(), (now, 0));
-        Member { name, start, incarnation, state, at, zone, since: now, suspicion: None, times, call }
+        let (last_heard, reconnect) = (LastHeard::default(), (now, 0));
+        Member {
+            name,
+            start,
+            incarnation,
+            state,
+            at,
+            zone,
+            since: now,
+            suspicion: None,
+            last_heard,
+            reconnect,
+        }
     }
 
-    /// The word on it that is passed on.
+    /// The update on this member that is sent to others.
     pub(crate) fn update(&self) -> Update {
         Update {
             name: self.name.clone(),
@@ -70,12 +81,12 @@
         }
     }
 
-    /// It takes part: it is probed, and told what is new.
-    pub(crate) fn is_in(&self) -> bool {
+    /// Whether it takes part in the protocol: it is probed, and receives gossip.
+    pub(crate) fn participates(&self) -> bool {
         matches!(self.state, State::Alive | State::Suspect)
     }
 
-    pub(crate) fn view(&self, heard: Heard) -> View {
+    pub(crate) fn view(&self, heard: Reachability) -> View {
         View {
             name: self.name.clone(),
             address: self.at,
@@ -90,13 +101,13 @@
     }
 }
 
-/// All members but the one whose table it is.
+/// All known members except the owner of the table.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Table {
     all: Vec<Member>,
     by_name: FxHashMap<Name, usize>,
-    /// Members that take part.
-    inside: usize,
+    /// Number of members that take part (alive or suspect).
+    participants: usize,
 }
 
 impl Table {
@@ -104,34 +115,34 @@
         self.by_name.get(name).copied()
     }
 
-    pub(crate) fn get(&self, place: usize) -> Option<&Member> {
-        self.all.get(place)
+    pub(crate) fn get(&self, index: usize) -> Option<&Member> {
+        self.all.get(index)
     }
 
-    /// The member of that name.
+    /// The member with this name.
     pub(crate) fn named(&self, name: &Name) -> Option<&Member> {
         self.get(self.find(name)?)
     }
 
-    /// Changes a member; the count of those that take part follows.
-    pub(crate) fn change<T>(&mut self, place: usize, with: impl FnOnce(&mut Member) -> T) -> Option<T> {
-        let member = self.all.get_mut(place)?;
-        self.inside -= usize::from(member.is_in());
+    /// Changes a member, and keeps the count of participants up to date.
+    pub(crate) fn change<T>(&mut self, index: usize, with: impl FnOnce(&mut Member) -> T) -> Option<T> {
+        let member = self.all.get_mut(index)?;
+        self.participants -= usize::from(member.participates());
         let done = with(member);
-        self.inside += usize::from(member.is_in());
+        self.participants += usize::from(member.participates());
         Some(done)
     }
 
-    /// Takes a new one; none if the table is full.
+    /// Adds a member and returns its index, or `None` if the table is full.
     pub(crate) fn add(&mut self, member: Member) -> Option<usize> {
-        if self.all.len() >= MOST_MEMBERS {
+        if self.all.len() >= MAX_MEMBERS {
             return None;
         }
-        let place = self.all.len();
-        self.inside += usize::from(member.is_in());
-        self.by_name.insert(member.name.clone(), place);
+        let index = self.all.len();
+        self.participants += usize::from(member.participates());
+        self.by_name.insert(member.name.clone(), index);
         self.all.push(member);
-        Some(place)
+        Some(index)
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = (usize, &Member)> {
@@ -142,26 +153,29 @@
         self.all.len()
     }
 
-    /// How many take part.
-    pub(crate) fn inside(&self) -> usize {
-        self.inside
+    /// Number of members that take part (alive or suspect).
+    pub(crate) fn participants(&self) -> usize {
+        self.participants
     }
 
-    /// Takes members out; gives their names, and where each of the others is now.
-    pub(crate) fn remove(&mut self, goes: impl Fn(&Member) -> bool) -> (Vec<Name>, Vec<Option<usize>>) {
-        let (mut gone, mut places, mut stay) = (Vec::new(), Vec::new(), Vec::new());
+    /// Removes members. Returns their names, and for each old index the new one.
+    pub(crate) fn remove(
+        &mut self,
+        should_remove: impl Fn(&Member) -> bool,
+    ) -> (Vec<Name>, Vec<Option<usize>>) {
+        let (mut removed, mut new_indices, mut kept) = (Vec::new(), Vec::new(), Vec::new());
         for member in self.all.drain(..) {
-            if goes(&member) {
-                places.push(None);
-                gone.push(member.name);
+            if should_remove(&member) {
+                new_indices.push(None);
+                removed.push(member.name);
             } else {
-                places.push(Some(stay.len()));
-                stay.push(member);
+                new_indices.push(Some(kept.len()));
+                kept.push(member);
             }
         }
-        self.all = stay;
-        self.inside = self.all.iter().filter(|m| m.is_in()).count();
-        self.by_name = self.all.iter().enumerate().map(|(place, m)| (m.name.clone(), place)).collect();
-        (gone, places)
+        self.all = kept;
+        self.participants = self.all.iter().filter(|m| m.participates()).count();
+        self.by_name = self.all.iter().enumerate().map(|(index, m)| (m.name.clone(), index)).collect();
+        (removed, new_indices)
     }
 }
--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -1,34 +1,34 @@
-//! One sorted structure of what is due when.
+//! All timers of a member, sorted by due time.
 
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// What is due.
+/// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// The next member is probed.
+    /// Probe the next member.
     Probe,
-    /// Changes are passed on.
+    /// Gossip the queued updates.
     Gossip,
-    /// All is compared with another member.
-    Exchange,
-    /// A dead member, or a seed, is called.
-    Call,
-    /// A probe has no ack yet.
-    Ack(u64),
-    /// It has neither an ack nor a word of others.
-    Verdict(u64),
-    /// Nothing counts any more that comes for it.
-    Over(u64),
-    /// A probe for another member has no ack.
-    Help(u64),
-    /// A suspect's time may be over.
-    Suspect(usize),
-    /// Dead members may be forgotten.
+    /// Start a push-pull exchange with another member.
+    PushPull,
+    /// Probe a dead member and call a seed.
+    Reconnect,
+    /// No ack for the probe with this number yet.
+    AckTimeout(u64),
+    /// The deadline of the probe: neither the target nor a helper has reported success.
+    ProbeDeadline(u64),
+    /// From here on, answers to the probe are ignored.
+    ProbeExpired(u64),
+    /// No ack yet for a probe relayed for another member.
+    RelayedAckTimeout(u64),
+    /// The suspicion of the member at this index may have timed out.
+    Suspicion(usize),
+    /// Remove members that have been dead or left for long enough.
     Forget,
 }
 
-/// What is due, by time and then in the order in which it was set.
+/// The timers by due time; those of the same time in the order in which they were scheduled.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Timers {
     all: BTreeMap<(Micros, u64), Timer>,
@@ -36,22 +36,22 @@
 }
 
 impl Timers {
-    pub(crate) fn set(&mut self, at: Micros, timer: Timer) {
+    pub(crate) fn schedule(&mut self, at: Micros, timer: Timer) {
         self.next += 1;
         self.all.insert((at, self.next), timer);
     }
 
-    pub(crate) fn first(&self) -> Option<Micros> {
+    pub(crate) fn next_due(&self) -> Option<Micros> {
         self.all.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// The first that is due.
-    pub(crate) fn pop(&mut self, now: Micros) -> Option<Timer> {
+    /// Removes the first timer that is due.
+    pub(crate) fn pop_due(&mut self, now: Micros) -> Option<Timer> {
         let first = self.all.first_entry().filter(|first| first.key().0 <= now)?;
         Some(first.remove())
     }
 
-    /// Takes away what is no longer meant.
+    /// Drops the timers for which `keep` returns false.
     pub(crate) fn retain(&mut self, mut keep: impl FnMut(&mut Timer) -> bool) {
         self.all.retain(|_, timer| keep(timer));
     }
--- a/crates/membership/tests/fleet/main.rs
+++ b/crates/membership/tests/fleet/main.rs
@@ -1,16 +1,16 @@
 //! The core on a virtual clock, with each fault that it is for.
 
-mod planted;
+mod ablation;
 mod table;
 mod world;
 
-use lapisrudder_membership::{Change, Heard, Inherited, Membership, Settings, State};
+use lapisrudder_membership::{Change, Inherited, Membership, Reachability, Settings, State};
 use rand::Rng;
 use rand::seq::IndexedRandom;
-use world::{MS, S, Way, World, name};
+use world::{Link, MS, S, World, name};
 
 fn no_false(world: &World) {
-    assert_eq!(world.broken, [] as [String; 0]);
+    assert_eq!(world.violations, [] as [String; 0]);
     assert_eq!(world.false_dead, [], "verdicts on such as live");
 }
 
@@ -22,10 +22,10 @@
         world.run(S);
         world.kill(4);
         world.kill(3);
-        let known = world.until(10 * S, |w| w.all_hold(3, State::Dead)).expect("dead");
+        let known = world.run_until(10 * S, |w| w.all_see(3, State::Dead)).expect("dead");
         assert!(known < 8 * S, "seed {seed}: {known}");
         world.run(30 * S);
-        assert!(world.all_hold(4, State::Left), "it said so itself");
+        assert!(world.all_see(4, State::Left), "it said so itself");
         assert!(world.agree(10));
         no_false(&world);
     }
@@ -38,7 +38,7 @@
     world.run(20 * S);
     assert!((world.bytes - before) / 300 / 20 < 2_000, "bytes a second and node");
     world.kill(17);
-    let known = world.until(10 * S, |w| w.all_hold(17, State::Dead)).expect("dead");
+    let known = world.run_until(10 * S, |w| w.all_see(17, State::Dead)).expect("dead");
     assert!(known < 6 * S, "{known}");
     no_false(&world);
 }
@@ -47,9 +47,9 @@
 fn a_restart_replaces_the_old_at_once_and_nothing_old_revives_it() {
     for seed in 0..20 {
         let mut world = World::together(8, seed);
-        world.kept = Some(Vec::new());
+        world.recorded = Some(Vec::new());
         world.run(2 * S);
-        let old = world.kept.take().unwrap();
+        let old = world.recorded.take().unwrap();
         world.kill(2);
         world.start(2, &[0]);
         let start = world.nodes[2].start;
@@ -59,7 +59,7 @@
                 core.members(w.now).any(|m| m.name == name(2) && m.start == start && m.state == State::Alive)
             })
         };
-        assert!(world.until(3 * S, follows).is_some(), "seed {seed}");
+        assert!(world.run_until(3 * S, follows).is_some(), "seed {seed}");
         // An hour later all that was said is said again.
         world.run(3_600 * S);
         for (from, to, body) in old {
@@ -86,12 +86,16 @@
             let core = world.nodes[n].core.as_ref().unwrap();
             core.members(world.now).find(|m| m.name == name(of)).unwrap().heard
         };
-        assert_eq!(heard(1, 0), Heard::ThroughOthers);
+        assert_eq!(heard(1, 0), Reachability::ThroughOthers);
         // Only what 1 says itself still arrives.
         let other = heard(0, 1);
-        let expected = if both { [Heard::ThroughOthers; 2] } else { [Heard::OneWay, Heard::ThroughOthers] };
+        let expected = if both {
+            [Reachability::ThroughOthers; 2]
+        } else {
+            [Reachability::OneWay, Reachability::ThroughOthers]
+        };
         assert!(expected.contains(&other), "seed {seed}: {other:?}");
-        assert_eq!(heard(2, 0), Heard::Directly);
+        assert_eq!(heard(2, 0), Reachability::Directly);
     }
 }
 
@@ -112,12 +116,12 @@
         let mut world = World::together(9, seed);
         (1..9).for_each(|n| world.cut(n, 0));
         world.run(120 * S);
-        let own: Vec<_> = (1..9).map(|n| world.holds(0, n)).collect();
+        let own: Vec<_> = (1..9).map(|n| world.view_of(0, n)).collect();
         assert!(!own.contains(&Some(State::Dead)), "seed {seed}: {own:?}");
         // Others do not hear it answer, but nobody holds one of the others for dead.
         no_false_of(&world, 1..9);
-        world.ways.clear();
-        assert!(world.until(90 * S, |w| w.agree(9)).is_some(), "seed {seed}: it heals");
+        world.links.clear();
+        assert!(world.run_until(90 * S, |w| w.agree(9)).is_some(), "seed {seed}: it heals");
     }
 }
 
@@ -132,13 +136,13 @@
     for seed in 0..20 {
         let mut world = World::together(9, seed);
         (1..9).for_each(|n| world.cut(0, n));
-        assert!(world.until(20 * S, |w| (1..9).all(|n| w.holds(n, 0) == Some(State::Dead))).is_some());
+        assert!(world.run_until(20 * S, |w| (1..9).all(|n| w.view_of(n, 0) == Some(State::Dead))).is_some());
         world.run(60 * S);
-        let own: Vec<_> = (1..9).map(|n| world.holds(0, n)).collect();
+        let own: Vec<_> = (1..9).map(|n| world.view_of(0, n)).collect();
         assert!(!own.contains(&Some(State::Dead)), "seed {seed}: {own:?}");
         no_false_of(&world, 1..9);
-        world.ways.clear();
-        assert!(world.until(90 * S, |w| w.agree(9)).is_some(), "seed {seed}: it heals");
+        world.links.clear();
+        assert!(world.run_until(90 * S, |w| w.agree(9)).is_some(), "seed {seed}: it heals");
     }
 }
 
@@ -146,11 +150,11 @@
 fn two_halves_heal_by_themselves_after_changes_on_either_side() {
     for seed in 0..10 {
         let mut world = World::together(20, seed);
-        world.part(|n| n % 2 == 0);
+        world.partition(|n| n % 2 == 0);
         let parted = |w: &World| {
-            (0..20).all(|n| (0..20).all(|o| n % 2 == o % 2 || w.holds(n, o) == Some(State::Dead)))
+            (0..20).all(|n| (0..20).all(|o| n % 2 == o % 2 || w.view_of(n, o) == Some(State::Dead)))
         };
-        assert!(world.until(30 * S, parted).is_some(), "seed {seed}: each side holds the other for dead");
+        assert!(world.run_until(30 * S, parted).is_some(), "seed {seed}: each side holds the other for dead");
         world.false_dead.clear();
         // Fifty changes on either side: restarts, of which nobody on the other side hears.
         for _ in 0..50 {
@@ -162,8 +166,8 @@
             world.run(300 * MS);
         }
         world.run(10 * S);
-        world.ways.clear();
-        let together = world.until(120 * S, |w| w.agree(20));
+        world.links.clear();
+        let together = world.run_until(120 * S, |w| w.agree(20));
         assert!(together.is_some(), "seed {seed}: they come together");
         // Nobody of one's own side was held for dead at the other's word.
         let own_side: Vec<_> = world
@@ -179,9 +183,9 @@
 fn forty_in_a_hundred_stand_still_again_and_again_and_nobody_is_held_for_dead() {
     for seed in 0..10 {
         let mut world = World::together(30, seed);
-        world.way.loss = 0.1;
+        world.link.loss = 0.1;
         for _ in 0..100 {
-            world.some_pause(12);
+            world.pause_some(12);
             world.run(S);
         }
         no_false(&world);
@@ -193,13 +197,13 @@
 fn a_death_is_known_to_all_though_many_stand_still_again_and_again() {
     for seed in 0..10 {
         let mut world = World::together(8, seed);
-        world.way.loss = 0.1;
+        world.link.loss = 0.1;
         world.kill(5);
         let mut known = false;
         for _ in 0..30 {
-            world.some_pause(4);
+            world.pause_some(4);
             world.run(S);
-            known |= world.all_hold(5, State::Dead);
+            known |= world.all_see(5, State::Dead);
         }
         assert!(known, "seed {seed}");
         no_false(&world);
@@ -215,7 +219,7 @@
         assert!(world.agree(12));
         no_false(&world);
         let stood =
-            |w: &World, n: usize| w.nodes[n].told.iter().any(|(_, c)| matches!(c, Change::StoodStill(_)));
+            |w: &World, n: usize| w.nodes[n].changes.iter().any(|(_, c)| matches!(c, Change::Stalled(_)));
         assert!((0..12).all(|n| stood(&world, n)));
     }
 }
@@ -226,14 +230,14 @@
         let mut world = World::together(8, seed);
         // Stopped in the middle of being suspected, continued right after it was called dead.
         world.pause(0, 3_600 * S);
-        let dead = |w: &World| (1..8).any(|n| w.holds(n, 0) == Some(State::Dead));
-        assert!(world.until(20 * S, dead).is_some(), "seed {seed}");
-        world.nodes[0].until = world.now;
+        let dead = |w: &World| (1..8).any(|n| w.view_of(n, 0) == Some(State::Dead));
+        assert!(world.run_until(20 * S, dead).is_some(), "seed {seed}");
+        world.nodes[0].paused_until = world.now;
         world.pause(0, MS);
         world.run(2 * MS);
-        let own: Vec<_> = (1..8).map(|n| world.holds(0, n)).collect();
+        let own: Vec<_> = (1..8).map(|n| world.view_of(0, n)).collect();
         assert!(!own.contains(&Some(State::Dead)), "asked at once: {own:?}");
-        assert!(world.until(30 * S, |w| w.agree(8)).is_some(), "seed {seed}");
+        assert!(world.run_until(30 * S, |w| w.agree(8)).is_some(), "seed {seed}");
         no_false_of(&world, 1..8);
     }
 }
@@ -242,13 +246,13 @@
 fn delays_loss_doubles_and_disorder_bring_nobody_down() {
     for seed in 0..5 {
         let mut world = World::together(12, seed);
-        world.way = Way { loss: 0.3, double: 0.1, delay: MS, jitter: 20 * MS, cut: false };
+        world.link = Link { loss: 0.3, double: 0.1, delay: MS, jitter: 20 * MS, cut: false };
         world.run(120 * S);
-        world.way = Way { loss: 0.0, double: 0.1, delay: 200 * MS, jitter: 300 * MS, cut: false };
+        world.link = Link { loss: 0.0, double: 0.1, delay: 200 * MS, jitter: 300 * MS, cut: false };
         world.run(120 * S);
         no_false(&world);
-        world.way = Way { delay: MS, ..Way::default() };
-        assert!(world.until(60 * S, |w| w.agree(12)).is_some(), "seed {seed}");
+        world.link = Link { delay: MS, ..Link::default() };
+        assert!(world.run_until(60 * S, |w| w.agree(12)).is_some(), "seed {seed}");
     }
 }
 
@@ -257,7 +261,7 @@
     for seed in 0..10 {
         let mut world = World::together(20, seed);
         (0..14).for_each(|n| world.kill(n));
-        let known = world.until(30 * S, |w| w.agree(6)).expect("all known");
+        let known = world.run_until(30 * S, |w| w.agree(6)).expect("all known");
         assert!(known < 15 * S, "seed {seed}: {known}");
         no_false(&world);
     }
@@ -275,13 +279,13 @@
         }
     }
     // Those whom it never heard know nobody else; they go on calling it.
-    let joined = |w: &World| (1..=190).all(|n| (1..=190).all(|o| w.holds(n, o) == Some(State::Alive)));
-    assert!(world.until(40 * S, joined).is_some());
+    let joined = |w: &World| (1..=190).all(|n| (1..=190).all(|o| w.view_of(n, o) == Some(State::Alive)));
+    assert!(world.run_until(40 * S, joined).is_some());
     let unreadable: u64 =
         world.running().filter_map(|n| Some(world.nodes[n].core.as_ref()?.counts().unreadable)).sum();
     assert_eq!(unreadable, 0, "members read what members write");
     world.start(0, &[30]);
-    assert!(world.until(90 * S, |w| w.agree(300)).is_some());
+    assert!(world.run_until(90 * S, |w| w.agree(300)).is_some());
     no_false(&world);
 }
 
@@ -293,7 +297,7 @@
     world.run(120 * S);
     assert!((world.bytes - before) / 120 < 800, "two seeds are called ever more seldom");
     world.start(2, &[1]);
-    assert!(world.until(15 * S, |w| w.agree(2)).is_some());
+    assert!(world.run_until(15 * S, |w| w.agree(2)).is_some());
 }
 
 #[test]
@@ -305,9 +309,9 @@
     let knows = |w: &World| {
         [0, 1, 3, 4, 5]
             .iter()
-            .all(|n| w.holds(*n, 2) == Some(State::Dead) && w.holds(*n, 7) == Some(State::Alive))
+            .all(|n| w.view_of(*n, 2) == Some(State::Dead) && w.view_of(*n, 7) == Some(State::Alive))
     };
-    assert!(world.until(30 * S, knows).is_some());
+    assert!(world.run_until(30 * S, knows).is_some());
 }
 
 #[test]
@@ -319,9 +323,9 @@
         world.run(11 * S);
         world.start_as(6, 3, start, &[0]);
         world.run(30 * S);
-        let told = |n: usize, what: fn(&Change) -> bool| world.nodes[n].told.iter().any(|(_, c)| what(c));
+        let told = |n: usize, what: fn(&Change) -> bool| world.nodes[n].changes.iter().any(|(_, c)| what(c));
         assert!(told(3, |c| matches!(c, Change::Superseded(_))), "seed {seed}");
-        assert!(told(6, |c| matches!(c, Change::Twin(_))), "seed {seed}");
+        assert!(told(6, |c| matches!(c, Change::DuplicateName(_))), "seed {seed}");
         for n in [0, 1, 2, 4, 5] {
             let core = world.nodes[n].core.as_ref().unwrap();
             let of = core.members(world.now).find(|m| m.name == name(3)).unwrap();
@@ -339,14 +343,14 @@
         world.start_as(3, 3, 1, &[0]);
         world.run(30 * S);
         assert!(world.agree(6), "seed {seed}");
-        assert!(world.nodes[3].told.iter().any(|(_, c)| matches!(c, Change::Raised(_))));
+        assert!(world.nodes[3].changes.iter().any(|(_, c)| matches!(c, Change::StartRaised(_))));
     }
 }
 
 #[test]
 fn a_replacement_in_place_is_no_event_for_the_others() {
     let mut world = World::together(6, 9);
-    world.nodes.iter_mut().for_each(|n| n.told.clear());
+    world.nodes.iter_mut().for_each(|n| n.changes.clear());
     let inherited: Inherited = world.nodes[2].core.as_ref().unwrap().hand_over(world.now);
     let config = lapisrudder_membership::Config {
         name: name(2),
@@ -361,7 +365,7 @@
     world.pause(2, MS);
     world.run(30 * S);
     assert!(world.agree(6));
-    assert!((0..6).filter(|n| *n != 2).all(|n| world.nodes[n].told.is_empty()));
+    assert!((0..6).filter(|n| *n != 2).all(|n| world.nodes[n].changes.is_empty()));
 }
 
 /// Nobody gets more out of a member than it sent, unless it is one; and memory has a bound.
@@ -369,11 +373,11 @@
 fn a_stranger_gets_no_more_bytes_than_it_sends_and_made_up_members_find_a_bound() {
     let mut world = World::together(8, 2);
     let mut kept = World::together(3, 7);
-    kept.kept = Some(Vec::new());
+    kept.recorded = Some(Vec::new());
     (0..3).for_each(|n| kept.start(n, &[0]));
     kept.run(3 * S);
     let stranger: std::net::SocketAddr = "127.0.0.1:9".parse().unwrap();
-    for (_, _, body) in kept.kept.take().unwrap() {
+    for (_, _, body) in kept.recorded.take().unwrap() {
         let core = world.nodes[0].core.as_mut().unwrap();
         core.receive(world.now, stranger, &body);
         let mut out = 0;
@@ -410,16 +414,16 @@
                 1 | 2 if world.nodes[a].core.is_none() => world.start(a, &[b, (b + 1) % count]),
                 3 => world.pause(a, 3 * S),
                 4 => world.cut(a, b),
-                5 => world.ways.clear(),
-                6 => world.way.loss = world.rng.random_range(0.0..0.4),
+                5 => world.links.clear(),
+                6 => world.link.loss = world.rng.random_range(0.0..0.4),
                 7 => world.leave(a),
-                _ => world.part(|n| n < a),
+                _ => world.partition(|n| n < a),
             }
             let length = world.rng.random_range(0..4 * S);
             world.run(length);
         }
-        world.ways.clear();
-        world.way = Way { delay: MS, jitter: 2 * MS, ..Way::default() };
+        world.links.clear();
+        world.link = Link { delay: MS, jitter: 2 * MS, ..Link::default() };
         for n in 0..count {
             if world.nodes[n].core.as_ref().is_some_and(|c| c.own_view().state == State::Left) {
                 world.kill(n);
@@ -428,6 +432,6 @@
         (0..count).filter(|n| world.nodes[*n].core.is_none()).collect::<Vec<_>>().into_iter().for_each(|n| {
             world.start(n, &[(n + 1) % count, (n + 2) % count]);
         });
-        assert!(world.until(180 * S, |w| w.agree(count)).is_some(), "seed {seed}");
+        assert!(world.run_until(180 * S, |w| w.agree(count)).is_some(), "seed {seed}");
     }
 }
--- a/crates/membership/tests/fleet/table.rs
+++ b/crates/membership/tests/fleet/table.rs
@@ -2,7 +2,7 @@
 //! `cargo test -p lapisrudder-membership --release --test fleet -- --ignored --nocapture table`.
 
 use crate::world::{MS, S, World};
-use lapisrudder_membership::{Micros, Planted, State};
+use lapisrudder_membership::{Ablation, Micros, State};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Instant;
@@ -12,48 +12,48 @@
 
 /// What goes on in a world.
 #[derive(Clone, Copy)]
-struct Troubles {
+struct Faults {
     loss: f64,
     /// Two in five stand still for up to 500 ms every few seconds.
     pauses: bool,
 }
 
-impl Troubles {
+impl Faults {
     fn play(self, world: &mut World, length: Micros) {
-        world.way.loss = self.loss;
+        world.link.loss = self.loss;
         let end = world.now + length;
         while world.now < end {
-            if self.pauses && world.now >= world.next_pause {
-                world.next_pause = world.now + S;
+            if self.pauses && world.now >= world.next_pause_at {
+                world.next_pause_at = world.now + S;
                 let count = world.nodes.len();
-                world.some_pause(count * 2 / 5);
+                world.pause_some(count * 2 / 5);
             }
-            world.nodes.iter_mut().for_each(|n| n.told.clear());
+            world.nodes.iter_mut().for_each(|n| n.changes.clear());
             world.run(S.min(end - world.now));
         }
     }
 }
 
 /// Until one, and until all know of a death: medians and 99 of 100 (ms).
-fn deaths(count: usize, troubles: Troubles, planted: Planted, trials: usize) -> [String; 4] {
-    let mut world = World::together_without(count, 5, planted);
+fn deaths(count: usize, faults: Faults, ablation: Ablation, trials: usize) -> [String; 4] {
+    let mut world = World::together_with_ablation(count, 5, ablation);
     let (mut first, mut all) = (Vec::new(), Vec::new());
     for trial in 0..trials {
         let gone = 2 + trial * 7 % (count - 2);
-        troubles.play(&mut world, 2 * S + trial as i64 * 37 * MS);
+        faults.play(&mut world, 2 * S + trial as i64 * 37 * MS);
         world.kill(gone);
         let begun = world.now;
-        let knows = |w: &World| w.running().any(|n| w.holds(n, gone) == Some(State::Dead));
+        let knows = |w: &World| w.running().any(|n| w.view_of(n, gone) == Some(State::Dead));
         while !knows(&world) && world.now - begun < 60 * S {
-            troubles.play(&mut world, 20 * MS);
+            faults.play(&mut world, 20 * MS);
         }
         first.push(world.now - begun);
-        while !world.all_hold(gone, State::Dead) && world.now - begun < 60 * S {
-            troubles.play(&mut world, 20 * MS);
+        while !world.all_see(gone, State::Dead) && world.now - begun < 60 * S {
+            faults.play(&mut world, 20 * MS);
         }
         all.push(world.now - begun);
         world.start(gone, &[0, 1]);
-        troubles.play(&mut world, 5 * S);
+        faults.play(&mut world, 5 * S);
     }
     let part = |times: &mut Vec<Micros>, p: f64| {
         times.sort_unstable();
@@ -65,11 +65,11 @@
 
 /// False verdicts an hour, bytes a second and node, and the share of a core that a node takes in per cent (with the
 /// simulated network's part, without system calls), over so long on each of eight seeds.
-fn quiet(count: usize, troubles: Troubles, planted: Planted, seconds: i64) -> (f64, f64, f64) {
+fn quiet(count: usize, faults: Faults, ablation: Ablation, seconds: i64) -> (f64, f64, f64) {
     let play = |seed| {
-        let mut world = World::together_without(count, seed, planted);
+        let mut world = World::together_with_ablation(count, seed, ablation);
         let (before, begun) = (world.bytes, Instant::now());
-        troubles.play(&mut world, seconds * S);
+        faults.play(&mut world, seconds * S);
         (world.false_dead.len() as f64, (world.bytes - before) as f64, begun.elapsed().as_secs_f64())
     };
     let all: Vec<(f64, f64, f64)> = std::thread::scope(|scope| {
@@ -84,18 +84,18 @@
 
 /// What it is held against: each tells each other a second that it lives (60 bytes), and holds for dead whom it has not
 /// heard for 3.5 s, which makes a death known to all in 3 to 4 s. False verdicts an hour, and bytes a second and node.
-fn heartbeats(count: usize, troubles: Troubles, seconds: usize) -> (f64, f64) {
+fn heartbeats(count: usize, faults: Faults, seconds: usize) -> (f64, f64) {
     let mut rng = SmallRng::seed_from_u64(1);
     let (mut heard, mut dead) = (vec![vec![0.0f64; count]; count], 0u64);
     for second in 1..=seconds {
         for from in 0..count {
             // One that stands still sends when it goes on.
-            let still = troubles.pauses && from < count * 2 / 5 && rng.random_bool(0.3);
+            let still = faults.pauses && from < count * 2 / 5 && rng.random_bool(0.3);
             let sent = second as f64 + if still { rng.random_range(0.2..0.5) } else { 0.0 };
             for (_, last) in
                 heard.iter_mut().map(|of| &mut of[from]).enumerate().filter(|(to, _)| *to != from)
             {
-                if !rng.random_bool(troubles.loss) {
+                if !rng.random_bool(faults.loss) {
                     dead += u64::from(sent - *last > 3.5);
                     *last = sent;
                 }
@@ -109,46 +109,45 @@
 #[ignore = "a measurement of minutes"]
 fn table() {
     eprintln!(
-        "| members | loss | pauses | planted | one p50, p99 (s) | all p50, p99 (s) | false an hour | B/s |"
+        "| members | loss | pauses | ablation | one p50, p99 (s) | all p50, p99 (s) | false an hour | B/s |"
     );
-    let row = |count, loss, pauses, planted, trials, seconds| {
-        let troubles = Troubles { loss, pauses };
-        let [a, b, c, d] = deaths(count, troubles, planted, trials);
-        let (dead, bytes, core) = quiet(count, troubles, planted, seconds);
+    let row = |count, loss, pauses, ablation, trials, seconds| {
+        let faults = Faults { loss, pauses };
+        let [a, b, c, d] = deaths(count, faults, ablation, trials);
+        let (dead, bytes, core) = quiet(count, faults, ablation, seconds);
         eprintln!(
-            "| {count} | {loss} | {pauses} | {planted:?} | {a}, {b} | {c}, {d} | {dead:.2} | {bytes:.0} | {core:.3} |"
+            "| {count} | {loss} | {pauses} | {ablation:?} | {a}, {b} | {c}, {d} | {dead:.2} | {bytes:.0} | {core:.3} |"
         );
     };
     for count in [8, 50, 300] {
         for (loss, pauses) in [(0.0, false), (0.1, false), (0.3, false), (0.1, true)] {
-            let (dead, bytes) = heartbeats(count, Troubles { loss, pauses }, 600);
+            let (dead, bytes) = heartbeats(count, Faults { loss, pauses }, 600);
             eprintln!("| {count} | {loss} | {pauses} | heartbeats | | 3 to 4 | {dead:.2} | {bytes:.0} |");
         }
     }
     for count in [8, 50, 300] {
         let (trials, seconds) = if count == 300 { (40, 225) } else { (100, 900) };
         for (loss, pauses) in [(0.0, false), (0.1, false), (0.3, false), (0.1, true)] {
-            row(count, loss, pauses, Planted::Nothing, trials, seconds);
+            row(count, loss, pauses, Ablation::None, trials, seconds);
         }
     }
-    for planted in [
-        Planted::NoShortening,
-        Planted::NoHelpers,
-        Planted::NoDoubt,
-        Planted::NoStandstill,
-        Planted::NoExchange,
-        Planted::OneAccuser,
-        Planted::AtItsWord,
+    for ablation in [
+        Ablation::NoShortening,
+        Ablation::NoIndirectProbes,
+        Ablation::NoAwareness,
+        Ablation::NoStallDetection,
+        Ablation::NoPushPull,
+        Ablation::OneAccuser,
+        Ablation::TrustReportedDeath,
     ] {
-        row(50, 0.1, true, planted, 60, 900);
+        row(50, 0.1, true, ablation, 60, 900);
     }
 }
 
 #[test]
 #[ignore = "a measurement of many minutes"]
 fn a_day_of_three_hundred() {
-    let (dead, bytes, core) =
-        quiet(300, Troubles { loss: 0.1, pauses: true }, Planted::Nothing, HOURS * 3600);
+    let (dead, bytes, core) = quiet(300, Faults { loss: 0.1, pauses: true }, Ablation::None, HOURS * 3600);
     eprintln!(
         "300 members, a tenth lost, 40% pausing, {} h in all: {dead} false verdicts an hour, {bytes:.0} B/s, {core:.3}% of a core",
         8 * HOURS
--- a/crates/membership/tests/fleet/world.rs
+++ b/crates/membership/tests/fleet/world.rs
@@ -2,7 +2,7 @@
 //! each change that a member tells.
 
 use lapisrudder_membership::{
-    Change, Config, Membership, Micros, Name, Output, Planted, Settings, State, View,
+    Ablation, Change, Config, Membership, Micros, Name, Output, Settings, State, View,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -15,9 +15,9 @@
 /// What a stopped process's socket holds.
 const INBOX: usize = 150;
 
-/// What the way from one member to another does.
+/// What the link from one member to another does.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
+pub struct Link {
     pub loss: f64,
     pub double: f64,
     pub delay: Micros,
@@ -32,15 +32,15 @@
     pub at: SocketAddr,
     pub start: u64,
     /// It stands still until then.
-    pub until: Micros,
+    pub paused_until: Micros,
     /// When it is to be woken, as last set.
-    wakes: Micros,
+    next_wake_at: Micros,
     inbox: VecDeque<(SocketAddr, Vec<u8>)>,
-    /// It is at fault itself, or its ways are: what it holds of others breaks no rule.
-    pub ill: bool,
+    /// It is at fault itself, or its links are: what it holds of others breaks no rule.
+    pub faulty: bool,
     /// What it told of others, by name.
     seen: BTreeMap<Name, View>,
-    pub told: Vec<(Micros, Change)>,
+    pub changes: Vec<(Micros, Change)>,
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -53,22 +53,22 @@
     pub now: Micros,
     pub nodes: Vec<Node>,
     pub settings: Settings,
-    pub way: Way,
-    pub ways: BTreeMap<(usize, usize), Way>,
+    pub link: Link,
+    pub links: BTreeMap<(usize, usize), Link>,
     pub rng: SmallRng,
     queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     next: u64,
     /// All that was sent, if it is kept.
-    pub kept: Option<Vec<(usize, SocketAddr, Vec<u8>)>>,
+    pub recorded: Option<Vec<(usize, SocketAddr, Vec<u8>)>>,
     /// Verdicts of well members on such as live.
     pub false_dead: Vec<(Micros, usize, Name)>,
     /// Words that went back, or brought something old to life.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// What all lack.
-    pub planted: Planted,
+    pub ablation: Ablation,
     pub bytes: u64,
     /// When some stand still again, where a measurement wants that.
-    pub next_pause: Micros,
+    pub next_pause_at: Micros,
 }
 
 pub fn name(n: usize) -> Name {
@@ -86,40 +86,40 @@
             core: None,
             at: address(n),
             start: 0,
-            until: 0,
-            wakes: Micros::MAX,
+            paused_until: 0,
+            next_wake_at: Micros::MAX,
             inbox: VecDeque::new(),
-            ill: false,
+            faulty: false,
             seen: BTreeMap::new(),
-            told: Vec::new(),
+            changes: Vec::new(),
         };
         World {
             now: S,
             nodes: (0..count).map(node).collect(),
             settings: Settings::default(),
-            way: Way { delay: 200, jitter: 300, ..Way::default() },
-            ways: BTreeMap::new(),
+            link: Link { delay: 200, jitter: 300, ..Link::default() },
+            links: BTreeMap::new(),
             rng: SmallRng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
             next: 0,
-            kept: None,
+            recorded: None,
             false_dead: Vec::new(),
-            broken: Vec::new(),
-            planted: Planted::Nothing,
+            violations: Vec::new(),
+            ablation: Ablation::None,
             bytes: 0,
-            next_pause: 0,
+            next_pause_at: 0,
         }
     }
 
     /// All run and know each other.
     pub fn together(count: usize, seed: u64) -> World {
-        World::together_without(count, seed, Planted::Nothing)
+        World::together_with_ablation(count, seed, Ablation::None)
     }
 
     /// The same, without one mechanism.
-    pub fn together_without(count: usize, seed: u64, planted: Planted) -> World {
+    pub fn together_with_ablation(count: usize, seed: u64, ablation: Ablation) -> World {
         let mut world = World::new(count, seed);
-        world.planted = planted;
+        world.ablation = ablation;
         (0..count).for_each(|n| world.start(n, &[0, 1]));
         world.run(12 * S);
         assert!(world.agree(count), "a fleet without faults comes together");
@@ -143,12 +143,12 @@
             settings: self.settings.clone(),
         };
         let mut core = Membership::new(config, self.now);
-        core.plant(self.planted);
+        core.ablate(self.ablation);
         let node = &mut self.nodes[n];
         (node.core, node.start) = (Some(core), start);
         node.seen.clear();
         node.inbox.clear();
-        self.carry_out(n);
+        self.drain_outputs(n);
     }
 
     pub fn kill(&mut self, n: usize) {
@@ -158,17 +158,17 @@
     pub fn leave(&mut self, n: usize) {
         let now = self.now;
         self.nodes[n].core.iter_mut().for_each(|core| core.leave(now));
-        self.carry_out(n);
+        self.drain_outputs(n);
     }
 
     /// It stands still for so long.
     pub fn pause(&mut self, n: usize, length: Micros) {
-        self.nodes[n].until = self.nodes[n].until.max(self.now + length);
-        self.push(self.nodes[n].until, Event::Wake(n));
+        self.nodes[n].paused_until = self.nodes[n].paused_until.max(self.now + length);
+        self.push(self.nodes[n].paused_until, Event::Wake(n));
     }
 
     /// Of the first so many, three in ten stand still for 200 to 500 ms.
-    pub fn some_pause(&mut self, count: usize) {
+    pub fn pause_some(&mut self, count: usize) {
         for n in 0..count {
             let length = self.rng.random_range(200..=500) * MS;
             if self.rng.random_bool(0.3) {
@@ -177,13 +177,13 @@
         }
     }
 
-    /// Cuts the way from one to another.
+    /// Cuts the link from one to another.
     pub fn cut(&mut self, from: usize, to: usize) {
-        self.ways.insert((from, to), Way { cut: true, ..self.way });
+        self.links.insert((from, to), Link { cut: true, ..self.link });
     }
 
-    /// Between two parts, both ways.
-    pub fn part(&mut self, side: impl Fn(usize) -> bool) {
+    /// Between two parts, both links.
+    pub fn partition(&mut self, side: impl Fn(usize) -> bool) {
         let count = self.nodes.len();
         for a in 0..count {
             (0..count).filter(|b| side(a) != side(*b)).for_each(|b| self.cut(a, b));
@@ -206,16 +206,16 @@
             self.now = at;
             match event {
                 Event::Wake(n) => {
-                    if self.nodes[n].wakes <= at {
-                        self.nodes[n].wakes = Micros::MAX;
+                    if self.nodes[n].next_wake_at <= at {
+                        self.nodes[n].next_wake_at = Micros::MAX;
                     }
-                    self.turn(n);
+                    self.run_iteration(n);
                 }
                 Event::Deliver(n, from, body) => {
                     let node = &mut self.nodes[n];
                     if node.core.is_some() && node.inbox.len() < INBOX {
                         node.inbox.push_back((from, body));
-                        self.turn(n);
+                        self.run_iteration(n);
                     }
                 }
             }
@@ -224,7 +224,7 @@
     }
 
     /// Until something holds; how long that took, or nothing within `most`.
-    pub fn until(&mut self, most: Micros, holds: impl Fn(&World) -> bool) -> Option<Micros> {
+    pub fn run_until(&mut self, most: Micros, holds: impl Fn(&World) -> bool) -> Option<Micros> {
         let begun = self.now;
         // To look at all views of a large fleet takes longer than to play on.
         let step = if self.nodes.len() > 100 { S } else { 20 * MS };
@@ -238,9 +238,9 @@
     }
 
     /// One turn of the host's loop: what has come, then what is due.
-    fn turn(&mut self, n: usize) {
+    fn run_iteration(&mut self, n: usize) {
         let node = &mut self.nodes[n];
-        if node.until > self.now {
+        if node.paused_until > self.now {
             return;
         }
         let Some(core) = &mut node.core else { return };
@@ -250,21 +250,21 @@
         if core.next_wake() <= self.now {
             core.wake(self.now);
         }
-        self.carry_out(n);
+        self.drain_outputs(n);
     }
 
-    fn carry_out(&mut self, n: usize) {
+    fn drain_outputs(&mut self, n: usize) {
         while let Some(output) = self.nodes[n].core.as_mut().and_then(Membership::poll) {
             match output {
                 Output::Send { to, body } => self.send(n, to, body),
-                Output::Told(change) => self.told(n, change),
+                Output::Changed(change) => self.on_change(n, change),
             }
         }
         if let Some(at) = self.nodes[n].core.as_ref().map(Membership::next_wake) {
             // One is enough: a second for the same time would bring forth two more, and so on.
             let at = at.max(self.now);
-            if at < self.nodes[n].wakes {
-                self.nodes[n].wakes = at;
+            if at < self.nodes[n].next_wake_at {
+                self.nodes[n].next_wake_at = at;
                 self.push(at, Event::Wake(n));
             }
         }
@@ -273,61 +273,65 @@
     pub fn send(&mut self, n: usize, to: SocketAddr, body: Vec<u8>) {
         assert!(body.len() <= 1380, "a datagram of {} bytes", body.len());
         self.bytes += body.len() as u64;
-        if let Some(kept) = &mut self.kept {
+        if let Some(kept) = &mut self.recorded {
             kept.push((n, to, body.clone()));
         }
         let Some(other) = to.port().checked_sub(10_000).map(usize::from).filter(|o| *o < self.nodes.len())
         else {
             return;
         };
-        let way = self.ways.get(&(n, other)).copied().unwrap_or(self.way);
-        let copies = 1 + usize::from(self.rng.random_bool(way.double));
+        let link = self.links.get(&(n, other)).copied().unwrap_or(self.link);
+        let copies = 1 + usize::from(self.rng.random_bool(link.double));
         for _ in 0..copies {
-            if !way.cut && !self.rng.random_bool(way.loss) {
-                let at = self.now + way.delay + self.rng.random_range(0..=way.jitter);
+            if !link.cut && !self.rng.random_bool(link.loss) {
+                let at = self.now + link.delay + self.rng.random_range(0..=link.jitter);
                 self.push(at, Event::Deliver(other, self.nodes[n].at, body.clone()));
             }
         }
     }
 
     /// The rules on what one member says of others.
-    fn told(&mut self, n: usize, change: Change) {
+    fn on_change(&mut self, n: usize, change: Change) {
         if let Change::Member(view) = &change {
             let lives = self.nodes.iter().any(|o| {
                 o.core.as_ref().is_some_and(|core| {
                     let own = core.own_view();
                     own.name == view.name && own.start == view.start && own.state != State::Left
-                }) && o.until <= self.now
-                    && !o.ill
+                }) && o.paused_until <= self.now
+                    && !o.faulty
             });
-            if view.state == State::Dead && lives && !self.nodes[n].ill && self.nodes[n].until <= self.now {
+            if view.state == State::Dead
+                && lives
+                && !self.nodes[n].faulty
+                && self.nodes[n].paused_until <= self.now
+            {
                 self.false_dead.push((self.now, n, view.name.clone()));
             }
             let node = &mut self.nodes[n];
             if let Some(before) = node.seen.insert(view.name.clone(), view.clone()) {
                 let (old, new) = ((before.start, before.incarnation), (view.start, view.incarnation));
                 if old > new {
-                    self.broken.push(format!("n{n}: an incarnation goes back: {before:?}, {view:?}"));
+                    self.violations.push(format!("n{n}: an incarnation goes back: {before:?}, {view:?}"));
                 }
                 let away = matches!(before.state, State::Dead | State::Left);
                 let back = matches!(view.state, State::Alive | State::Suspect);
                 if away && back && old == new {
-                    self.broken.push(format!("n{n}: something old comes back: {before:?}, {view:?}"));
+                    self.violations.push(format!("n{n}: something old comes back: {before:?}, {view:?}"));
                 }
             }
         }
-        self.nodes[n].told.push((self.now, change));
+        self.nodes[n].changes.push((self.now, change));
     }
 
     /// What a member holds another one for.
-    pub fn holds(&self, n: usize, of: usize) -> Option<State> {
+    pub fn view_of(&self, n: usize, of: usize) -> Option<State> {
         let core = self.nodes[n].core.as_ref()?;
         core.members(self.now).find(|m| m.name == name(of)).map(|m| m.state)
     }
 
     /// All that run hold that of it.
-    pub fn all_hold(&self, of: usize, state: State) -> bool {
-        self.running().all(|n| n == of || self.holds(n, of) == Some(state))
+    pub fn all_see(&self, of: usize, state: State) -> bool {
+        self.running().all(|n| n == of || self.view_of(n, of) == Some(state))
     }
 
     pub fn running(&self) -> impl Iterator<Item = usize> {
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! The node among its fellows: the socket, the checksum, and what [`lapisrudder_membership`] says put to use. Built only
-//! where the operators' file has a `[fleet]`.
+//! The node as a member of its fleet: the UDP socket, the envelope of datagrams, and what follows from the
+//! outputs of [`lapisrudder_membership`]. Created only if the operators' file has a `[fleet]` section.
 
-mod look;
+mod view;
 
 use super::{Handle, Owner, Ready};
 use lapisrudder::Micros;
@@ -9,9 +9,8 @@
 use lapisrudder_host::Watched;
 use lapisrudder_io::{Datagrams, Received};
 use lapisrudder_membership::{
-    Census, Change, Config, Counts, Envelope, Inherited, MOST_DATAGRAM, Membership, Output, State, View,
+    Census, Change, Config, Counts, Envelope, Inherited, MAX_DATAGRAM, Membership, Output, State, View,
 };
-use look::Look;
 use rand::Rng;
 use serde::Serialize;
 use std::io;
@@ -19,67 +18,68 @@
 use std::os::fd::OwnedFd;
 use thiserror::Error;
 use tracing::{info, warn};
+use view::FleetView;
 
-/// Datagrams read in one turn at the most. Guards clients against a flood of them; the loop tells of the rest in the next
-/// turn, as far as the kernel keeps them.
-const A_TURN: usize = 128;
-/// Descriptors that all of this takes: the socket, where operators look, and they.
-pub const SOCKETS: usize = 2 + look::CALLERS;
+/// Maximum number of datagrams read in one event-loop iteration, so that a flood of them cannot starve
+/// clients. The rest is reported as ready in the next iteration, as far as the kernel's buffer holds it.
+const MAX_DATAGRAMS_PER_ITERATION: usize = 128;
+/// Maximum number of descriptors that the fleet uses: the UDP socket, the view's listener and its clients.
+pub const SOCKETS: usize = 2 + view::MAX_CLIENTS;
 
-/// Why a node cannot be among its fellows.
+/// Why a node cannot join its fleet.
 #[derive(Debug, Error)]
 pub enum Error {
     #[error("fleet.listen: cannot listen on {at}: {source}")]
     Listen { at: SocketAddr, source: io::Error },
     #[error("fleet.look: cannot listen on {at}: {source}")]
-    Look { at: SocketAddr, source: io::Error },
-    #[error("name: {0}, and the fleet needs one")]
+    ListenView { at: SocketAddr, source: io::Error },
+    #[error("name: {0}; a member of a fleet needs a valid name")]
     Name(#[from] lapisrudder_membership::BadName),
     #[error("{}: {}", .0.key, .0.what)]
     Keys(lapisrudder_config::Refusal),
 }
 
 impl Error {
-    /// What the system said, where that is the cause.
+    /// The error of the system call, if that is the cause.
     pub fn source_io(&self) -> Option<&io::Error> {
         match self {
-            Error::Listen { source, .. } | Error::Look { source, .. } => Some(source),
+            Error::Listen { source, .. } | Error::ListenView { source, .. } => Some(source),
             Error::Name(_) | Error::Keys(_) => None,
         }
     }
 }
 
-/// A member, as operators see it.
+/// A member, as shown to operators.
 #[derive(Serialize)]
 struct Row {
     #[serde(flatten)]
     view: View,
-    /// For so long in this state, in seconds; of the node itself, since its start.
+    /// Time in this state, in seconds; for the node itself, the time since its start.
     for_s: f64,
     #[serde(skip_serializing_if = "Option::is_none")]
     own: Option<Own>,
 }
 
-/// What a node knows of itself alone.
+/// What only the node itself knows about itself.
 #[derive(Serialize)]
 struct Own {
-    /// How far it doubts itself; 0 is healthy.
+    /// The local health score; 0 is healthy.
     doubt: u32,
-    /// It stood still, and has not heard enough of the others since.
+    /// It stalled, and has not yet been answered by enough members since.
     convalescent: bool,
-    /// A later process of its name lives, and holds in place of this one.
+    /// A later process of its name is alive, and the fleet follows that one.
     superseded: bool,
-    /// Where an earlier process of its name was last found alive, and how long ago in seconds.
+    /// Where an earlier process of its name was last found alive, and how many seconds ago.
     #[serde(skip_serializing_if = "Option::is_none")]
     twin: Option<(SocketAddr, f64)>,
-    /// Nodes that count for shares.
+    /// The number of nodes that count for shares.
     counted: u32,
     datagrams: Counts,
-    /// Datagrams that were none of this fleet.
+    /// Datagrams rejected because their envelope was not valid for this fleet.
     refused: u64,
 }
 
-/// What happened, as those who watch see it.
+/// An event, as sent to clients that watch.
 #[derive(Serialize)]
 #[serde(tag = "change", rename_all = "kebab-case")]
 enum Event {
@@ -92,91 +92,97 @@
     Counted { nodes: u32 },
 }
 
-/// The node's place in its fleet.
+/// The node's membership in its fleet.
 pub struct Fleet {
     section: Section,
     socket: Watched<Ready, Datagrams>,
     envelope: Envelope,
-    core: Membership,
+    membership: Membership,
     census: Census,
     counted: u32,
-    began: Micros,
+    started_at: Micros,
     refused: u64,
-    /// Another process of this node's name, and when it was found.
-    twin: Option<(SocketAddr, Micros)>,
-    look: Option<Look>,
+    /// Address of an earlier process of this node's name, and when it was found alive.
+    duplicate: Option<(SocketAddr, Micros)>,
+    operator_view: Option<FleetView>,
 }
 
 impl Fleet {
-    /// Goes among the others. A process before this one of the same node gives its socket and what it knew.
+    /// Joins the fleet. If a process before this one on the same node handed over, its socket and state are
+    /// taken over.
     pub fn new(
         section: Section,
         node: &str,
-        before: Option<(Inherited, OwnedFd)>,
+        predecessor: Option<(Inherited, OwnedFd)>,
         handle: &Handle,
         now: Micros,
     ) -> Result<Fleet, Error> {
         let name = node.parse()?;
         let envelope = Envelope::new(&section.name, section.keys().map_err(Error::Keys)?);
         let listen = |source| Error::Listen { at: section.listen, source };
-        let (inherited, socket) = match before {
+        let (inherited, socket) = match predecessor {
             Some((inherited, socket)) => (Some(inherited), Datagrams::adopt(socket)),
             None => (None, Datagrams::bind(section.listen)),
         };
         let mut socket = Watched::level(socket.map_err(listen)?, handle, Owner::Fleet);
         socket.ensure();
-        let look = section
+        let operator_view = section
             .look
-            .map(|at| Look::new(at, handle).map_err(|source| Error::Look { at, source }))
+            .map(|at| FleetView::new(at, handle).map_err(|source| Error::ListenView { at, source }))
             .transpose()?;
         let mut rng = rand::rng();
         let config = Config {
             name,
             at: section.reached_at(),
             zone: section.zone.clone(),
-            // Milliseconds since 1970, and chance where two begin within one. A clock that steps back is made up for.
+            // Milliseconds since 1970, and random bits in case two processes start within the same one. The
+            // membership raises the start if the clock was set back.
             start: ((now / 1000) as u64) << 20 | u64::from(rng.random::<u32>() >> 12),
             seeds: section.seeds.clone(),
             seed: rng.random(),
             settings: section.timing.clone(),
         };
-        let core = match inherited {
+        let membership = match inherited {
             Some(inherited) => Membership::inherit(config, inherited, now),
             None => Membership::new(config, now),
         };
-        let mut census = Census::new(section.expected, hold(&section));
-        census.saw(now, &core.own_view().name, State::Alive);
+        let mut census = Census::new(section.expected, leave_hold(&section));
+        census.observe(now, &membership.own_view().name, State::Alive);
         let counted = census.count(now);
         let mut fleet = Fleet {
             section,
             socket,
             envelope,
-            core,
+            membership,
             census,
             counted,
-            began: now,
+            started_at: now,
             refused: 0,
-            twin: None,
-            look,
+            duplicate: None,
+            operator_view,
         };
-        fleet.carry_out(now);
+        fleet.drain_outputs(now);
         Ok(fleet)
     }
 
-    /// Nodes that count for shares.
+    /// The number of nodes that count for shares.
     pub fn counted(&self) -> u32 {
         self.counted
     }
 
-    /// When it wants its turn.
+    /// When [`Fleet::run_due`] has to be called next.
     pub fn next_wake(&self) -> Micros {
-        self.census.next_wake().map_or(self.core.next_wake(), |census| census.min(self.core.next_wake()))
+        self.census
+            .next_wake()
+            .map_or(self.membership.next_wake(), |census| census.min(self.membership.next_wake()))
     }
 
-    /// The section may have changed. What it cannot take without a start is told.
+    /// Applies a reloaded section. Warns about changes that take effect only with a restart.
     pub fn reload(&mut self, section: Option<Section>, now: Micros) {
         let Some(section) = section else {
-            return warn!("reload: fleet: it ends with the next start only");
+            return warn!(
+                "reload: fleet: the section was removed; the node stays a member until the next start"
+            );
         };
         let old = &self.section;
         for (key, differs) in [
@@ -187,169 +193,176 @@
             ("look", old.look != section.look),
         ] {
             if differs {
-                warn!(about = key, "reload: fleet.{key} holds from the next start on");
+                warn!(about = key, "reload: fleet.{key} takes effect with the next start");
             }
         }
         match section.keys() {
             Ok(keys) => self.envelope = Envelope::new(&old.name, keys),
-            // Checked when the file was read; it has changed since.
-            Err(what) => warn!("reload: {}: {}: the old keys stay", what.key, what.what),
+            // The keys were valid when the file was checked; the key file has changed since.
+            Err(what) => warn!("reload: {}: {}: the old keys stay in use", what.key, what.what),
         }
-        self.census.expect(section.expected, hold(&section));
-        self.core.reload(section.timing.clone(), section.seeds.clone(), now);
+        self.census.set_expected(section.expected, leave_hold(&section));
+        self.membership.reload(section.timing.clone(), section.seeds.clone(), now);
         let Section { name, listen, advertise, zone, look, .. } = self.section.clone();
         self.section = Section { name, listen, advertise, zone, look, ..section };
     }
 
-    /// The node goes: others do not look for it any more.
+    /// Announces that the node leaves, so that the others stop probing it.
     pub fn leave(&mut self, now: Micros) {
-        self.core.leave(now);
-        self.carry_out(now);
+        self.membership.leave(now);
+        self.drain_outputs(now);
     }
 
-    /// What the next process of this node goes on with.
+    /// The state and socket to hand over to the next process of this node.
     pub fn hand_over(&self, now: Micros) -> io::Result<(Inherited, OwnedFd)> {
-        Ok((self.core.hand_over(now), self.socket.copy()?))
+        Ok((self.membership.hand_over(now), self.socket.copy()?))
     }
 
-    /// Datagrams have come.
+    /// Reads the datagrams that have arrived.
     pub fn on_ready(&mut self, now: Micros) {
-        let mut buffer = [0; MOST_DATAGRAM + 1];
-        for _ in 0..A_TURN {
+        let mut buffer = [0; MAX_DATAGRAM + 1];
+        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
             match self.socket.receive(&mut buffer) {
                 Received::Datagram(bytes, from) => {
                     match self.envelope.open(buffer.get(..bytes).unwrap_or_default()) {
-                        Ok(body) => self.core.receive(now, from, body),
+                        Ok(body) => self.membership.receive(now, from, body),
                         Err(_) => self.refused += 1,
                     }
                 }
                 Received::NotReady => return,
                 Received::Nothing => {}
-                Received::Broken(e) => return warn!("fleet: cannot read: {e}"),
+                Received::Broken(e) => return warn!("fleet: cannot receive datagrams: {e}"),
             }
         }
     }
 
-    /// Something is to be come back to by [`Fleet::retry`].
+    /// Whether something has to be retried by [`Fleet::retry`].
     pub fn needs_retry(&self) -> bool {
-        !self.socket.is_telling() || self.look.as_ref().is_some_and(Look::is_behind)
+        !self.socket.is_telling() || self.operator_view.as_ref().is_some_and(FleetView::needs_retry)
     }
 
-    /// Comes back to what failed for a moment.
+    /// Retries calls that failed temporarily.
     pub fn retry(&mut self) {
         self.socket.ensure();
-        self.look.iter_mut().for_each(Look::retry);
+        self.operator_view.iter_mut().for_each(FleetView::retry);
     }
 
-    /// What the loop would have told may have been lost.
+    /// Rechecks the clients of the view, since readiness events may have been lost.
     pub fn recheck_all(&mut self) {
-        self.look.iter_mut().for_each(Look::look_at_all);
+        self.operator_view.iter_mut().for_each(FleetView::recheck_all);
     }
 
-    /// Somebody would look inside.
+    /// Accepts clients of the operators' view.
     pub fn accept_view_clients(&mut self) {
-        self.look.iter_mut().for_each(Look::accept);
+        self.operator_view.iter_mut().for_each(FleetView::accept);
     }
 
-    /// One that looks has something to say, or can be told more.
+    /// Handles readiness of a client of the operators' view.
     pub fn on_view_client(&mut self, id: u64) {
-        self.look.iter_mut().for_each(|look| look.on_ready(id));
+        self.operator_view.iter_mut().for_each(|view| view.on_ready(id));
     }
 
-    /// What is due, and what follows from what has come.
+    /// Runs the timers that are due, handles the outputs, and answers the calls of operators.
     pub fn run_due(&mut self, now: Micros) {
-        if self.core.next_wake() <= now {
-            self.core.wake(now);
+        if self.membership.next_wake() <= now {
+            self.membership.wake(now);
         }
-        self.carry_out(now);
-        while let Some((id, call)) = self.look.as_mut().and_then(Look::poll_call) {
-            let told = match call.as_str() {
+        self.drain_outputs(now);
+        while let Some((id, call)) = self.operator_view.as_mut().and_then(FleetView::poll_call) {
+            let answer = match call.as_str() {
                 "members" | "watch" => self.rows(now),
                 _ => "{\"error\":\"no such call: there are members and watch\"}".into(),
             };
-            self.look.iter_mut().for_each(|look| look.answer(id, &told, call == "watch"));
+            self.operator_view.iter_mut().for_each(|view| view.answer(id, &answer, call == "watch"));
         }
     }
 
     fn rows(&mut self, now: Micros) -> String {
-        let views: Vec<View> = self.core.members(now).collect();
+        let views: Vec<View> = self.membership.members(now).collect();
         let rows: Vec<Row> = views.into_iter().map(|view| self.row(view, now)).collect();
         serde_json::to_string(&rows).unwrap_or_default()
     }
 
     fn row(&self, view: View, now: Micros) -> Row {
-        let own = (view.name == self.core.own_view().name).then(|| Own {
-            doubt: self.core.doubt(),
-            convalescent: self.core.is_convalescent(),
-            superseded: self.core.is_superseded(),
-            twin: self.twin.map(|(address, at)| (address, (now - at) as f64 / 1e6)),
+        let own = (view.name == self.membership.own_view().name).then(|| Own {
+            doubt: self.membership.health_score(),
+            convalescent: self.membership.is_recovering(),
+            superseded: self.membership.is_superseded(),
+            twin: self.duplicate.map(|(address, at)| (address, (now - at) as f64 / 1e6)),
             counted: self.counted,
-            datagrams: self.core.counts(),
+            datagrams: self.membership.counts(),
             refused: self.refused,
         });
-        let since = if own.is_some() { self.began } else { view.since };
+        let since = if own.is_some() { self.started_at } else { view.since };
         Row { for_s: (now - since) as f64 / 1e6, view, own }
     }
 
-    fn carry_out(&mut self, now: Micros) {
-        while let Some(output) = self.core.poll() {
+    fn drain_outputs(&mut self, now: Micros) {
+        while let Some(output) = self.membership.poll() {
             match output {
                 Output::Send { to, body } => {
-                    // Lost like any datagram, if the system does not take it.
+                    // A datagram that the kernel does not accept is lost, like one lost on the way.
                     self.socket.send(&self.envelope.seal(&body), to);
                 }
-                Output::Told(change) => self.told(change, now),
+                Output::Changed(change) => self.on_change(change, now),
             }
         }
         let counted = self.census.count(now);
         if counted != self.counted {
-            info!(nodes = counted, before = self.counted, "fleet: nodes that count for shares");
+            info!(
+                nodes = counted,
+                before = self.counted,
+                "fleet: number of nodes that count for shares changed"
+            );
             self.counted = counted;
-            self.show(&Event::Counted { nodes: counted });
+            self.publish(&Event::Counted { nodes: counted });
         }
     }
 
-    /// One line in the log, and one for each that watches.
-    fn told(&mut self, change: Change, now: Micros) {
+    /// Logs a change, updates the census, and publishes the change to clients that watch.
+    fn on_change(&mut self, change: Change, now: Micros) {
         let event = match change {
             Change::Member(view) => {
-                self.census.saw(now, &view.name, view.state);
+                self.census.observe(now, &view.name, view.state);
                 let View { name, address, state, start, incarnation, accusers, .. } = &view;
-                info!(about = %name, %address, ?state, start, incarnation, accusers, "fleet: member");
+                info!(about = %name, %address, ?state, start, incarnation, accusers, "fleet: member changed");
                 Event::Member(self.row(view, now))
             }
-            Change::Forgot(name) => {
-                self.census.forgot(&name);
+            Change::Forgotten(name) => {
+                self.census.forget(&name);
                 Event::Forgot { name: name.as_str().into() }
             }
-            Change::StoodStill(length) => {
-                warn!(ms = length / 1000, "fleet: stood still, and passes no verdict for now");
+            Change::Stalled(length) => {
+                warn!(ms = length / 1000, "fleet: this process stalled; it accuses no other member for now");
                 Event::StoodStill { for_ms: length / 1000 }
             }
-            Change::Twin(address) => {
-                self.twin = Some((address, now));
-                warn!(%address, "fleet: an earlier process of this node's name lives, too; this one holds");
+            Change::DuplicateName(address) => {
+                self.duplicate = Some((address, now));
+                warn!(
+                    %address,
+                    "fleet: an earlier process of this node's name is alive, too; the fleet follows this one"
+                );
                 Event::Twin { address }
             }
             Change::Superseded(by) => {
-                warn!(%by, "fleet: a later process of this node's name lives, and holds in place of this one");
+                warn!(%by, "fleet: a later process of this node's name is alive; the fleet follows that one");
                 Event::Superseded { by }
             }
-            Change::Raised(start) => {
-                info!(start, "fleet: goes by a later start than its clock gave, as one of its name had");
+            Change::StartRaised(start) => {
+                info!(start, "fleet: start raised, since another process of this name had a later one");
                 Event::Raised { start }
             }
         };
-        self.show(&event);
+        self.publish(&event);
     }
 
-    fn show(&mut self, event: &Event) {
-        if let Some(look) = &mut self.look {
-            look.tell_all(&serde_json::to_string(event).unwrap_or_default());
+    fn publish(&mut self, event: &Event) {
+        if let Some(view) = &mut self.operator_view {
+            view.send_to_watchers(&serde_json::to_string(event).unwrap_or_default());
         }
     }
 }
 
-fn hold(section: &Section) -> Micros {
+fn leave_hold(section: &Section) -> Micros {
     Micros::from(section.hold_s) * 1_000_000
 }
