--- a/crates/membership/tests/fleet/ablation.rs
+++ b/crates/membership/tests/fleet/ablation.rs
@@ -1,19 +1,21 @@
-//! Each mechanism taken out in turn: a scenario that holds with it must not without.
+//! Disables each mechanism in turn. For each there is a scenario that passes with it and has to fail without
+//! it.
 
 use crate::world::{MS, S, World, name};
 use lapisrudder_membership::{Ablation, Change, Name, State};
 
-/// What went wrong in a scenario, if anything.
+/// Runs a scenario and describes what went wrong, if anything.
 type Scenario = fn(Ablation) -> Option<String>;
 
-/// Verdicts on such as live, and words that went back.
+/// The first live member declared dead, or the first change that went back.
 fn violation(world: &World) -> Option<String> {
-    let dead = world.false_dead.first().map(|(at, n, of)| format!("{at}: n{n} calls {of} dead"));
+    let dead = world.false_dead.first().map(|(at, n, of)| format!("{at}: n{n} declares {of} dead"));
     dead.or_else(|| world.violations.first().cloned())
 }
 
-/// Two do not reach a third, which all others do.
-fn two_cut_from_a_third(ablation: Ablation) -> Option<String> {
+/// Two nodes cannot reach a third, which all others reach: helpers report that it answers them, so it never
+/// becomes suspect.
+fn two_members_cannot_reach_a_third(ablation: Ablation) -> Option<String> {
     let mut world = World::together_with_ablation(7, 1, ablation);
     for n in [0, 1] {
         world.cut(n, 2);
@@ -21,40 +23,44 @@
     }
     world.nodes.iter_mut().for_each(|node| node.changes.clear());
     world.run(60 * S);
-    // Whoever asks others for it is told that it answers them.
     let suspects = |c: &Change| matches!(c, Change::Member(view) if view.state == State::Suspect);
-    let told = world.nodes.iter().any(|node| node.changes.iter().any(|(_, c)| suspects(c)));
-    told.then(|| "one is suspect that all others reach".into())
+    let suspected = world.nodes.iter().any(|node| node.changes.iter().any(|(_, c)| suspects(c)));
+    suspected.then(|| "a member that others reach is suspect".into())
 }
 
-fn a_death_in_a_fleet(ablation: Ablation) -> Option<String> {
+fn death_is_detected_in_time(ablation: Ablation) -> Option<String> {
     (0..5).find_map(|seed| {
         let mut world = World::together_with_ablation(30, seed, ablation);
         world.kill(3);
         let known = world.run_until(30 * S, |w| w.all_see(3, State::Dead))?;
-        (known > 6500 * MS).then(|| format!("known after {known}"))
+        (known > 6500 * MS).then(|| format!("detected after {known} µs"))
     })
 }
 
-fn one_hears_nothing(ablation: Ablation) -> Option<String> {
+fn member_receives_nothing(ablation: Ablation) -> Option<String> {
     let mut world = World::together_with_ablation(9, 1, ablation);
     (1..9).for_each(|n| world.cut(n, 0));
     world.run(60 * S);
-    (1..9).find(|n| world.view_of(0, *n) == Some(State::Dead)).map(|n| format!("it calls {n} dead"))
+    (1..9).find(|n| world.view_of(0, *n) == Some(State::Dead)).map(|n| format!("it declares {n} dead"))
 }
 
-/// Two halves that called each other dead meet again: neither convicts its own members at the other's word.
-fn two_halves_meet(ablation: Ablation) -> Option<String> {
+/// Two sides of a partition that declared each other dead meet again. Neither may declare members of its own
+/// side dead because the other reports it.
+fn partition_heals(ablation: Ablation) -> Option<String> {
     let mut world = World::together_with_ablation(10, 1, ablation);
     world.partition(|n| n < 5);
     world.run(30 * S);
     world.links.clear();
     world.run(30 * S);
     let own = |n: usize, of: &Name| (0..10).any(|o| name(o) == *of && (o < 5) == (n < 5));
-    world.false_dead.iter().find(|(_, n, of)| own(*n, of)).map(|(_, n, of)| format!("n{n} calls {of} dead"))
+    world
+        .false_dead
+        .iter()
+        .find(|(_, n, of)| own(*n, of))
+        .map(|(_, n, of)| format!("n{n} declares {of} dead"))
 }
 
-fn all_stand_still(ablation: Ablation) -> Option<String> {
+fn all_members_pause(ablation: Ablation) -> Option<String> {
     (0..10).find_map(|seed| {
         let mut world = World::together_with_ablation(12, seed, ablation);
         for _ in 0..4 {
@@ -65,20 +71,21 @@
     })
 }
 
-/// One hears and is heard badly: how often it speaks ill of the others.
-fn one_on_a_bad_way(ablation: Ablation) -> Option<String> {
+/// A node with 70% loss on all paths to it: its health score has to limit how often it suspects others.
+fn member_behind_a_lossy_path(ablation: Ablation) -> Option<String> {
     let mut world = World::together_with_ablation(12, 3, ablation);
     for n in 1..12 {
         world.links.insert((n, 0), crate::world::Link { loss: 0.7, ..world.link });
     }
     world.run(300 * S);
     let suspects = |c: &Change| matches!(c, Change::Member(view) if view.state == State::Suspect);
-    let told = world.nodes[0].changes.iter().filter(|(_, c)| suspects(c)).count();
-    (told > 80).then(|| format!("it suspects others {told} times"))
+    let suspicions = world.nodes[0].changes.iter().filter(|(_, c)| suspects(c)).count();
+    (suspicions > 80).then(|| format!("it suspects others {suspicions} times"))
 }
 
-/// One hears nothing while another says goodbye, and everybody has told that often enough when it hears again.
-fn a_goodbye_is_missed(ablation: Ablation) -> Option<String> {
+/// A node receives nothing while another one leaves; when it receives again, gossip has finished spreading
+/// that.
+fn leave_is_missed(ablation: Ablation) -> Option<String> {
     let mut world = World::together_with_ablation(12, 1, ablation);
     (1..12).for_each(|n| world.cut(n, 0));
     world.leave(5);
@@ -86,11 +93,11 @@
     world.kill(5);
     world.links.clear();
     world.run(60 * S);
-    let held = world.view_of(0, 5);
-    (held != Some(State::Left)).then(|| format!("it is held for {held:?}"))
+    let seen = world.view_of(0, 5);
+    (seen != Some(State::Left)).then(|| format!("it is seen as {seen:?}"))
 }
 
-fn old_words_come_again(ablation: Ablation) -> Option<String> {
+fn old_updates_are_replayed(ablation: Ablation) -> Option<String> {
     let mut world = World::together_with_ablation(8, 1, ablation);
     world.recorded = Some(Vec::new());
     world.pause(5, 4 * S);
@@ -103,30 +110,29 @@
     world.run(S);
     let back = |c: &Change| matches!(c, Change::Member(v) if v.name == name(2) && v.state == State::Alive);
     let revived = world.nodes.iter().any(|node| node.changes.iter().any(|(_, c)| back(c)));
-    violation(&world).or_else(|| revived.then(|| "one that is dead comes back".into()))
+    violation(&world).or_else(|| revived.then(|| "a dead member is revived".into()))
 }
 
 #[test]
-fn each_mechanism_that_is_taken_out_is_missed() {
+fn each_disabled_mechanism_makes_its_scenario_fail() {
     let scenarios: [(Ablation, Scenario); 9] = [
-        (Ablation::NoIncarnations, old_words_come_again),
-        (Ablation::NoShortening, a_death_in_a_fleet),
-        (Ablation::NoIndirectProbes, two_cut_from_a_third),
-        (Ablation::NoAwareness, one_on_a_bad_way),
-        (Ablation::NoStallDetection, all_stand_still),
-        (Ablation::NoPushPull, a_goodbye_is_missed),
-        (Ablation::NoTombstones, old_words_come_again),
-        (Ablation::OneAccuser, one_hears_nothing),
-        (Ablation::TrustReportedDeath, two_halves_meet),
+        (Ablation::NoIncarnations, old_updates_are_replayed),
+        (Ablation::NoShortening, death_is_detected_in_time),
+        (Ablation::NoIndirectProbes, two_members_cannot_reach_a_third),
+        (Ablation::NoAwareness, member_behind_a_lossy_path),
+        (Ablation::NoStallDetection, all_members_pause),
+        (Ablation::NoPushPull, leave_is_missed),
+        (Ablation::NoTombstones, old_updates_are_replayed),
+        (Ablation::OneAccuser, member_receives_nothing),
+        (Ablation::TrustReportedDeath, partition_heals),
     ];
-    let mut told = Vec::new();
+    let mut problems = Vec::new();
     for (ablation, scenario) in scenarios {
-        told.extend(
-            scenario(Ablation::None).map(|what| format!("broken though nothing is ablation: {what}")),
-        );
+        problems
+            .extend(scenario(Ablation::None).map(|what| format!("fails with no mechanism disabled: {what}")));
         if scenario(ablation).is_none() {
-            told.push(format!("{ablation:?} is not noticed"));
+            problems.push(format!("the scenario of {ablation:?} passes"));
         }
     }
-    assert_eq!(told, [] as [String; 0]);
+    assert_eq!(problems, [] as [String; 0]);
 }
--- a/crates/membership/tests/fleet/main.rs
+++ b/crates/membership/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! The core on a virtual clock, with each fault that it is for.
+//! The protocol core on a virtual clock, under each fault that it is designed for.
 
 mod ablation;
 mod table;
@@ -9,42 +9,42 @@
 use rand::seq::IndexedRandom;
 use world::{Link, MS, S, World, name};
 
-fn no_false(world: &World) {
+fn assert_no_false_verdicts(world: &World) {
     assert_eq!(world.violations, [] as [String; 0]);
-    assert_eq!(world.false_dead, [], "verdicts on such as live");
+    assert_eq!(world.false_dead, [], "live members declared dead");
 }
 
 #[test]
-fn a_death_is_known_to_all_and_a_goodbye_is_no_death() {
+fn death_is_detected_by_all_and_a_leave_is_no_death() {
     for seed in 0..20 {
         let mut world = World::together(12, seed);
         world.leave(4);
         world.run(S);
         world.kill(4);
         world.kill(3);
-        let known = world.run_until(10 * S, |w| w.all_see(3, State::Dead)).expect("dead");
+        let known = world.run_until(10 * S, |w| w.all_see(3, State::Dead)).expect("declared dead by all");
         assert!(known < 8 * S, "seed {seed}: {known}");
         world.run(30 * S);
-        assert!(world.all_see(4, State::Left), "it said so itself");
+        assert!(world.all_see(4, State::Left), "a member that announced its leave is not dead");
         assert!(world.agree(10));
-        no_false(&world);
+        assert_no_false_verdicts(&world);
     }
 }
 
 #[test]
-fn three_hundred_know_of_a_death_within_seconds() {
+fn death_is_detected_within_seconds_among_300_members() {
     let mut world = World::together(300, 1);
     let before = world.bytes;
     world.run(20 * S);
-    assert!((world.bytes - before) / 300 / 20 < 2_000, "bytes a second and node");
+    assert!((world.bytes - before) / 300 / 20 < 2_000, "bytes per second and node");
     world.kill(17);
-    let known = world.run_until(10 * S, |w| w.all_see(17, State::Dead)).expect("dead");
+    let known = world.run_until(10 * S, |w| w.all_see(17, State::Dead)).expect("declared dead by all");
     assert!(known < 6 * S, "{known}");
-    no_false(&world);
+    assert_no_false_verdicts(&world);
 }
 
 #[test]
-fn a_restart_replaces_the_old_at_once_and_nothing_old_revives_it() {
+fn restart_replaces_the_old_process_and_replayed_updates_do_not_revive_it() {
     for seed in 0..20 {
         let mut world = World::together(8, seed);
         world.recorded = Some(Vec::new());
@@ -60,19 +60,19 @@
             })
         };
         assert!(world.run_until(3 * S, follows).is_some(), "seed {seed}");
-        // An hour later all that was said is said again.
+        // An hour later, all recorded datagrams are replayed.
         world.run(3_600 * S);
         for (from, to, body) in old {
             world.send(from, to, body);
         }
         world.run(5 * S);
         assert!(follows(&world) && world.agree(8), "seed {seed}");
-        no_false(&world);
+        assert_no_false_verdicts(&world);
     }
 }
 
 #[test]
-fn a_pair_that_is_cut_either_way_holds_nobody_for_dead_and_says_how_it_hears() {
+fn broken_path_between_two_causes_no_death_and_shows_in_reachability() {
     for (seed, both) in (0..10).flat_map(|seed| [(seed, false), (seed, true)]) {
         let mut world = World::together(6, seed);
         world.cut(0, 1);
@@ -81,13 +81,13 @@
         }
         world.run(120 * S);
         assert!(world.agree(6), "seed {seed}");
-        no_false(&world);
+        assert_no_false_verdicts(&world);
         let heard = |n: usize, of: usize| {
             let core = world.nodes[n].core.as_ref().unwrap();
             core.members(world.now).find(|m| m.name == name(of)).unwrap().heard
         };
         assert_eq!(heard(1, 0), Reachability::ThroughOthers);
-        // Only what 1 says itself still arrives.
+        // Node 0 still receives what node 1 sends on its own.
         let other = heard(0, 1);
         let expected = if both {
             [Reachability::ThroughOthers; 2]
@@ -100,39 +100,39 @@
 }
 
 #[test]
-fn a_ring_of_one_way_cuts_holds_nobody_for_dead() {
+fn ring_of_one_way_cuts_causes_no_death() {
     for seed in 0..10 {
         let mut world = World::together(7, seed);
         (0..7).for_each(|n| world.cut(n, (n + 1) % 7));
         world.run(120 * S);
         assert!(world.agree(7), "seed {seed}");
-        no_false(&world);
+        assert_no_false_verdicts(&world);
     }
 }
 
 #[test]
-fn one_that_hears_nothing_convicts_nobody_and_is_not_believed() {
+fn member_that_receives_nothing_declares_nobody_dead_and_is_not_believed() {
     for seed in 0..20 {
         let mut world = World::together(9, seed);
         (1..9).for_each(|n| world.cut(n, 0));
         world.run(120 * S);
         let own: Vec<_> = (1..9).map(|n| world.view_of(0, n)).collect();
         assert!(!own.contains(&Some(State::Dead)), "seed {seed}: {own:?}");
-        // Others do not hear it answer, but nobody holds one of the others for dead.
-        no_false_of(&world, 1..9);
+        // Node 0 itself may be declared dead, since it does not answer, but none of the others.
+        assert_none_declared_dead_of(&world, 1..9);
         world.links.clear();
-        assert!(world.run_until(90 * S, |w| w.agree(9)).is_some(), "seed {seed}: it heals");
+        assert!(world.run_until(90 * S, |w| w.agree(9)).is_some(), "seed {seed}: views converge again");
     }
 }
 
-fn no_false_of(world: &World, of: std::ops::Range<usize>) {
+fn assert_none_declared_dead_of(world: &World, of: std::ops::Range<usize>) {
     let names: Vec<_> = of.map(name).collect();
     let bad: Vec<_> = world.false_dead.iter().filter(|(_, _, of)| names.contains(of)).collect();
     assert!(bad.is_empty(), "{bad:?}");
 }
 
 #[test]
-fn one_that_nobody_hears_is_given_up_and_convicts_nobody() {
+fn member_that_nobody_receives_is_declared_dead_and_declares_nobody_dead() {
     for seed in 0..20 {
         let mut world = World::together(9, seed);
         (1..9).for_each(|n| world.cut(0, n));
@@ -140,23 +140,23 @@
         world.run(60 * S);
         let own: Vec<_> = (1..9).map(|n| world.view_of(0, n)).collect();
         assert!(!own.contains(&Some(State::Dead)), "seed {seed}: {own:?}");
-        no_false_of(&world, 1..9);
+        assert_none_declared_dead_of(&world, 1..9);
         world.links.clear();
-        assert!(world.run_until(90 * S, |w| w.agree(9)).is_some(), "seed {seed}: it heals");
+        assert!(world.run_until(90 * S, |w| w.agree(9)).is_some(), "seed {seed}: views converge again");
     }
 }
 
 #[test]
-fn two_halves_heal_by_themselves_after_changes_on_either_side() {
+fn partition_heals_by_itself_after_changes_on_both_sides() {
     for seed in 0..10 {
         let mut world = World::together(20, seed);
         world.partition(|n| n % 2 == 0);
         let parted = |w: &World| {
             (0..20).all(|n| (0..20).all(|o| n % 2 == o % 2 || w.view_of(n, o) == Some(State::Dead)))
         };
-        assert!(world.run_until(30 * S, parted).is_some(), "seed {seed}: each side holds the other for dead");
+        assert!(world.run_until(30 * S, parted).is_some(), "seed {seed}: each side declares the other dead");
         world.false_dead.clear();
-        // Fifty changes on either side: restarts, of which nobody on the other side hears.
+        // Fifty restarts on each side, of which the other side learns nothing.
         for _ in 0..50 {
             for side in 0..2 {
                 let n = 2 * world.rng.random_range(0..10) + side;
@@ -168,8 +168,8 @@
         world.run(10 * S);
         world.links.clear();
         let together = world.run_until(120 * S, |w| w.agree(20));
-        assert!(together.is_some(), "seed {seed}: they come together");
-        // Nobody of one's own side was held for dead at the other's word.
+        assert!(together.is_some(), "seed {seed}: views converge");
+        // Reports of the other side led nobody to declare a member of the own side dead.
         let own_side: Vec<_> = world
             .false_dead
             .iter()
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn forty_in_a_hundred_stand_still_again_and_again_and_nobody_is_held_for_dead() {
+fn repeated_pauses_of_forty_per_cent_cause_no_death() {
     for seed in 0..10 {
         let mut world = World::together(30, seed);
         world.link.loss = 0.1;
@@ -188,13 +188,14 @@
             world.pause_some(12);
             world.run(S);
         }
-        no_false(&world);
+        assert_no_false_verdicts(&world);
     }
 }
 
-/// Danger: one that waited to hear all others again waited for the dead one, too, and never passed a verdict.
+/// Guards against a recovery that waits for answers of all members after a stall: it waited for the dead one,
+/// too, and never declared anyone dead.
 #[test]
-fn a_death_is_known_to_all_though_many_stand_still_again_and_again() {
+fn death_is_detected_by_all_despite_repeated_pauses() {
     for seed in 0..10 {
         let mut world = World::together(8, seed);
         world.link.loss = 0.1;
@@ -206,29 +207,29 @@
             known |= world.all_see(5, State::Dead);
         }
         assert!(known, "seed {seed}");
-        no_false(&world);
+        assert_no_false_verdicts(&world);
     }
 }
 
 #[test]
-fn all_stand_still_at_once_and_nobody_is_held_for_dead() {
+fn pause_of_all_members_at_once_causes_no_death() {
     for seed in 0..20 {
         let mut world = World::together(12, seed);
         (0..12).for_each(|n| world.pause(n, 20 * S + n as i64 * 40 * MS));
         world.run(60 * S);
         assert!(world.agree(12));
-        no_false(&world);
-        let stood =
+        assert_no_false_verdicts(&world);
+        let stalled =
             |w: &World, n: usize| w.nodes[n].changes.iter().any(|(_, c)| matches!(c, Change::Stalled(_)));
-        assert!((0..12).all(|n| stood(&world, n)));
+        assert!((0..12).all(|n| stalled(&world, n)));
     }
 }
 
 #[test]
-fn one_that_stood_still_while_it_was_called_dead_comes_back_and_passes_no_old_verdict() {
+fn member_declared_dead_during_a_pause_returns_and_draws_no_old_conclusions() {
     for seed in 0..20 {
         let mut world = World::together(8, seed);
-        // Stopped in the middle of being suspected, continued right after it was called dead.
+        // The process is paused while suspected, and resumes right after it was declared dead.
         world.pause(0, 3_600 * S);
         let dead = |w: &World| (1..8).any(|n| w.view_of(n, 0) == Some(State::Dead));
         assert!(world.run_until(20 * S, dead).is_some(), "seed {seed}");
@@ -236,34 +237,34 @@
         world.pause(0, MS);
         world.run(2 * MS);
         let own: Vec<_> = (1..8).map(|n| world.view_of(0, n)).collect();
-        assert!(!own.contains(&Some(State::Dead)), "asked at once: {own:?}");
+        assert!(!own.contains(&Some(State::Dead)), "right after it resumed: {own:?}");
         assert!(world.run_until(30 * S, |w| w.agree(8)).is_some(), "seed {seed}");
-        no_false_of(&world, 1..8);
+        assert_none_declared_dead_of(&world, 1..8);
     }
 }
 
 #[test]
-fn delays_loss_doubles_and_disorder_bring_nobody_down() {
+fn delay_loss_duplication_and_reordering_cause_no_death() {
     for seed in 0..5 {
         let mut world = World::together(12, seed);
-        world.link = Link { loss: 0.3, double: 0.1, delay: MS, jitter: 20 * MS, cut: false };
+        world.link = Link { loss: 0.3, duplication: 0.1, delay: MS, jitter: 20 * MS, cut: false };
         world.run(120 * S);
-        world.link = Link { loss: 0.0, double: 0.1, delay: 200 * MS, jitter: 300 * MS, cut: false };
+        world.link = Link { loss: 0.0, duplication: 0.1, delay: 200 * MS, jitter: 300 * MS, cut: false };
         world.run(120 * S);
-        no_false(&world);
+        assert_no_false_verdicts(&world);
         world.link = Link { delay: MS, ..Link::default() };
         assert!(world.run_until(60 * S, |w| w.agree(12)).is_some(), "seed {seed}");
     }
 }
 
 #[test]
-fn seven_in_ten_die_at_once_and_the_rest_know() {
+fn simultaneous_death_of_seventy_per_cent_is_detected() {
     for seed in 0..10 {
         let mut world = World::together(20, seed);
         (0..14).for_each(|n| world.kill(n));
-        let known = world.run_until(30 * S, |w| w.agree(6)).expect("all known");
+        let known = world.run_until(30 * S, |w| w.agree(6)).expect("all survivors agree");
         assert!(known < 15 * S, "seed {seed}: {known}");
-        no_false(&world);
+        assert_no_false_verdicts(&world);
     }
 }
 
@@ -278,30 +279,30 @@
             world.kill(0);
         }
     }
-    // Those whom it never heard know nobody else; they go on calling it.
+    // Nodes that the seed never received know no other member, and go on calling it.
     let joined = |w: &World| (1..=190).all(|n| (1..=190).all(|o| w.view_of(n, o) == Some(State::Alive)));
     assert!(world.run_until(40 * S, joined).is_some());
     let unreadable: u64 =
         world.running().filter_map(|n| Some(world.nodes[n].core.as_ref()?.counts().unreadable)).sum();
-    assert_eq!(unreadable, 0, "members read what members write");
+    assert_eq!(unreadable, 0, "members decode what members encode");
     world.start(0, &[30]);
     assert!(world.run_until(90 * S, |w| w.agree(300)).is_some());
-    no_false(&world);
+    assert_no_false_verdicts(&world);
 }
 
 #[test]
-fn seeds_that_never_were_cost_little_and_one_that_comes_late_is_found() {
+fn absent_seeds_cost_little_and_a_late_one_is_found() {
     let mut world = World::new(3, 1);
     world.start(0, &[1, 2]);
     let before = world.bytes;
     world.run(120 * S);
-    assert!((world.bytes - before) / 120 < 800, "two seeds are called ever more seldom");
+    assert!((world.bytes - before) / 120 < 800, "calls to two absent seeds back off");
     world.start(2, &[1]);
     assert!(world.run_until(15 * S, |w| w.agree(2)).is_some());
 }
 
 #[test]
-fn an_address_that_is_another_member_s_now_is_not_taken_for_the_old_one() {
+fn address_reused_by_another_member_is_not_taken_for_the_old_one() {
     let mut world = World::together(6, 5);
     world.kill(2);
     let start = world.now as u64;
@@ -315,7 +316,7 @@
 }
 
 #[test]
-fn of_two_that_bear_one_name_the_later_holds_and_both_are_told() {
+fn later_of_two_processes_of_one_name_wins_and_both_learn_of_it() {
     for seed in 0..20 {
         let mut world = World::together(6, seed);
         world.nodes.push(world::node_at(6));
@@ -323,9 +324,10 @@
         world.run(11 * S);
         world.start_as(6, 3, start, &[0]);
         world.run(30 * S);
-        let told = |n: usize, what: fn(&Change) -> bool| world.nodes[n].changes.iter().any(|(_, c)| what(c));
-        assert!(told(3, |c| matches!(c, Change::Superseded(_))), "seed {seed}");
-        assert!(told(6, |c| matches!(c, Change::DuplicateName(_))), "seed {seed}");
+        let reported =
+            |n: usize, what: fn(&Change) -> bool| world.nodes[n].changes.iter().any(|(_, c)| what(c));
+        assert!(reported(3, |c| matches!(c, Change::Superseded(_))), "seed {seed}");
+        assert!(reported(6, |c| matches!(c, Change::DuplicateName(_))), "seed {seed}");
         for n in [0, 1, 2, 4, 5] {
             let core = world.nodes[n].core.as_ref().unwrap();
             let of = core.members(world.now).find(|m| m.name == name(3)).unwrap();
@@ -335,11 +337,11 @@
 }
 
 #[test]
-fn one_whose_clock_was_set_back_takes_the_place_of_its_process_before() {
+fn process_with_a_clock_set_back_replaces_its_predecessor() {
     for seed in 0..20 {
         let mut world = World::together(6, seed);
         world.kill(3);
-        // It starts an hour before the one that it replaces.
+        // Its start lies before that of the process that it replaces, as with a clock that was set back.
         world.start_as(3, 3, 1, &[0]);
         world.run(30 * S);
         assert!(world.agree(6), "seed {seed}");
@@ -348,7 +350,7 @@
 }
 
 #[test]
-fn a_replacement_in_place_is_no_event_for_the_others() {
+fn takeover_by_a_successor_is_no_event_for_other_members() {
     let mut world = World::together(6, 9);
     world.nodes.iter_mut().for_each(|n| n.changes.clear());
     let inherited: Inherited = world.nodes[2].core.as_ref().unwrap().hand_over(world.now);
@@ -368,27 +370,27 @@
     assert!((0..6).filter(|n| *n != 2).all(|n| world.nodes[n].changes.is_empty()));
 }
 
-/// Nobody gets more out of a member than it sent, unless it is one; and memory has a bound.
+/// Only members get a longer answer than what they sent, and the table of members is bounded.
 #[test]
-fn a_stranger_gets_no_more_bytes_than_it_sends_and_made_up_members_find_a_bound() {
+fn stranger_gets_no_more_bytes_than_it_sends_and_invented_members_are_bounded() {
     let mut world = World::together(8, 2);
-    let mut kept = World::together(3, 7);
-    kept.recorded = Some(Vec::new());
-    (0..3).for_each(|n| kept.start(n, &[0]));
-    kept.run(3 * S);
+    let mut source = World::together(3, 7);
+    source.recorded = Some(Vec::new());
+    (0..3).for_each(|n| source.start(n, &[0]));
+    source.run(3 * S);
     let stranger: std::net::SocketAddr = "127.0.0.1:9".parse().unwrap();
-    for (_, _, body) in kept.recorded.take().unwrap() {
+    for (_, _, body) in source.recorded.take().unwrap() {
         let core = world.nodes[0].core.as_mut().unwrap();
         core.receive(world.now, stranger, &body);
         let mut out = 0;
-        while let Some(order) = core.poll() {
-            if let lapisrudder_membership::Output::Send { to, body } = order {
+        while let Some(output) = core.poll() {
+            if let lapisrudder_membership::Output::Send { to, body } = output {
                 out += if to == stranger { body.len() } else { 0 };
             }
         }
         assert!(out <= body.len(), "{out} for {}", body.len());
     }
-    // A hundred thousand datagrams within a second: what goes out keeps to its bound.
+    // A hundred thousand datagrams within a second: the bytes sent stay within the budget.
     let seeds: Vec<Vec<u8>> = (0..50).map(|_| (0..200).map(|_| world.rng.random()).collect()).collect();
     let core = world.nodes[1].core.as_mut().unwrap();
     let before = core.counts().sent_bytes;
@@ -400,9 +402,9 @@
     assert_eq!(core.members(world.now).count(), 8);
 }
 
-/// Any faults by chance, and then none: views come together, whatever went before.
+/// Random faults, then none: all views converge in the end.
 #[test]
-fn whatever_happened_views_are_the_same_once_it_is_over() {
+fn views_converge_after_random_faults() {
     let seeds: u64 = std::env::var("SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(100);
     for seed in 0..seeds {
         let count = 5 + (seed as usize * 7) % 20;
--- a/crates/membership/tests/fleet/world.rs
+++ b/crates/membership/tests/fleet/world.rs
@@ -1,5 +1,5 @@
-//! A fleet on a virtual clock: the real core, a network with faults between each pair, and the rules, looked at with
-//! each change that a member tells.
+//! A simulated fleet on a virtual clock: the real protocol core, a network with faults between each pair of
+//! nodes, and rules that are checked on every change that a member reports.
 
 use lapisrudder_membership::{
     Ablation, Change, Config, Membership, Micros, Name, Output, Settings, State, View,
@@ -12,16 +12,16 @@
 
 pub const S: Micros = 1_000_000;
 pub const MS: Micros = 1_000;
-/// What a stopped process's socket holds.
+/// Capacity of a node's socket buffer, in datagrams.
 const INBOX: usize = 150;
 
-/// What the link from one member to another does.
+/// Behaviour of the network path from one node to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Link {
     pub loss: f64,
-    pub double: f64,
+    pub duplication: f64,
     pub delay: Micros,
-    /// Up to so much more, by chance: what is sent later may come first.
+    /// Random addition to the delay, which also reorders datagrams.
     pub jitter: Micros,
     pub cut: bool,
 }
@@ -31,14 +31,14 @@
     pub core: Option<Membership>,
     pub at: SocketAddr,
     pub start: u64,
-    /// It stands still until then.
+    /// The node's process is paused until then.
     pub paused_until: Micros,
-    /// When it is to be woken, as last set.
+    /// When the node is due to wake, as last scheduled.
     next_wake_at: Micros,
     inbox: VecDeque<(SocketAddr, Vec<u8>)>,
-    /// It is at fault itself, or its links are: what it holds of others breaks no rule.
+    /// The node or its links are faulty by design: its view of others, and theirs of it, is not checked.
     pub faulty: bool,
-    /// What it told of others, by name.
+    /// The last view of each member that it reported.
     seen: BTreeMap<Name, View>,
     pub changes: Vec<(Micros, Change)>,
 }
@@ -58,16 +58,16 @@
     pub rng: SmallRng,
     queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     next: u64,
-    /// All that was sent, if it is kept.
+    /// All datagrams sent, while recording is on.
     pub recorded: Option<Vec<(usize, SocketAddr, Vec<u8>)>>,
-    /// Verdicts of well members on such as live.
+    /// Members declared dead while alive: time, declaring node, member.
     pub false_dead: Vec<(Micros, usize, Name)>,
-    /// Words that went back, or brought something old to life.
+    /// Changes that went back to an older incarnation, or revived a member without a newer one.
     pub violations: Vec<String>,
-    /// What all lack.
+    /// The mechanism that all nodes run without.
     pub ablation: Ablation,
     pub bytes: u64,
-    /// When some stand still again, where a measurement wants that.
+    /// When the next pauses begin, in measurements with pauses.
     pub next_pause_at: Micros,
 }
 
@@ -80,7 +80,7 @@
 }
 
 impl World {
-    /// Nobody runs yet.
+    /// A world in which no node runs yet.
     pub fn new(count: usize, seed: u64) -> World {
         let node = |n| Node {
             core: None,
@@ -111,18 +111,18 @@
         }
     }
 
-    /// All run and know each other.
+    /// A world in which all nodes run and know each other.
     pub fn together(count: usize, seed: u64) -> World {
         World::together_with_ablation(count, seed, Ablation::None)
     }
 
-    /// The same, without one mechanism.
+    /// The same, with one mechanism disabled.
     pub fn together_with_ablation(count: usize, seed: u64, ablation: Ablation) -> World {
         let mut world = World::new(count, seed);
         world.ablation = ablation;
         (0..count).for_each(|n| world.start(n, &[0, 1]));
         world.run(12 * S);
-        assert!(world.agree(count), "a fleet without faults comes together");
+        assert!(world.agree(count), "a fleet without faults converges");
         world
     }
 
@@ -131,7 +131,7 @@
         self.start_as(n, n, start, seeds);
     }
 
-    /// A process at place `n` by the name of another, perhaps.
+    /// Starts a process at node `n`, possibly under the name of another node.
     pub fn start_as(&mut self, n: usize, as_name: usize, start: u64, seeds: &[usize]) {
         let config = Config {
             name: name(as_name),
@@ -161,13 +161,13 @@
         self.drain_outputs(n);
     }
 
-    /// It stands still for so long.
+    /// Pauses a node's process.
     pub fn pause(&mut self, n: usize, length: Micros) {
         self.nodes[n].paused_until = self.nodes[n].paused_until.max(self.now + length);
         self.push(self.nodes[n].paused_until, Event::Wake(n));
     }
 
-    /// Of the first so many, three in ten stand still for 200 to 500 ms.
+    /// Pauses about three in ten of the first `count` nodes for 200 to 500 ms.
     pub fn pause_some(&mut self, count: usize) {
         for n in 0..count {
             let length = self.rng.random_range(200..=500) * MS;
@@ -177,12 +177,12 @@
         }
     }
 
-    /// Cuts the link from one to another.
+    /// Drops all datagrams from one node to another.
     pub fn cut(&mut self, from: usize, to: usize) {
         self.links.insert((from, to), Link { cut: true, ..self.link });
     }
 
-    /// Between two parts, both links.
+    /// Partitions the fleet in two sides, in both directions.
     pub fn partition(&mut self, side: impl Fn(usize) -> bool) {
         let count = self.nodes.len();
         for a in 0..count {
@@ -195,7 +195,7 @@
         self.queue.push(Reverse((at, self.next, event)));
     }
 
-    /// Plays on for so long.
+    /// Advances the virtual time.
     pub fn run(&mut self, length: Micros) {
         let end = self.now + length;
         while let Some(Reverse((at, ..))) = self.queue.peek() {
@@ -223,10 +223,10 @@
         self.now = end;
     }
 
-    /// Until something holds; how long that took, or nothing within `most`.
+    /// Runs until a condition holds. Returns the time taken, or `None` if it does not hold within `most`.
     pub fn run_until(&mut self, most: Micros, holds: impl Fn(&World) -> bool) -> Option<Micros> {
         let begun = self.now;
-        // To look at all views of a large fleet takes longer than to play on.
+        // Checking all views of a large fleet takes longer than simulating it.
         let step = if self.nodes.len() > 100 { S } else { 20 * MS };
         while self.now - begun < most {
             if holds(self) {
@@ -237,7 +237,7 @@
         None
     }
 
-    /// One turn of the host's loop: what has come, then what is due.
+    /// One iteration of a host's event loop: first the datagrams that arrived, then the timers that are due.
     fn run_iteration(&mut self, n: usize) {
         let node = &mut self.nodes[n];
         if node.paused_until > self.now {
@@ -261,7 +261,8 @@
             }
         }
         if let Some(at) = self.nodes[n].core.as_ref().map(Membership::next_wake) {
-            // One is enough: a second for the same time would bring forth two more, and so on.
+            // Only one wake event is queued: a second one for the same time would schedule two more, and so
+            // on.
             let at = at.max(self.now);
             if at < self.nodes[n].next_wake_at {
                 self.nodes[n].next_wake_at = at;
@@ -281,7 +282,7 @@
             return;
         };
         let link = self.links.get(&(n, other)).copied().unwrap_or(self.link);
-        let copies = 1 + usize::from(self.rng.random_bool(link.double));
+        let copies = 1 + usize::from(self.rng.random_bool(link.duplication));
         for _ in 0..copies {
             if !link.cut && !self.rng.random_bool(link.loss) {
                 let at = self.now + link.delay + self.rng.random_range(0..=link.jitter);
@@ -290,7 +291,7 @@
         }
     }
 
-    /// The rules on what one member says of others.
+    /// Checks a change that a member reports against the rules.
     fn on_change(&mut self, n: usize, change: Change) {
         if let Change::Member(view) = &change {
             let lives = self.nodes.iter().any(|o| {
@@ -311,25 +312,27 @@
             if let Some(before) = node.seen.insert(view.name.clone(), view.clone()) {
                 let (old, new) = ((before.start, before.incarnation), (view.start, view.incarnation));
                 if old > new {
-                    self.violations.push(format!("n{n}: an incarnation goes back: {before:?}, {view:?}"));
+                    self.violations
+                        .push(format!("n{n}: an older incarnation is reported: {before:?}, {view:?}"));
                 }
                 let away = matches!(before.state, State::Dead | State::Left);
                 let back = matches!(view.state, State::Alive | State::Suspect);
                 if away && back && old == new {
-                    self.violations.push(format!("n{n}: something old comes back: {before:?}, {view:?}"));
+                    self.violations
+                        .push(format!("n{n}: an old incarnation is revived: {before:?}, {view:?}"));
                 }
             }
         }
         self.nodes[n].changes.push((self.now, change));
     }
 
-    /// What a member holds another one for.
+    /// The state in which node `n` sees node `of`.
     pub fn view_of(&self, n: usize, of: usize) -> Option<State> {
         let core = self.nodes[n].core.as_ref()?;
         core.members(self.now).find(|m| m.name == name(of)).map(|m| m.state)
     }
 
-    /// All that run hold that of it.
+    /// Whether all running nodes see it in that state.
     pub fn all_see(&self, of: usize, state: State) -> bool {
         self.running().all(|n| n == of || self.view_of(n, of) == Some(state))
     }
@@ -338,7 +341,8 @@
         (0..self.nodes.len()).filter(|n| self.nodes[*n].core.is_some())
     }
 
-    /// Views are the same at all that run: so many are alive, and just those that run.
+    /// Whether all running nodes see exactly the running nodes as alive, `alive` in number, and none as
+    /// suspect.
     pub fn agree(&self, alive: usize) -> bool {
         let running: Vec<Name> = self.running().map(name).collect();
         self.running().all(|n| {
@@ -352,7 +356,7 @@
     }
 }
 
-/// One more place to run at.
+/// One further node, to add to a world.
 pub fn node_at(n: usize) -> Node {
     World::new(n + 1, 0).nodes.pop().unwrap()
 }
