--- a/crates/membership/src/core.rs
+++ b/crates/membership/src/core.rs
@@ -267,8 +267,7 @@
             .collect();
     }
 
-    // ---- Events and timers
-    // ---------------------------------------------------------------------------------
+    // ---- Events and timers ----
 
     /// Handles the body of a datagram that arrived from an address.
     pub fn receive(&mut self, now: Micros, from: SocketAddr, body: &[u8]) {
@@ -329,8 +328,7 @@
         }
     }
 
-    // ---- View of the fleet
-    // ---------------------------------------------------------------------------------
+    // ---- View of the fleet ----
 
     /// All members, this one first.
     pub fn members(&self, now: Micros) -> impl Iterator<Item = View> {
@@ -383,8 +381,7 @@
         self.counts
     }
 
-    // ---- Stalls of this process
-    // ----------------------------------------------------------------------------
+    // ---- Stalls of this process ----
 
     fn detect_stall(&mut self, now: Micros) {
         let late = now - self.expected_wake;
@@ -461,18 +458,18 @@
         self.send(now, at, what, about, MAX_PACKET);
     }
 
-    /// Sends a message to an address, in a packet of at most `most` bytes.
+    /// Sends a message to an address, in a packet of at most `max_bytes` bytes.
     pub(crate) fn send(
         &mut self,
         now: Micros,
         to: SocketAddr,
         what: Message,
         first: Option<Update>,
-        most: usize,
+        max_bytes: usize,
     ) {
         let mut packet = Packet { from: self.me.clone(), what, news: first.into_iter().collect() };
         // One byte is kept free: the count of updates may take two.
-        let mut left = most.saturating_sub(encoded_len(&packet) + 1);
+        let mut left = max_bytes.saturating_sub(encoded_len(&packet) + 1);
         let mut included = Vec::new();
         if !matches!(packet.what, Message::Hello { .. } | Message::Digest { .. } | Message::Records { .. }) {
             for index in self.broadcast.by_transmits() {
@@ -487,14 +484,20 @@
             }
         }
         let limit = retransmit_limit(self.settings.repeats, self.table.participants());
-        if self.send_packet(now, to, &packet, most) {
+        if self.send_packet(now, to, &packet, max_bytes) {
             self.broadcast.record_transmits(&included, limit);
         }
     }
 
-    pub(crate) fn send_packet(&mut self, now: Micros, to: SocketAddr, packet: &Packet, most: usize) -> bool {
+    pub(crate) fn send_packet(
+        &mut self,
+        now: Micros,
+        to: SocketAddr,
+        packet: &Packet,
+        max_bytes: usize,
+    ) -> bool {
         let body = packet.write();
-        if body.len() > most || !self.budget.spend(body.len(), now) {
+        if body.len() > max_bytes || !self.budget.spend(body.len(), now) {
             self.counts.withheld += 1;
             return false;
         }
@@ -539,8 +542,7 @@
         self.own_broadcasts = self.own_broadcasts.saturating_sub(1);
     }
 
-    // ---- Random choices
-    // ------------------------------------------------------------------------------------
+    // ---- Random choices ----
 
     /// Random members that are alive or suspect, leaving out one.
     pub(crate) fn random_members(&mut self, count: usize, without: Option<&Name>) -> Vec<Name> {
@@ -574,8 +576,7 @@
         Bounds { min: time(shortest), max: time(suspect_most_ms), confirmations }
     }
 
-    // ---- Dead members and seeds
-    // ----------------------------------------------------------------------------
+    // ---- Dead members and seeds ----
 
     /// Probes one dead member and calls one seed that is not a member, if they are due. Each is called with
     /// exponential backoff, so two partitions that declared each other dead find each other again at a
@@ -587,13 +588,13 @@
         if self.me.state == State::Left {
             return;
         }
-        let most = ms(self.settings.call_most_ms);
+        let max_backoff = ms(self.settings.call_most_ms);
         let dead = self.table.iter().filter(|(_, m)| m.state == State::Dead && m.reconnect.0 <= now);
         if let Some((index, name)) =
             dead.min_by_key(|(_, m)| m.reconnect.0).map(|(index, m)| (index, m.name.clone()))
         {
             self.table.change(index, |m| {
-                m.reconnect.1 = (m.reconnect.1 * 2).clamp(first_delay, most);
+                m.reconnect.1 = (m.reconnect.1 * 2).clamp(first_delay, max_backoff);
                 m.reconnect.0 = now + m.reconnect.1;
             });
             self.probe(now, &name, crate::probe::ProbeKind::Reconnect);
@@ -606,7 +607,7 @@
             return;
         };
         seed.next_call = now + seed.backoff;
-        seed.backoff = (seed.backoff * 2).min(if alone { MAX_JOIN_BACKOFF } else { most });
+        seed.backoff = (seed.backoff * 2).min(if alone { MAX_JOIN_BACKOFF } else { max_backoff });
         let to = seed.at;
         let mut packet =
             Packet { from: self.me.clone(), what: Message::Hello { filling: Vec::new() }, news: Vec::new() };
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -17,15 +17,17 @@
 //!
 //! let at = |n: u16| format!("127.0.0.1:{n}").parse().unwrap();
 //! let node = |n: u16, seeds| Membership::new(Config {
-//!     name: format!("n{n}").parse().unwrap(), at: at(n), zone: String::new(), start: 1, seeds, seed: n.into(),
-//!     settings: Settings::default(),
+//!     name: format!("n{n}").parse().unwrap(), at: at(n), zone: String::new(), start: 1, seeds,
+//!     seed: n.into(), settings: Settings::default(),
 //! }, 0);
 //! let mut nodes = [node(1, vec![]), node(2, vec![at(1)])];
 //! for now in (0..2_000_000).step_by(1_000) {
 //!     for n in 0..2 {
 //!         nodes[n].wake(now);
 //!         while let Some(output) = nodes[n].poll() {
-//!             if let Output::Send { body, .. } = output { nodes[1 - n].receive(now, at(n as u16 + 1), &body); }
+//!             if let Output::Send { body, .. } = output {
+//!                 nodes[1 - n].receive(now, at(n as u16 + 1), &body);
+//!             }
 //!         }
 //!     }
 //! }
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -1,6 +1,6 @@
-//! Merging of updates on members. Of two updates on a member, the one with the greater start, incarnation and
-//! state wins, except that a member known as alive becomes dead only after a time as suspect in this member's
-//! view.
+//! Merging of updates on members. Of two updates on a member, the one that is greater by start, then
+//! incarnation, then state wins, except that a member known as alive becomes dead only after a time as
+//! suspect in this member's view.
 
 use crate::Micros;
 use crate::ablation::Ablation;
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -119,14 +119,14 @@
 
     /// Probes another process that uses this member's name. Its packet may also be a replayed one; only an
     /// answer proves that the process is alive.
-    pub(crate) fn probe_duplicate(&mut self, now: Micros, at: SocketAddr, start: u64, most: usize) {
+    pub(crate) fn probe_duplicate(&mut self, now: Micros, at: SocketAddr, start: u64, max_bytes: usize) {
         if now - self.duplicate_probed_at < DUPLICATE_PROBE_INTERVAL {
             return;
         }
         self.duplicate_probed_at = now;
         let name = self.me.name.clone();
         let seq = self.register_probe(now, name.clone(), start, ProbeKind::Duplicate);
-        self.send(now, at, Message::Probe { seq, target: name, start }, None, most);
+        self.send(now, at, Message::Probe { seq, target: name, start }, None, max_bytes);
     }
 
     /// Handles a missing ack: sends the probe again under the same number and, the first time, asks helpers
@@ -213,7 +213,7 @@
             self.probe_duplicate(now, from, sender.start, bytes);
         }
         self.merge(now, sender.clone());
-        // Updates from a process that a later one of its name has replaced are ignored.
+        // A process that a later one of its name has replaced: its updates on other members are ignored.
         let index = self
             .table
             .find(&sender.name)
--- a/crates/membership/src/push_pull.rs
+++ b/crates/membership/src/push_pull.rs
@@ -17,8 +17,8 @@
 /// other side does not know at all. The rest still differs in the next exchange, and follows then.
 const MAX_PIECES: usize = 12;
 
-/// The part of a member's record that its bucket's digest covers. A suspicion is left out: it ends soon
-/// either way, and would make all tables differ.
+/// Digest of one member's record; a bucket's digest combines those of its members. A suspicion is left out:
+/// it ends soon either way, and would make all tables differ.
 fn record_digest(update: &Update) -> u32 {
     let rank = match update.state {
         State::Alive | State::Suspect => 0u8,
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -99,7 +99,7 @@
     /// # Errors
     /// The key of that setting, and what is wrong with it.
     pub fn check(&self) -> Result<(), SettingsError> {
-        for (key, value, least, most) in [
+        for (key, value, min, max) in [
             ("probe_every_ms", self.probe_every_ms, 20, 60_000),
             ("ack_within_ms", self.ack_within_ms, 5, 60_000),
             ("verdict_within_ms", self.verdict_within_ms, 10, 60_000),
@@ -118,8 +118,8 @@
             ("forget_s", self.forget_s, 60, 31_536_000),
             ("bytes_per_s", self.bytes_per_s, 16_384, 1 << 30),
         ] {
-            if !(least..=most).contains(&value) {
-                return Err(SettingsError { key, what: format!("{value} is not within {least} to {most}") });
+            if !(min..=max).contains(&value) {
+                return Err(SettingsError { key, what: format!("{value} is not within {min} to {max}") });
             }
         }
         for (key, value, other, bound) in [
--- a/crates/membership/tests/fleet/world.rs
+++ b/crates/membership/tests/fleet/world.rs
@@ -223,12 +223,12 @@
         self.now = end;
     }
 
-    /// Runs until a condition holds. Returns the time taken, or `None` if it does not hold within `most`.
-    pub fn run_until(&mut self, most: Micros, holds: impl Fn(&World) -> bool) -> Option<Micros> {
+    /// Runs until a condition holds. Returns the time taken, or `None` if it does not hold within `limit`.
+    pub fn run_until(&mut self, limit: Micros, holds: impl Fn(&World) -> bool) -> Option<Micros> {
         let begun = self.now;
         // Checking all views of a large fleet takes longer than simulating it.
         let step = if self.nodes.len() > 100 { S } else { 20 * MS };
-        while self.now - begun < most {
+        while self.now - begun < limit {
             if holds(self) {
                 return Some(self.now - begun);
             }
