--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -222,8 +222,8 @@
         if start <= self.me.start || self.me.state == State::Left {
             return;
         }
-        // Either the later process is gone, or it was the predecessor of this one, whose start is too small
-        // because its clock was set back. Both times this process has to take precedence.
+        // Either the later process is gone, or it is the predecessor of this one and the clock was set back
+        // in between, so that this start is too small. Both times this process has to take precedence.
         if gone || recently_joined {
             self.start_raises += u32::from(!gone);
             self.superseded = false;
