--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,16 +1,18 @@
-//! A balancer on a hand-turned clock, for the tests of the module.
+//! A balancer with a clock that the test sets, for the tests of the decisions in `lapisrudder`.
 #![allow(dead_code)]
 
 use lapisrudder::*;
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
-/// An answer after a third of the aim: neither quick enough to show that its server bears more, nor late.
-pub const TELLS_NOTHING: Micros = 170 * MS;
+/// A third of the latency target: too slow to show that its server can take more load, and not late.
+pub const NEUTRAL_LATENCY: Micros = 170 * MS;
 
-pub struct Desk {
+pub struct TestBalancer {
     pub balancer: Balancer,
+    /// The time of the next event.
     pub now: Micros,
+    /// The id of the latest request.
     pub next: u64,
 }
 
@@ -18,7 +20,7 @@
     Class { aim: 500 * MS, worth: 1.0, effect, repeat_window: S, ..Class::default() }
 }
 
-/// Classes 0, 1, 2 are safe, keyed, unsafe.
+/// Settings whose classes 0, 1 and 2 are safe, keyed and unsafe.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![class(Effect::Safe), class(Effect::Keyed), class(Effect::Unsafe)],
@@ -41,24 +43,27 @@
     Listed { server: ServerId(server), weight: 1.0, ..Listed::default() }
 }
 
-impl Desk {
-    pub fn new(settings: Settings, list: Vec<Listed>) -> Desk {
-        let mut desk = Desk { balancer: Balancer::new(7, settings, 0), now: S, next: 0 };
-        desk.event(Event::Servers { scope: Scope::Remembered, list });
-        desk
+impl TestBalancer {
+    pub fn new(settings: Settings, list: Vec<Listed>) -> TestBalancer {
+        let mut lb = TestBalancer { balancer: Balancer::new(7, settings, 0), now: S, next: 0 };
+        lb.event(Event::Servers { scope: Scope::Remembered, list });
+        lb
     }
 
-    pub fn of(servers: u64) -> Desk {
-        Desk::new(settings(), (1..=servers).map(listed).collect())
+    /// With the default settings and the servers 1 to `servers`.
+    pub fn with_servers(servers: u64) -> TestBalancer {
+        TestBalancer::new(settings(), (1..=servers).map(listed).collect())
     }
 
+    /// Handles an event at the present time; gives the actions that it causes.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.balancer.handle(self.now, event, &mut out);
         out
     }
 
-    pub fn list(&mut self, scope: Scope, list: Vec<Listed>) -> Vec<Action> {
+    /// Reports a server list of discovery.
+    pub fn update_servers(&mut self, scope: Scope, list: Vec<Listed>) -> Vec<Action> {
         self.event(Event::Servers { scope, list })
     }
 
@@ -79,18 +84,25 @@
         (request, self.event(Event::Request(new)))
     }
 
-    /// A safe read; gives the server it was sent to.
+    /// Starts a safe read; gives the server that it was sent to.
     pub fn read(&mut self, key: u64) -> (RequestId, Option<ServerId>) {
         let (id, actions) = self.request(key, 0, false);
         (id, sent_to(&actions))
     }
 
-    pub fn ended(&mut self, id: RequestId, attempt: u32, server: ServerId, outcome: Outcome) -> Vec<Action> {
-        self.ended_noted(id, attempt, server, outcome, Some(CacheNote::Hit))
+    /// Ends an attempt after 20 ms, with the note that the cache had the key.
+    pub fn end_attempt(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        server: ServerId,
+        outcome: Outcome,
+    ) -> Vec<Action> {
+        self.end_attempt_with_note(id, attempt, server, outcome, Some(CacheNote::Hit))
     }
 
-    /// The first attempt has ended so long after it was sent.
-    pub fn ended_after(
+    /// Ends the first attempt `took` after it was sent.
+    pub fn end_first_attempt_after(
         &mut self,
         request: RequestId,
         server: ServerId,
@@ -102,7 +114,8 @@
         self.event(Event::Ended(end))
     }
 
-    pub fn ended_noted(
+    /// Ends an attempt after 20 ms, with this note of the cache.
+    pub fn end_attempt_with_note(
         &mut self,
         request: RequestId,
         attempt: u32,
@@ -116,28 +129,30 @@
         self.event(Event::Ended(Ended { request, attempt, server, took, outcome, note, finished, report }))
     }
 
-    /// A read that is served at once.
+    /// A read that is served after 20 ms; gives the server.
     pub fn hit(&mut self, key: u64) -> ServerId {
         let (id, server) = self.read(key);
         let server = server.expect("sent");
-        self.ended(id, 0, server, Outcome::Served);
+        self.end_attempt(id, 0, server, Outcome::Served);
         server
     }
 
-    /// The same, served after so long.
+    /// The same, served after `took`.
     pub fn hit_after(&mut self, key: u64, took: Micros) -> ServerId {
         let (id, server) = self.read(key);
         let server = server.expect("sent");
-        self.ended_after(id, server, Outcome::Served, took);
+        self.end_first_attempt_after(id, server, Outcome::Served, took);
         server
     }
 
-    pub fn wake_after(&mut self, after: Micros) -> Vec<Action> {
+    /// Moves the clock on and runs the balancer's timers.
+    pub fn advance_and_wake(&mut self, after: Micros) -> Vec<Action> {
         self.now += after;
         self.event(Event::Wake)
     }
 }
 
+/// The server of the first attempt that these actions send.
 pub fn sent_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
--- a/tests/rules_hold.rs
+++ b/tests/rules_hold.rs
@@ -71,7 +71,7 @@
 
 /// The world outside the balancer: it plays the steps and holds the rules against each action.
 struct World {
-    desk: Desk,
+    lb: TestBalancer,
     settings: Settings,
     live: BTreeMap<u64, bool>,
     cold: BTreeMap<u64, Vec<Micros>>,
@@ -90,7 +90,7 @@
         list.push(Listed { kind: 1, ..listed(100) });
         let live = list.iter().map(|l| (l.server.0, true)).collect();
         World {
-            desk: Desk::new(settings.clone(), list),
+            lb: TestBalancer::new(settings.clone(), list),
             settings,
             live,
             cold: BTreeMap::new(),
@@ -103,7 +103,7 @@
     }
 
     fn check(&mut self, actions: Vec<Action>) {
-        let now = self.desk.now;
+        let now = self.lb.now;
         for action in actions {
             match action {
                 Action::Send { request, server, until, .. } => {
@@ -177,7 +177,7 @@
             *out.entry(t.server).or_default() += 1.0;
         }
         for (server, out) in out {
-            let counted = self.desk.balancer.in_flight(server);
+            let counted = self.lb.balancer.in_flight(server);
             assert_eq!(counted, out, "{server:?}: {out} are out, and {counted} are counted");
         }
     }
@@ -188,8 +188,8 @@
         seen.over |= outcome == Outcome::Served;
         let (server, finished) = (seen.tries[attempt].server, seen.over);
         self.warm_served += usize::from(outcome == Outcome::Served);
-        let took = (self.desk.now - seen.tries[attempt].at).max(0);
-        let actions = self.desk.event(Event::Ended(Ended {
+        let took = (self.lb.now - seen.tries[attempt].at).max(0);
+        let actions = self.lb.event(Event::Ended(Ended {
             request: RequestId(request),
             attempt: attempt as u32,
             server,
@@ -204,12 +204,12 @@
 
     /// Lets time pass as the caller would: wake-ups, time-outs, and an answer owed by each deadline.
     fn pass(&mut self, to: Micros) {
-        while self.desk.now < to {
-            self.desk.now = (self.desk.now + 5 * MS).min(to);
-            let now = self.desk.now;
+        while self.lb.now < to {
+            self.lb.now = (self.lb.now + 5 * MS).min(to);
+            let now = self.lb.now;
             if self.wakes.iter().any(|w| *w <= now) {
                 self.wakes.retain(|w| *w > now);
-                let actions = self.desk.event(Event::Wake);
+                let actions = self.lb.event(Event::Wake);
                 self.check(actions);
             }
             let expired: Vec<(u64, usize)> = self
@@ -230,11 +230,11 @@
     fn play(&mut self, step: Step) {
         match step {
             Step::Request { key, class, write } => {
-                let due = self.desk.now + 2 * S;
-                let id = self.desk.next + 1;
+                let due = self.lb.now + 2 * S;
+                let id = self.lb.next + 1;
                 self.seen.insert(id, Seen { class, due, over: false, tries: vec![], beyond: 0, counted: 0 });
-                self.taken.push(self.desk.now);
-                let (_, actions) = self.desk.request(key, class, write);
+                self.taken.push(self.lb.now);
+                let (_, actions) = self.lb.request(key, class, write);
                 self.check(actions);
             }
             Step::End { pick, outcome } => {
@@ -255,14 +255,14 @@
                 if !open.is_empty() {
                     let id = open[pick % open.len()];
                     self.seen.get_mut(&id).expect("known").over = true;
-                    let actions = self.desk.event(Event::ClientLeft { request: RequestId(id) });
+                    let actions = self.lb.event(Event::ClientLeft { request: RequestId(id) });
                     self.check(actions);
                 }
             }
-            Step::Wait { ms } => self.pass(self.desk.now + ms * MS),
+            Step::Wait { ms } => self.pass(self.lb.now + ms * MS),
             Step::List { server, stage, restarts } => {
                 let stage = [Stage::Live, Stage::Draining, Stage::Gone][stage];
-                let since = (restarts && stage == Stage::Live).then_some(self.desk.now);
+                let since = (restarts && stage == Stage::Live).then_some(self.lb.now);
                 match since {
                     Some(_) => self.cold.insert(server, vec![]),
                     None if self.settings.gone_is_advice => None,
@@ -278,15 +278,16 @@
                 if stage != Stage::Gone || was.is_some() {
                     self.live.insert(server, may);
                 }
-                let actions = self.desk.list(Scope::Changes, vec![Listed { stage, since, ..listed(server) }]);
+                let actions =
+                    self.lb.update_servers(Scope::Changes, vec![Listed { stage, since, ..listed(server) }]);
                 self.check(actions);
             }
             Step::Lost => {
-                let actions = self.desk.list(Scope::Lost, vec![]);
+                let actions = self.lb.update_servers(Scope::Lost, vec![]);
                 self.check(actions);
             }
             Step::Unknown { id, server } => {
-                let actions = self.desk.ended(RequestId(id), 0, ServerId(server), Outcome::Served);
+                let actions = self.lb.end_attempt(RequestId(id), 0, ServerId(server), Outcome::Served);
                 assert!(actions.is_empty());
             }
         }
@@ -315,7 +316,7 @@
         .run(&steps, |steps| {
             let mut world = World::new(settings.clone());
             steps.into_iter().for_each(|s| world.play(s));
-            world.pass(world.desk.now + 3 * S);
+            world.pass(world.lb.now + 3 * S);
             world.check_cold();
             Ok(())
         })
