--- a/tests/checked.rs
+++ b/tests/checked.rs
@@ -1,12 +1,14 @@
-//! The daemon on loopback while things go wrong, judged by the lab's checks over what clients, servers, discovery and the
-//! network saw. Only what sockets show is here; orders of things are played in memory (`crates/engine/tests`).
+//! The daemon on loopback under faults, checked by the lab's rules over what clients, servers, discovery and
+//! the network recorded. These tests cover what needs real sockets; orders of events are tested in memory
+//! (`crates/engine/tests`).
 
 use lapisrudder_lab::check::Rule;
 use lapisrudder_lab::experiment::{ExperimentFile, Metric};
 use lapisrudder_lab::run::{RunOptions, run};
 use lapisrudder_lab::stats::Arm;
 
-/// A small world with wide limits in time, so that a busy machine breaks no rule; faults go behind it.
+/// An experiment in a small world with these faults. Its time limits are wide, so that a busy machine breaks
+/// no rule.
 fn file(rules: &str, faults: &str) -> ExperimentFile {
     let text = format!(
         r#"question = "Which rules does the daemon break?"
@@ -61,6 +63,7 @@
     ExperimentFile::parse("world", &text).unwrap_or_else(|e| panic!("{e}"))
 }
 
+/// Faults of cache servers: drain and restart, kills, lost answers.
 const SERVERS: &str = r#"[[fault]]
 name = "one drains and comes back under another id"
 who = { servers = { count = 1 } }
@@ -81,6 +84,7 @@
 for_s = 1
 "#;
 
+/// Faults of the origin, while the servers lose keys.
 const ORIGIN: &str = r#"[[fault]]
 name = "the origin is killed"
 who = "origin"
@@ -100,6 +104,7 @@
 when = { at = [0.5, 1.7] }
 "#;
 
+/// Resets, corrupt responses and short writes.
 const NETWORK: &str = r#"[[fault]]
 name = "connections are reset"
 who = { network = { from = { nodes = {} }, to = { servers = {} } } }
@@ -120,6 +125,7 @@
 for_s = 1
 "#;
 
+/// Faults of discovery, with a drain and a restart of a node.
 const LISTS: &str = r#"[[fault]]
 name = "discovery lags behind and moves"
 who = "discovery"
@@ -144,8 +150,10 @@
 when = { at = [2.0] }
 "#;
 
+/// Fails if the daemon breaks a rule of the lab's checks under faults of servers, origin, network or
+/// discovery.
 #[test]
-fn whatever_goes_wrong_round_it_the_daemon_breaks_no_rule() {
+fn the_daemon_breaks_no_rule_under_faults_around_it() {
     let cases = [
         ("servers", "", SERVERS),
         ("servers, no second copies", "second_copies = false", SERVERS),
@@ -165,7 +173,10 @@
                 let broken: Vec<&str> = nodes.broken.keys().map(|rule: &Rule| rule.name()).collect();
                 assert!(broken.is_empty(), "{name}: {broken:?}\n{}", nodes.stories.join("\n"));
                 let goodput = nodes.figure(Metric::Goodput);
-                assert!(goodput > 0.3, "{name}: the rules are not kept by doing nothing: {goodput}");
+                assert!(
+                    goodput > 0.3,
+                    "{name}: too little goodput for the rules to mean anything: {goodput}"
+                );
             });
         }
     });
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,41 +1,48 @@
-//! Fleets of the real program with faults between its processes: each file of experiments/fleet, judged by the rules of
-//! `lapisrudder_lab::check::fleet` from what was seen outside.
+//! Fleets of the real program with faults between the members: runs each file of experiments/fleet, and
+//! checks it by the rules of `lapisrudder_lab::check::fleet` against what was observed from outside. Each
+//! test is named after its file; it fails if a member breaks one of these rules under the faults of that
+//! file.
 
 use lapisrudder_lab::fleet::{FleetFile, judge, run};
 use std::path::Path;
 
-/// A run in which the lab itself was late is played again, and never passed.
-const PLAYS: usize = 3;
+/// Limit on the runs of a file: one in which the lab itself was late is void and is repeated; it never counts
+/// as passed.
+const MAX_RUNS: usize = 3;
 
-fn holds(name: &str) {
+/// Runs one file and fails if a rule is broken.
+fn run_file(name: &str) {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let file = FleetFile::read(&root.join(format!("experiments/fleet/{name}.toml"))).expect("a sound file");
     let command = format!("'{}' serve", env!("CARGO_BIN_EXE_lapisrudder"));
-    for play in 1..=PLAYS {
+    for attempt in 1..=MAX_RUNS {
         let history = run(&file, 1, &command, None).expect("a run");
         let outcome = judge(&history);
         if !outcome.void {
             assert!(outcome.ok, "{name}: {outcome:#?}");
             return;
         }
-        eprintln!("{name}: play {play} is void: {outcome:?}");
+        eprintln!("{name}: run {attempt} is void: {outcome:?}");
     }
-    panic!("{name}: void {PLAYS} times: the machine is too busy to tell");
+    panic!("{name}: void {MAX_RUNS} times: the machine is too busy for this test");
 }
 
 macro_rules! experiments {
     ($($test:ident $name:literal;)*) => {
-        $(#[test] fn $test() { holds($name); })*
+        $(#[test] fn $test() { run_file($name); })*
 
+        /// Fails if a file of the folder is not run by a test here.
         #[test]
-        fn each_file_is_played() {
+        fn each_file_has_a_test() {
             let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments/fleet");
-            let files = std::fs::read_dir(dir).expect("the folder").filter_map(|f| f.ok()?.file_name().into_string().ok());
+            let files = std::fs::read_dir(dir)
+                .expect("the folder")
+                .filter_map(|f| f.ok()?.file_name().into_string().ok());
             let mut files: Vec<String> = files.collect();
             files.sort();
-            let mut played = vec![$(concat!($name, ".toml").to_owned()),*];
-            played.sort();
-            assert_eq!(files, played);
+            let mut tested = vec![$(concat!($name, ".toml").to_owned()),*];
+            tested.sort();
+            assert_eq!(files, tested);
         }
     };
 }
