--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,10 +1,11 @@
-//! System calls of the real program that fail for a moment, in the ways that the manual pages of Linux tell: they cost no
-//! request. The calls are made to fail by `lapisrudder-fault-shim`; each test counts what was really delivered.
+//! System calls of the real program that fail temporarily, with errors that the manual pages of Linux
+//! document, must cost no request. `lapisrudder-fault-shim` makes them fail; each test checks that faults
+//! were in fact injected.
 
 #[allow(dead_code)]
 mod harness;
 
-use harness::shim::{delivered, start, table};
+use harness::shim::{faults_delivered, new_fault_table, start_node};
 use harness::*;
 use lapisrudder_fault_shim::errno::{
     EADDRNOTAVAIL, EAGAIN, ECANCELED, ECONNABORTED, EINTR, EIO, EMFILE, ENFILE, ENOBUFS, ENOMEM, ENOSPC,
@@ -23,29 +24,30 @@
 /// Requests of each client.
 const REQUESTS: usize = 50;
 const WAIT_MS: u64 = 1000;
-/// Time limits on sockets are this much longer.
+/// Added to each time limit that is measured at a client's socket.
 const SLACK: Duration = Duration::from_millis(50);
-/// A play ends after this, however far it has come.
-const PLAY: Duration = Duration::from_secs(8);
+/// Clients send no further requests after this time.
+const MAX_RUN: Duration = Duration::from_secs(8);
 
-/// What became of the requests of a play.
+/// Counts of the requests of a run, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Tally {
     asked: usize,
     served: usize,
     refused: usize,
     failed: usize,
-    /// The connection ended without an answer, by a close or a reset.
+    /// The connection was closed without an answer.
     closed: usize,
+    /// The connection was reset before the answer.
     reset: usize,
     late: usize,
 }
 
 impl Tally {
-    fn note(&mut self, answer: std::io::Result<String>, id: &str, took: Duration) {
+    fn record(&mut self, answer: std::io::Result<String>, id: &str, took: Duration) {
         self.asked += 1;
         match answer {
-            Ok(line) if line == by("a", id) || line == by("b", id) => self.served += 1,
+            Ok(line) if line == value_from("a", id) || line == value_from("b", id) => self.served += 1,
             Ok(line) if line.starts_with("SERVER_ERROR busy") => self.refused += 1,
             Ok(line) if line.is_empty() => self.closed += 1,
             Err(e) if e.kind() == ErrorKind::ConnectionReset => self.reset += 1,
@@ -79,16 +81,17 @@
     }
 }
 
-/// One client's requests, one after the other as long as `goes_on`: two clients in three keep their connections.
-fn ask_on(address: SocketAddr, number: usize, goes_on: impl Fn() -> bool) -> Tally {
+/// One client's requests, one after the other as long as `may_continue`; two clients in three keep their
+/// connection.
+fn run_client(address: SocketAddr, number: usize, may_continue: impl Fn() -> bool) -> Tally {
     let mut tally = Tally::default();
     let mut kept = None;
     for id in (0..REQUESTS).map(|n| (number * REQUESTS + n).to_string()) {
-        if !goes_on() {
+        if !may_continue() {
             break;
         }
         let asked = Instant::now();
-        let client = kept.take().map_or_else(|| Client::at(address), Ok);
+        let client = kept.take().map_or_else(|| Client::connect(address), Ok);
         let answered = client.and_then(|mut client| {
             let answer = client.try_ask(&format!("mg k{id} v O{id} Pc=read,d={WAIT_MS}\r\n"))?;
             Ok((client, answer))
@@ -97,77 +100,80 @@
             Ok((client, answer)) => (Some(client).filter(|_| !answer.is_empty()), Ok(answer)),
             Err(e) => (None, Err(e)),
         };
-        tally.note(answer, &id, asked.elapsed());
+        tally.record(answer, &id, asked.elapsed());
         kept = client.filter(|_| !number.is_multiple_of(3));
     }
     tally
 }
 
-/// A node whose calls fail so, and its clients' requests.
-fn play(rules: &[Rule]) -> (Tally, Control) {
+/// Runs clients against a node whose calls fail by these rules; gives the outcome of their requests.
+fn run_with_faults(rules: &[Rule]) -> (Tally, Control) {
     let world = world(spec(&["a", "b"]), ids(CLIENTS * REQUESTS));
-    let mut control = table(1);
-    let node = start(world.addresses().discovery(0).expect("discovery"), &control);
-    node.until_ready();
+    let mut control = new_fault_table(1);
+    let node = start_node(world.addresses().discovery(0).expect("discovery"), &control);
+    node.wait_ready();
     rules.iter().for_each(|rule| control.add(*rule).expect("a rule"));
-    let until = Instant::now() + PLAY;
+    let end = Instant::now() + MAX_RUN;
     let node = &node;
     let tally = thread::scope(|scope| {
-        let ask = |n| scope.spawn(move || ask_on(node.address, n, || Instant::now() < until));
+        let ask = |n| scope.spawn(move || run_client(node.address, n, || Instant::now() < end));
         let clients: Vec<_> = (0..CLIENTS).map(ask).collect();
         clients.into_iter().map(|c| c.join().expect("a client")).fold(Tally::default(), Tally::add)
     });
     (tally, control)
 }
 
-/// One call in five fails so, and three in a row at a time.
+/// Makes calls fail at random, three in a row each time.
 fn often(call: Call, error: i32) -> Rule {
     Rule { burst: 3, ..Rule::often(call, error, 0.1) }
 }
 
-/// The first calls from here on fail so, as many as burst in a row.
+/// Makes the next three calls fail.
 fn first(call: Call, error: i32) -> Rule {
     Rule { burst: 3, most: 3, ..Rule::always(call, error) }
 }
 
+/// Makes three calls in ten transfer a single byte.
 fn one_byte(call: Call) -> Rule {
     Rule { error: faults::ONE_BYTE, ..Rule::often(call, 0, 0.3) }
 }
 
-/// Plays all cases, a few at a time, and gives what is wrong with each.
-fn wrong_with(cases: Vec<(String, Vec<Rule>)>) -> Vec<String> {
-    const AT_ONCE: usize = 4;
-    let judge = |(name, rules): &(String, Vec<Rule>)| {
-        let (tally, control) = play(rules);
+/// Runs all cases, a few at a time; gives a message for each that lost a request or injected no fault.
+fn failures_of(cases: Vec<(String, Vec<Rule>)>) -> Vec<String> {
+    const PARALLEL: usize = 4;
+    let check = |(name, rules): &(String, Vec<Rule>)| {
+        let (tally, control) = run_with_faults(rules);
         let calls: Vec<Call> = rules.iter().map(|rule| rule.call).collect();
-        let struck = delivered(&control, &calls);
-        eprintln!("{name}: {struck} calls failed; {tally}");
-        if struck == 0 {
-            return Some(format!("{name}: no fault was delivered"));
+        let injected = faults_delivered(&control, &calls);
+        eprintln!("{name}: {injected} calls failed; {tally}");
+        if injected == 0 {
+            return Some(format!("{name}: no fault was injected"));
         }
         (!tally.is_all_served()).then(|| format!("{name}: {tally}"))
     };
     cases
-        .chunks(AT_ONCE)
+        .chunks(PARALLEL)
         .flat_map(|some| {
             thread::scope(|scope| {
-                let plays: Vec<_> = some.iter().map(|case| scope.spawn(move || judge(case))).collect();
-                plays.into_iter().filter_map(|play| play.join().expect("a play")).collect::<Vec<_>>()
+                let runs: Vec<_> = some.iter().map(|case| scope.spawn(move || check(case))).collect();
+                runs.into_iter().filter_map(|run| run.join().expect("a run")).collect::<Vec<_>>()
             })
         })
         .collect()
 }
 
+/// A case for each error with which the call can fail.
 fn cases(call: Call, errors: &[i32], kinds: &[Descriptor]) -> Vec<(String, Vec<Rule>)> {
     let case = |error: &i32| (format!("{call:?} errno {error}"), vec![often(call, *error).on(kinds)]);
     errors.iter().map(case).collect()
 }
 
-/// Danger: one failed call was taken for the state of the world. A failed `accept` was a shortage, for which idle clients were
-/// closed and others turned away; a failed `read` was a client that had left; a short count was a socket that takes no more
-/// or has no more, and the edge that had told of it was spent; a failed `epoll_ctl` ended the process.
+/// Fails if a single failed call is taken for a lasting condition: a failed `accept` for a shortage of
+/// descriptors, so that idle clients are closed and others rejected; a failed `read` for a client that has
+/// left; a short count for a socket that is full or empty, after which no further edge-triggered event comes;
+/// a failed `epoll_ctl` for a fatal error.
 #[test]
-fn calls_that_fail_for_a_moment_cost_no_request() {
+fn temporary_call_failures_cost_no_request() {
     let mut all =
         cases(Call::Accept, &[EMFILE, ENFILE, ENOBUFS, ENOMEM, ECONNABORTED, EINTR, EPROTO, EAGAIN], &[]);
     all.extend(cases(Call::Socket, &[EMFILE, ENFILE, ENOBUFS, ENOMEM], &[]));
@@ -186,72 +192,75 @@
         all.push((format!("{call:?} short"), vec![Rule::short(call, 0.3).on(&sockets)]));
         all.push((format!("{call:?} one byte"), vec![one_byte(call).on(&sockets)]));
     }
-    let wrong = wrong_with(all);
+    let wrong = failures_of(all);
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
 }
 
-/// The drain that was seen to hold connections: operators drain a node while its calls fail.
-///
-/// Danger: those who waited to be accepted while accepting paused were taken after the front had left, or not by then; half a
-/// command was waited for from its beginning for 3 s, whatever the drain.
+/// Operators drain a node while its calls fail. Fails if connections that queue while `accept` is paused are
+/// accepted only after the load balancer in front of the nodes has stopped sending them, or not by then; or
+/// if the 3 s for the rest of a half-sent command are counted from its beginning, whatever the drain.
 #[test]
-fn a_drained_node_holds_no_connection_past_its_time() {
-    /// When no client's connection may be open any more.
-    const OVER: Duration = Duration::from_secs(4);
-    /// New clients come for so long after the call: the front asks ten times a second and goes on for 0.2 s.
-    const COME_ON: Duration = Duration::from_millis(300);
+fn a_drain_ends_in_time_while_calls_fail() {
+    /// After a drain of this length no client connection may be open.
+    const DRAIN_LIMIT: Duration = Duration::from_secs(4);
+    /// For how long after the call new clients connect: the load balancer in front of the nodes asks each ten
+    /// times a second whether it may be used, and sends connections for another 0.2 s.
+    const CONNECT_FOR: Duration = Duration::from_millis(300);
     const NEW: usize = 100;
     let world = world(spec(&["a", "b"]), ids(NEW));
-    let mut control = table(1);
-    let node = start(world.addresses().discovery(0).expect("discovery"), &control);
-    node.until_ready();
+    let mut control = new_fault_table(1);
+    let node = start_node(world.addresses().discovery(0).expect("discovery"), &control);
+    node.wait_ready();
     let mut kept: Vec<Client> = (0..40).map(|_| node.client()).collect();
     kept.iter_mut().for_each(|client| assert_eq!(client.ask("mn\r\n"), "MN\r\n"));
     control.add(Rule::often(Call::Accept, EMFILE, 0.8).on(&[Descriptor::Listener])).expect("a rule");
     control.add(Rule::short(Call::Recv, 0.3)).expect("a rule");
     assert_eq!(node.call("standby\n"), "ok draining\n");
-    let told = Instant::now();
-    // Half a command begins as late as a connection stays: 1.5 s after the call.
+    let drain_start = Instant::now();
+    // The last half command begins at the end of a connection's stay, 1.5 s after the call.
     let mut halves: Vec<Client> = kept.drain(..10).collect();
     let (unserved, open) = thread::scope(|scope| {
         let new = scope.spawn(|| {
             let clients = (0..NEW).map(|n| {
                 let mut client = node.client();
-                client.begin_read(&n.to_string(), WAIT_MS);
-                thread::sleep(COME_ON / NEW as u32);
+                client.send_read(&n.to_string(), WAIT_MS);
+                thread::sleep(CONNECT_FOR / NEW as u32);
                 client
             });
             clients.collect::<Vec<Client>>()
         });
         for (n, half) in halves.iter_mut().enumerate() {
             thread::sleep(
-                (told + Duration::from_millis(140 * n as u64)).saturating_duration_since(Instant::now()),
+                (drain_start + Duration::from_millis(140 * n as u64))
+                    .saturating_duration_since(Instant::now()),
             );
             let _ = half.try_send("mg k");
         }
         let mut new = new.join().expect("new clients");
         let mut unserved = Vec::new();
         for (n, client) in new.iter_mut().enumerate() {
-            let (line, id) = (client.answer_by(told + OVER).unwrap_or_default(), n.to_string());
-            if line != by("a", &id) && line != by("b", &id) {
+            let (line, id) = (client.answer_by(drain_start + DRAIN_LIMIT).unwrap_or_default(), n.to_string());
+            if line != value_from("a", &id) && line != value_from("b", &id) {
                 unserved.push((n, line));
             }
         }
         let all = new.into_iter().chain(kept).chain(halves);
-        let open = all.map(|mut client| client.has_ended_by(told + OVER)).filter(|ended| !ended).count();
+        let open =
+            all.map(|mut client| client.closes_by(drain_start + DRAIN_LIMIT)).filter(|ended| !ended).count();
         (unserved, open)
     });
-    assert!(control.delivered(Call::Accept).expect("a count") > 0, "no fault was delivered");
-    assert_eq!((unserved, open), (Vec::new(), 0), "not served, and open at 4 s");
+    assert!(control.delivered(Call::Accept).expect("a count") > 0, "no fault was injected");
+    assert_eq!((unserved, open), (Vec::new(), 0), "requests not served, and connections open after 4 s");
 }
 
-/// A short life of a node, in which calls fail so: it starts, serves, reads its files again, is asked and told to stop.
-fn live(world: &World<Books>, rules: &[Rule], first_id: usize) -> Result<Control, String> {
-    let mut control = table(1);
+/// Runs a node from start to end while its calls fail by these rules: it starts, serves, reloads, answers a
+/// management call and stops on SIGTERM.
+fn run_whole_life(world: &World<Books>, rules: &[Rule], first_id: usize) -> Result<Control, String> {
+    let mut control = new_fault_table(1);
     rules.iter().for_each(|rule| control.add(*rule).expect("a rule"));
     let discovery = world.addresses().discovery(0).expect("discovery");
-    let mut node = start(discovery, &control);
-    node.until_ready();
+    let mut node = start_node(discovery, &control);
+    node.wait_ready();
     let (mut kept, mut wrong) = (node.client(), Vec::new());
     for id in (first_id..first_id + 4).map(|id| id.to_string()) {
         for answer in [kept.read(&id, WAIT_MS), node.client().read(&format!("{id}x"), WAIT_MS)] {
@@ -274,12 +283,13 @@
     if wrong.is_empty() { Ok(control) } else { Err(wrong.join(", ")) }
 }
 
-/// Danger: what is called once, at the start or the end, and fails for a moment, was given up for good.
+/// Fails if a call that is made only once, at the start or the end of the process, is not retried after a
+/// temporary failure.
 #[test]
-fn each_call_of_a_short_life_may_fail_for_a_moment() {
-    /// Of each call so many are failed one after the other, and the next one with each.
-    const MOST: u64 = 24;
-    const AT_ONCE: usize = 12;
+fn a_node_tolerates_a_temporary_failure_of_each_of_its_calls() {
+    /// How many calls of each kind are failed, each in a run of its own and together with the call after it.
+    const MAX_PER_CALL: u64 = 24;
+    const PARALLEL: usize = 12;
     let failures = [
         (Call::Accept, EMFILE),
         (Call::Socket, ENFILE),
@@ -308,12 +318,12 @@
         (Call::Close, EIO),
     ];
     let world = world(spec(&["a", "b"]), (0..8000).flat_map(|n| [n.to_string(), format!("{n}x")]));
-    let clean = live(&world, &[], 0).expect("a life without faults");
-    let mut plays = Vec::new();
+    let clean = run_whole_life(&world, &[], 0).expect("a run without faults");
+    let mut runs = Vec::new();
     for (call, error) in failures {
         let seen = clean.seen(call).expect("a count");
-        assert!(seen > 0 || matches!(call, Call::Fcntl | Call::Ioctl), "{call:?} is not reached");
-        plays.extend((0..seen.min(MOST)).map(|skip| Rule {
+        assert!(seen > 0 || matches!(call, Call::Fcntl | Call::Ioctl), "{call:?} is never called");
+        runs.extend((0..seen.min(MAX_PER_CALL)).map(|skip| Rule {
             burst: 2,
             most: 2,
             skip,
@@ -321,26 +331,28 @@
         }));
     }
     let mut wrong = Vec::new();
-    for (number, some) in plays.chunks(AT_ONCE).enumerate() {
+    for (number, some) in runs.chunks(PARALLEL).enumerate() {
         thread::scope(|scope| {
             let world = &world;
-            let first = |n| 4 + 4 * (number * AT_ONCE + n);
-            let lives =
-                some.iter().enumerate().map(|(n, rule)| scope.spawn(move || live(world, &[*rule], first(n))));
-            for (rule, life) in some.iter().zip(lives.collect::<Vec<_>>()) {
-                let what = life.join().unwrap_or_else(|_| Err("it did not live".into()));
+            let first = |n| 4 + 4 * (number * PARALLEL + n);
+            let threads = some
+                .iter()
+                .enumerate()
+                .map(|(n, rule)| scope.spawn(move || run_whole_life(world, &[*rule], first(n))));
+            for (rule, thread) in some.iter().zip(threads.collect::<Vec<_>>()) {
+                let what = thread.join().unwrap_or_else(|_| Err("the run panicked".into()));
                 wrong.extend(what.err().map(|what| format!("{:?} number {}: {what}", rule.call, rule.skip)));
             }
         });
     }
-    eprintln!("{} lives", plays.len());
+    eprintln!("{} runs", runs.len());
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
 }
 
-/// Danger: a call that failed once left the new process alone beside the old one, dropped a client's connection with its request
-/// on the way over, or shut the way in for the next process for good.
+/// Fails if one failed call keeps a successor from taking over, loses a client connection and its request
+/// during the hand-over, or keeps all later successors from connecting.
 #[test]
-fn another_process_takes_over_though_calls_fail_for_a_moment() {
+fn a_successor_takes_over_despite_temporary_call_failures() {
     let all = [Descriptor::HandOver, Descriptor::File, Descriptor::Client, Descriptor::Listener];
     let cases = [
         vec![first(Call::Connect, EAGAIN).on(&[Descriptor::HandOver])],
@@ -353,44 +365,45 @@
     ];
     let take_over = |rules: &[Rule]| {
         let world = world(spec(&["a", "b"]), ids(CLIENTS * REQUESTS));
-        let mut control = table(1);
+        let mut control = new_fault_table(1);
         let discovery = world.addresses().discovery(0).expect("discovery");
         control.set(faults::DISCOVERY_PORT, discovery.port().into()).expect("set");
-        let mut node = Node::replaceable_under(discovery, 384, Some(control.path()));
-        until(|| node.call("status\n") == "ok ready\n");
+        let mut node = Node::replaceable_with_faults(discovery, 384, Some(control.path()));
+        wait_until(|| node.call("status\n") == "ok ready\n");
         rules.iter().for_each(|rule| control.add(*rule).expect("a rule"));
-        let (address, over) = (node.address, AtomicBool::new(false));
+        let (address, stop) = (node.address, AtomicBool::new(false));
         let tally = thread::scope(|scope| {
-            let over = &over;
+            let stop = &stop;
             let pace = move || {
                 thread::sleep(Duration::from_millis(10));
-                !over.load(Ordering::SeqCst)
+                !stop.load(Ordering::SeqCst)
             };
             let clients: Vec<_> =
-                (0..CLIENTS).map(|n| scope.spawn(move || ask_on(address, n, pace))).collect();
+                (0..CLIENTS).map(|n| scope.spawn(move || run_client(address, n, pace))).collect();
             for _ in 0..2 {
                 let new = node.replace();
                 assert!(node.child.wait().expect("its end").success());
                 node = new;
             }
-            over.store(true, Ordering::SeqCst);
+            stop.store(true, Ordering::SeqCst);
             clients.into_iter().map(|c| c.join().expect("a client")).fold(Tally::default(), Tally::add)
         });
         let calls: Vec<Call> = rules.iter().map(|rule| rule.call).collect();
-        eprintln!("{calls:?}: {} calls failed; {tally}", delivered(&control, &calls));
-        assert!(delivered(&control, &calls) > 0, "{calls:?}: no fault was delivered");
+        eprintln!("{calls:?}: {} calls failed; {tally}", faults_delivered(&control, &calls));
+        assert!(faults_delivered(&control, &calls) > 0, "{calls:?}: no fault was injected");
         assert!(tally.served > 0 && tally.served == tally.asked && tally.late == 0, "{calls:?}: {tally}");
     };
     thread::scope(|scope| cases.iter().for_each(|rules| _ = scope.spawn(move || take_over(rules))));
 }
 
-/// Danger: a new configuration was passed over, and an operator's answer cut or not given, since a call had failed for a moment.
+/// Fails if a temporary call failure makes a node skip a new configuration, or truncate or omit the answer to
+/// a management call.
 #[test]
-fn operators_are_heard_and_answered_though_calls_fail_for_a_moment() {
+fn management_calls_and_reloads_work_despite_temporary_call_failures() {
     let world = world(spec(&["a", "b"]), ids(1));
-    let mut control = table(1);
-    let node = start(world.addresses().discovery(0).expect("discovery"), &control);
-    node.until_ready();
+    let mut control = new_fault_table(1);
+    let node = start_node(world.addresses().discovery(0).expect("discovery"), &control);
+    node.wait_ready();
     for rule in [
         often(Call::Accept, EMFILE),
         often(Call::EpollCtl, ENOMEM),
@@ -403,32 +416,33 @@
         assert_eq!(node.call("status\n"), "ok ready\n");
     }
     assert!(
-        delivered(&control, &[Call::Accept, Call::EpollCtl, Call::Recv, Call::Send]) > 0,
-        "no fault was delivered"
+        faults_delivered(&control, &[Call::Accept, Call::EpollCtl, Call::Recv, Call::Send]) > 0,
+        "no fault was injected"
     );
     control.clear().expect("cleared");
-    // Longer than one reading of the file tries again.
+    // More failures than one read of the file retries.
     control.add(Rule { most: 40, ..Rule::always(Call::Open, EIO) }).expect("a rule");
     node.reload(|text| text.replace(r#""name":"put""#, r#""name":"book""#));
-    until(|| {
+    wait_until(|| {
         let answer = node.client().ask("mg k0 v O0 Pc=book,d=1000\r\n");
         answer != "CLIENT_ERROR unknown class\r\n"
     });
     assert_eq!(control.delivered(Call::Open).expect("a count"), 40);
 }
 
-/// Danger: failures of `accept` between which nobody waited counted as in a row (seed 117 of the soak): a shortage was declared,
-/// idle clients were closed, and answers came late under the ceiling that was learnt.
+/// Fails if failures of `accept` between which no connection was waiting count as consecutive: the node would
+/// then assume a shortage of descriptors, close idle clients, and answer late under the connection limit that
+/// it learnt.
 #[test]
-fn failures_now_and_then_are_no_shortage() {
-    /// Longer than failures alone tell of a shortage.
-    const APART: Duration = Duration::from_millis(300);
+fn occasional_accept_failures_are_no_descriptor_shortage() {
+    /// Longer than `accept` has to fail without a break before the node assumes a shortage.
+    const PAUSE: Duration = Duration::from_millis(300);
     const ROUNDS: usize = 8;
     const KEPT: usize = 40;
     let world = world(spec(&["a", "b"]), ids(ROUNDS * (KEPT + 1)));
-    let mut control = table(1);
-    let node = start(world.addresses().discovery(0).expect("discovery"), &control);
-    node.until_ready();
+    let mut control = new_fault_table(1);
+    let node = start_node(world.addresses().discovery(0).expect("discovery"), &control);
+    node.wait_ready();
     let mut kept: Vec<Client> = (0..KEPT).map(|_| node.client()).collect();
     control.add(Rule::often(Call::Accept, ENFILE, 0.7).on(&[Descriptor::Listener])).expect("a rule");
     for round in 0..ROUNDS {
@@ -440,18 +454,19 @@
             kept.push(client);
         }
         kept.truncate(KEPT);
-        thread::sleep(APART);
+        thread::sleep(PAUSE);
     }
-    assert!(control.delivered(Call::Accept).expect("a count") > 0, "no fault was delivered");
+    assert!(control.delivered(Call::Accept).expect("a count") > 0, "no fault was injected");
 }
 
-/// Danger: while the loop's own calls only failed, nobody was told of new connections, or of anything.
+/// Fails if events, those of new connections among them, are not handled while each call of the event loop's
+/// timer or each `epoll_wait` fails.
 #[test]
-fn a_node_whose_loop_only_fails_for_a_while_serves_on() {
+fn a_node_serves_while_the_event_loops_own_calls_keep_failing() {
     let world = world(spec(&["a", "b"]), ids(400));
-    let mut control = table(1);
-    let node = start(world.addresses().discovery(0).expect("discovery"), &control);
-    node.until_ready();
+    let mut control = new_fault_table(1);
+    let node = start_node(world.addresses().discovery(0).expect("discovery"), &control);
+    node.wait_ready();
     let mut kept = node.client();
     assert!(kept.read("0", WAIT_MS).starts_with("value of"));
     for (round, call) in [Call::TimerfdSettime, Call::EpollWait].into_iter().enumerate() {
@@ -468,7 +483,7 @@
             );
         }
         assert_eq!(node.call("status\n"), "ok ready\n");
-        assert!(control.delivered(call).expect("a count") > 0, "{call:?}: no fault was delivered");
+        assert!(control.delivered(call).expect("a count") > 0, "{call:?}: no fault was injected");
         control.clear().expect("cleared");
     }
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,5 +1,6 @@
-//! One process takes the place of another, and the other side dies or falls silent at each single message of it. The other side
-//! is the test's own, and speaks as `crates/takeover` has it: so each crossing comes each time.
+//! Hand-over between two processes of a node while one of them dies or stops responding after any single
+//! message. The test plays that process itself, with the messages of `crates/takeover`, so that each case
+//! happens in every run.
 
 #[allow(dead_code)]
 mod harness;
@@ -17,41 +18,41 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::thread;
 
-/// What the other side does once it has said its last.
+/// What the process that the test plays does after its last message.
 #[derive(Clone, Copy, Debug)]
 enum Then {
     Dies,
-    FallsSilent,
+    Hangs,
 }
 
-/// One end of the talk, as the test plays it. A socket that is not to die stays in here.
-struct Side {
+/// The test's end of the take-over connection.
+struct TakeoverPeer {
     stream: UnixStream,
     input: Vec<u8>,
 }
 
-impl Side {
-    fn new(stream: UnixStream) -> Side {
-        stream.set_read_timeout(Some(WIDE)).expect("set");
-        Side { stream, input: Vec::new() }
+impl TakeoverPeer {
+    fn new(stream: UnixStream) -> TakeoverPeer {
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
+        TakeoverPeer { stream, input: Vec::new() }
     }
 
-    /// Says the first bytes of a message, with a socket along if there is one.
-    fn say_part(&self, frame: &[u8], along: Option<&dyn AsFd>) {
+    /// Sends the first bytes of a message, with a descriptor attached if one is given.
+    fn send_bytes(&self, frame: &[u8], attached: Option<&dyn AsFd>) {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut control = SendAncillaryBuffer::new(&mut space);
-        let along = along.map(|fd| [fd.as_fd()]);
-        along.iter().for_each(|fds| assert!(control.push(SendAncillaryMessage::ScmRights(fds))));
+        let attached = attached.map(|fd| [fd.as_fd()]);
+        attached.iter().for_each(|fds| assert!(control.push(SendAncillaryMessage::ScmRights(fds))));
         let sent = sendmsg(&self.stream, &[IoSlice::new(frame)], &mut control, SendFlags::NOSIGNAL);
         assert_eq!(sent.expect("sent"), frame.len());
     }
 
-    fn say(&self, message: &Message, along: Option<&dyn AsFd>) {
-        self.say_part(&encode(message), along);
+    fn send(&self, message: &Message, attached: Option<&dyn AsFd>) {
+        self.send_bytes(&encode(message), attached);
     }
 
-    /// The next message; sockets that come along close. `None` if the other end is gone.
-    fn hear(&mut self) -> Option<Message> {
+    /// The next message; attached descriptors are closed. `None` if the other end has closed.
+    fn receive(&mut self) -> Option<Message> {
         loop {
             if let Some((message, used)) = decode(&self.input).expect("a message") {
                 self.input.drain(..used);
@@ -73,81 +74,84 @@
         }
     }
 
-    fn hear_until(&mut self, wanted: impl Fn(&Message) -> bool) {
-        while !wanted(&self.hear().expect("the other end lives")) {}
+    fn receive_until(&mut self, wanted: impl Fn(&Message) -> bool) {
+        while !wanted(&self.receive().expect("the other end has not closed")) {}
     }
 }
 
-/// Plays it with both ends of the other side, all at once.
-fn each<S: Copy + std::fmt::Debug + Send + Sync>(steps: &[S], play: impl Fn(S, Then) + Sync) {
+/// Runs each step with both values of [`Then`], all at the same time.
+fn run_all<S: Copy + std::fmt::Debug + Send + Sync>(steps: &[S], case: impl Fn(S, Then) + Sync) {
     thread::scope(|scope| {
         for step in steps {
-            for then in [Then::Dies, Then::FallsSilent] {
-                let play = &play;
+            for then in [Then::Dies, Then::Hangs] {
+                let case = &case;
                 let name = format!("{step:?}, then it {then:?}");
-                let run = move || play(*step, then);
+                let run = move || case(*step, then);
                 thread::Builder::new().name(name).spawn_scoped(scope, run).expect("a thread");
             }
         }
     });
 }
 
-/// How far an old process gets.
+/// The last step of the hand-over that the old process does.
 #[derive(Clone, Copy, Debug)]
-enum Old {
-    TakesTheCall,
-    HalfItsState,
-    ItsState,
-    AGrant,
-    HearsThatTheNewOneServes,
-    HalfAClient,
-    AClient,
-    WhoIsOut,
+enum OldProcess {
+    Accepts,
+    SendsHalfItsState,
+    SendsItsState,
+    SendsAGrant,
+    ReceivesReady,
+    SendsHalfAClient,
+    SendsAClient,
+    SendsABan,
 }
 
-/// Whatever the old process has said when it dies or falls silent, the new one serves: new connections, and whom it was handed.
+/// Fails if a successor does not serve new connections, or a connection that it was handed, after the old
+/// process died or hung at some step of the hand-over.
 #[test]
-fn a_new_process_serves_however_far_the_old_one_got() {
+fn a_successor_serves_at_whichever_step_the_old_process_dies_or_hangs() {
     let world = world(spec(&["a"]), ids(10));
     let steps = [
-        Old::TakesTheCall,
-        Old::HalfItsState,
-        Old::ItsState,
-        Old::AGrant,
-        Old::HearsThatTheNewOneServes,
-        Old::HalfAClient,
-        Old::AClient,
-        Old::WhoIsOut,
+        OldProcess::Accepts,
+        OldProcess::SendsHalfItsState,
+        OldProcess::SendsItsState,
+        OldProcess::SendsAGrant,
+        OldProcess::ReceivesReady,
+        OldProcess::SendsHalfAClient,
+        OldProcess::SendsAClient,
+        OldProcess::SendsABan,
     ];
-    each(&steps, |step, then| an_old_one_gets_so_far(&world, step, then));
+    run_all(&steps, |step, then| old_process_ends_at(&world, step, then));
 }
 
-fn an_old_one_gets_so_far(world: &World<Books>, step: Old, then: Then) {
-    let mut before = Node::replaceable(world, 384);
-    let place = before.meeting_place();
-    before.child.kill().expect("killed");
-    before.child.wait().expect("its end");
-    std::fs::remove_file(&place).expect("gone");
-    let door = UnixListener::bind(&place).expect("a door");
-    let address = before.address;
+fn old_process_ends_at(world: &World<Books>, step: OldProcess, then: Then) {
+    let mut dead = Node::replaceable(world, 384);
+    let socket = dead.takeover_socket();
+    dead.child.kill().expect("killed");
+    dead.child.wait().expect("its end");
+    std::fs::remove_file(&socket).expect("gone");
+    let takeover_listener = UnixListener::bind(&socket).expect("a listener");
+    let address = dead.address;
     let old = thread::spawn(move || {
-        let (stream, _) = door.accept().expect("a new process");
-        let client = say_so_far(&mut Side::new(stream.try_clone().expect("a stream")), address, step);
-        (matches!(then, Then::FallsSilent).then_some((stream, door)), client)
+        let (stream, _) = takeover_listener.accept().expect("a new process");
+        let client =
+            play_old_process(&mut TakeoverPeer::new(stream.try_clone().expect("a stream")), address, step);
+        (matches!(then, Then::Hangs).then_some((stream, takeover_listener)), client)
     });
-    let new = Node::beside(&before);
-    let (_silent, client) = old.join().expect("the old one's part");
-    assert_eq!(new.client().read("1", 60_000), by("a", "1"));
+    let new = Node::start_successor(&dead);
+    let (_hanging, client) = old.join().expect("the old process's part");
+    assert_eq!(new.client().read("1", 60_000), value_from("a", "1"));
     if let Some(mut client) = client {
         client.send("ad,d=60000\r\n");
-        assert_eq!(client.answer(), by("a", "2"), "on the connection that was handed over");
+        assert_eq!(client.answer(), value_from("a", "2"), "on the connection that was handed over");
     }
 }
 
-/// The old process's part, up to that step. Gives the client that was handed over whole, with half a command read.
-fn say_so_far(old: &mut Side, address: SocketAddr, step: Old) -> Option<Client> {
-    old.hear_until(|m| matches!(m, Message::Hello { .. }));
-    if matches!(step, Old::TakesTheCall) {
+/// Does the old process's part up to that step. Gives the client that was handed over completely, half of
+/// whose command the old process had read.
+fn play_old_process(old: &mut TakeoverPeer, address: SocketAddr, step: OldProcess) -> Option<Client> {
+    old.receive_until(|m| matches!(m, Message::Hello { .. }));
+    if matches!(step, OldProcess::Accepts) {
         return None;
     }
     let grant = Grant { descriptors: 192, clients_kept: 0 };
@@ -162,107 +166,116 @@
         grant,
     });
     let listener = TcpListener::bind(address).expect("the node's address");
-    if matches!(step, Old::HalfItsState) {
+    if matches!(step, OldProcess::SendsHalfItsState) {
         let frame = encode(&state);
-        old.say_part(&frame[..frame.len() / 2], Some(&listener));
+        old.send_bytes(&frame[..frame.len() / 2], Some(&listener));
         return None;
     }
-    old.say(&state, Some(&listener));
-    if matches!(step, Old::ItsState) {
+    old.send(&state, Some(&listener));
+    if matches!(step, OldProcess::SendsItsState) {
         return None;
     }
-    old.say(&Message::Grant(Grant { descriptors: 256, ..grant }), None);
-    if matches!(step, Old::AGrant) {
+    old.send(&Message::Grant(Grant { descriptors: 256, ..grant }), None);
+    if matches!(step, OldProcess::SendsAGrant) {
         return None;
     }
-    old.hear_until(|m| *m == Message::Ready);
+    old.receive_until(|m| *m == Message::Ready);
     match step {
-        Old::WhoIsOut => old.say(&Message::Out(Ban { id: 1, name: "nobody".into(), since: 0 }), None),
-        Old::HalfAClient | Old::AClient => {
-            let meet = TcpListener::bind("127.0.0.1:0").expect("a port");
-            let client = Client::at(meet.local_addr().expect("its address")).expect("a connection");
-            let (taken, _): (TcpStream, _) = meet.accept().expect("a client");
+        OldProcess::SendsABan => {
+            old.send(&Message::Out(Ban { id: 1, name: "nobody".into(), since: 0 }), None)
+        }
+        OldProcess::SendsHalfAClient | OldProcess::SendsAClient => {
+            let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+            let client = Client::connect(listener.local_addr().expect("its address")).expect("a connection");
+            let (accepted, _): (TcpStream, _) = listener.accept().expect("a client");
             let frame = encode(&Message::Client { input: b"mg k2 v O2 Pc=re".to_vec() });
-            let whole = matches!(step, Old::AClient);
-            old.say_part(&frame[..if whole { frame.len() } else { frame.len() / 2 }], Some(&taken));
-            return whole.then_some(client);
+            let complete = matches!(step, OldProcess::SendsAClient);
+            old.send_bytes(&frame[..if complete { frame.len() } else { frame.len() / 2 }], Some(&accepted));
+            return complete.then_some(client);
         }
         _ => {}
     }
     None
 }
 
-/// How far a new process gets.
+/// The last step of the hand-over that the new process does.
 #[derive(Clone, Copy, Debug)]
-enum New {
+enum NewProcess {
     Connects,
-    HalfItsName,
-    ItsName,
-    HearsTheState,
-    SaysThatItServes,
-    HearsOfAClient,
+    SendsHalfItsHello,
+    SendsItsHello,
+    ReceivesTheState,
+    SendsReady,
+    ReceivesAClient,
 }
 
-/// Whatever the new process has said when it dies, the old one goes on with whom it has; if it falls silent before it serves, too,
-/// until it is killed. The next process takes over as if there had been none.
+/// Fails if the old process stops serving the clients that it has after its successor died at some step, or
+/// hung before it was ready and was killed later; or if the next successor then cannot take over.
 #[test]
-fn an_old_process_goes_on_however_far_the_new_one_got() {
+fn an_old_process_serves_on_at_whichever_step_its_successor_dies_or_hangs() {
     let world = world(spec(&["a"]), ids(10));
     let steps = [
-        New::Connects,
-        New::HalfItsName,
-        New::ItsName,
-        New::HearsTheState,
-        New::SaysThatItServes,
-        New::HearsOfAClient,
+        NewProcess::Connects,
+        NewProcess::SendsHalfItsHello,
+        NewProcess::SendsItsHello,
+        NewProcess::ReceivesTheState,
+        NewProcess::SendsReady,
+        NewProcess::ReceivesAClient,
     ];
-    each(&steps, |step, then| a_new_one_gets_so_far(&world, step, then, true));
+    run_all(&steps, |step, then| new_process_ends_at(&world, step, then, true));
 }
 
-/// The same for one that is never killed: it holds the old one's listener, and who is led there by the kernel waits for nobody.
+/// Fails if a hung successor that is never killed keeps clients from being served: it holds a copy of the old
+/// process's listener, and a connection that the kernel assigns to it is never accepted.
 #[test]
 #[ignore = "expected to fail (docs/design/rare-moments.md, R21)"]
-fn the_next_process_serves_though_one_that_hangs_was_given_the_listener() {
+fn the_next_successor_serves_while_a_hung_one_holds_the_listener() {
     let world = world(spec(&["a"]), ids(10));
-    each(&[New::ItsName], |step, then| a_new_one_gets_so_far(&world, step, then, false));
+    run_all(&[NewProcess::SendsItsHello], |step, then| new_process_ends_at(&world, step, then, false));
 }
 
-fn a_new_one_gets_so_far(world: &World<Books>, step: New, then: Then, killed: bool) {
-    let serves = matches!(step, New::SaysThatItServes | New::HearsOfAClient);
-    if serves && matches!(then, Then::FallsSilent) {
-        // It said that it serves, and hangs: as a node that hangs. The old one has nothing more to say on it.
+fn new_process_ends_at(world: &World<Books>, step: NewProcess, then: Then, killed: bool) {
+    let is_ready = matches!(step, NewProcess::SendsReady | NewProcess::ReceivesAClient);
+    if is_ready && matches!(then, Then::Hangs) {
+        // A successor that hangs after it was ready is a hung node: the old process cannot help any more.
         return;
     }
     let mut old = Node::replaceable(world, 384);
     let mut idle = old.client();
-    assert_eq!(idle.read("1", 60_000), by("a", "1"));
-    let mut new = Side::new(UnixStream::connect(old.meeting_place()).expect("the old process"));
+    assert_eq!(idle.read("1", 60_000), value_from("a", "1"));
+    let mut new = TakeoverPeer::new(UnixStream::connect(old.takeover_socket()).expect("the old process"));
     let hello = encode(&Message::Hello { name: "n".into() });
     match step {
-        New::Connects => {}
-        New::HalfItsName => new.say_part(&hello[..hello.len() / 2], None),
-        _ => new.say_part(&hello, None),
+        NewProcess::Connects => {}
+        NewProcess::SendsHalfItsHello => new.send_bytes(&hello[..hello.len() / 2], None),
+        _ => new.send_bytes(&hello, None),
     }
-    if serves || matches!(step, New::HearsTheState) {
-        new.hear_until(|m| matches!(m, Message::State(_)));
+    if is_ready || matches!(step, NewProcess::ReceivesTheState) {
+        new.receive_until(|m| matches!(m, Message::State(_)));
     }
-    if serves {
-        new.say(&Message::Ready, None);
-        until(|| old.call("status\n") == "fail replaced by another process\n");
+    if is_ready {
+        new.send(&Message::Ready, None);
+        wait_until(|| old.call("status\n") == "fail replaced by another process\n");
     }
-    if matches!(step, New::HearsOfAClient) {
-        new.hear_until(|m| matches!(m, Message::Client { .. }));
+    if matches!(step, NewProcess::ReceivesAClient) {
+        new.receive_until(|m| matches!(m, Message::Client { .. }));
     }
-    let mut silent = matches!(then, Then::FallsSilent).then_some(new);
-    until(|| old.call("status\n") == "ok ready\n");
-    assert_eq!(old.client().read("2", 60_000), by("a", "2"), "new connections are the old one's");
-    if !serves {
-        // Nobody was given away.
-        assert_eq!(idle.read("3", 60_000), by("a", "3"));
+    let mut hanging = matches!(then, Then::Hangs).then_some(new);
+    wait_until(|| old.call("status\n") == "ok ready\n");
+    assert_eq!(
+        old.client().read("2", 60_000),
+        value_from("a", "2"),
+        "the old process accepts new connections"
+    );
+    if !is_ready {
+        // The client was not handed over.
+        assert_eq!(idle.read("3", 60_000), value_from("a", "3"));
     }
     let third = old.replace();
     assert!(old.child.wait().expect("its end").success());
-    silent.take_if(|_| killed);
-    // The kernel leads each by chance to one of the listeners that there are.
-    (4..10).for_each(|id| assert_eq!(third.client().read(&id.to_string(), 60_000), by("a", &id.to_string())));
+    hanging.take_if(|_| killed);
+    // The kernel assigns each connection at random to one of the open listeners.
+    (4..10).for_each(|id| {
+        assert_eq!(third.client().read(&id.to_string(), 60_000), value_from("a", &id.to_string()))
+    });
 }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,4 +1,5 @@
-//! The shared helper of the node's tests: the real program between stand-ins of members, origin and discovery.
+//! Shared harness of the daemon's tests: starts the real program against simulated pool members, origin and
+//! discovery, and gives a blocking memcache client to talk to it.
 
 pub mod shim;
 
@@ -14,9 +15,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longer than anything here takes, on any machine.
-pub const WIDE: Duration = Duration::from_secs(60);
+/// Time-out of every wait in these tests; far longer than any step takes, also on a busy machine.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// The platform's settings of a node: a safe class `read`, a guarded class `put`, and cache-aside mode.
 pub const SETTINGS: &str = r#"{"az":0,"zones":["z"],"host-types":["cache","origin"],"siblings":1,
 "discovery":"subscribe","family-info":{"mode":"aside","origin-kind":1},"bounds":{"attempts-cap":3,"cancel":true,
 "conn-idle-s":60.0,"connect-timeout-s":0.25,"max-retry-after-s":2.0,"most-held":20000,"multiplex":32,
@@ -25,7 +27,7 @@
 "slo-s":1.5,"window-s":10.0,"worth":15.0}],"rules":{"ask-within-s":10.0,"cold-s":24.0,"drain-grace-s":0.5,
 "fall-s":2.0,"start-capacity":0.13,"tip-multiple":3.0}}"#;
 
-/// A world with these cache servers, warm and quick, and no origin.
+/// The description of a world with these cache servers, each quick and warm, and without an origin.
 pub fn spec(servers: &[&str]) -> Spec {
     let class = Class { work: Dist::Fixed(100.0), ..Class::default() };
     let server = |uid: &&str| {
@@ -39,20 +41,21 @@
     spec
 }
 
-/// Starts a world whose servers hold the key of each id that is asked for by [`Client::read`].
+/// Starts a world whose servers hold the key that [`Client::read`] asks for, for each of the ids.
 pub fn world(spec: Spec, ids: impl Iterator<Item = String>) -> World<Books> {
     let servers: Vec<String> = spec.servers.iter().map(|server| server.uid.clone()).collect();
     let world = World::start(spec, Clock::default(), Books::default(), 1).expect("a world");
     let keys: Vec<Key> = ids.map(|id| Key::of(format!("k{id}").as_bytes())).collect();
     for server in servers {
-        world.control().fill(no(&world, &server), keys.clone()).expect("filled");
+        world.control().fill(server_no(&world, &server), keys.clone()).expect("filled");
     }
     world
 }
 
-/// What a peer has written to somebody waits there to be read.
-pub fn lies_unread(from: SocketAddr) -> bool {
-    let sockets = std::fs::read_to_string("/proc/net/tcp").expect("the machine's connections");
+/// Whether a connection from that local address has received bytes that its owner has not read, by the
+/// kernel's socket table.
+pub fn has_unread_input(from: SocketAddr) -> bool {
+    let sockets = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's socket table");
     let from = format!("{:08X}:{:04X}", u32::from_ne_bytes([127, 0, 0, 1]), from.port());
     let unread = |line: &str| {
         let mut words = line.split_whitespace().skip(2);
@@ -62,90 +65,93 @@
     sockets.lines().any(unread)
 }
 
-/// Ids from 0 up.
+/// The first `count` request ids: "0", "1" and so on.
 pub fn ids(count: usize) -> impl Iterator<Item = String> {
     (0..count).map(|id| id.to_string())
 }
 
-pub fn no(world: &World<Books>, uid: &str) -> ServerNo {
+/// The number under which the lab's ledger knows a server.
+pub fn server_no(world: &World<Books>, uid: &str) -> ServerNo {
     world.server(uid).expect("a server of that name")
 }
 
-/// How many requests have come to a server.
-pub fn asked(world: &World<Books>, uid: &str) -> usize {
-    let no = no(world, uid);
-    let came = |e: &ServerEvent| matches!(e, ServerEvent::LastByte { server, .. } if *server == no);
-    world.look(|books| books.servers.records().iter().filter(|r| came(&r.event)).count()).expect("books")
+/// How many requests a server has received in full.
+pub fn requests_received(world: &World<Books>, uid: &str) -> usize {
+    let no = server_no(world, uid);
+    let received = |e: &ServerEvent| matches!(e, ServerEvent::LastByte { server, .. } if *server == no);
+    world.look(|books| books.servers.records().iter().filter(|r| received(&r.event)).count()).expect("books")
 }
 
-/// Waits for what comes to pass.
-pub fn until(mut holds: impl FnMut() -> bool) {
+/// Polls until the condition holds, and fails the test after [`TEST_TIMEOUT`].
+pub fn wait_until(mut condition: impl FnMut() -> bool) {
     let begun = Instant::now();
-    while !holds() {
-        assert!(begun.elapsed() < WIDE, "it does not come to pass");
+    while !condition() {
+        assert!(begun.elapsed() < TEST_TIMEOUT, "the awaited condition did not hold within {TEST_TIMEOUT:?}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
+/// An HTTP response with status 200 and this body.
 pub fn http(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Discovery that tells any text.
-pub struct List {
+/// A discovery server that answers each long poll with a list given by the test, which may be any text.
+pub struct ScriptedDiscovery {
     peer: Scripted,
-    shared: Arc<Mutex<Texts>>,
+    shared: Arc<Mutex<PublishedList>>,
 }
 
 #[derive(Default)]
-struct Texts {
-    next: Option<String>,
-    /// A call that waits for the next text.
-    waits: Option<Reply>,
+struct PublishedList {
+    /// The list that the next call gets; none once it is sent.
+    unsent: Option<String>,
+    /// The long poll that waits for the next list.
+    pending_call: Option<Reply>,
 }
 
-impl Texts {
+impl PublishedList {
     fn send(&mut self) {
-        if let Some(reply) = self.waits.take() {
-            match self.next.take() {
+        if let Some(reply) = self.pending_call.take() {
+            match self.unsent.take() {
                 Some(text) => reply.send(http(&text)),
-                None => self.waits = Some(reply),
+                None => self.pending_call = Some(reply),
             }
         }
     }
 }
 
-impl List {
-    pub fn start(first: &str) -> List {
-        let shared: Arc<Mutex<Texts>> = Arc::default();
-        shared.lock().expect("a lock").next = Some(first.into());
-        let theirs = shared.clone();
+impl ScriptedDiscovery {
+    pub fn start(first: &str) -> ScriptedDiscovery {
+        let shared: Arc<Mutex<PublishedList>> = Arc::default();
+        shared.lock().expect("a lock").unsent = Some(first.into());
+        let handler_state = shared.clone();
         let peer = Scripted::start(move |_, reply| {
-            let mut texts = theirs.lock().expect("a lock");
-            texts.waits = Some(reply);
-            texts.send();
+            let mut published = handler_state.lock().expect("a lock");
+            published.pending_call = Some(reply);
+            published.send();
         });
-        List { peer: peer.expect("a peer"), shared }
+        ScriptedDiscovery { peer: peer.expect("a peer"), shared }
     }
 
-    /// Answers the call that waits, or the next one, with it.
-    pub fn say(&self, text: &str) {
-        let mut texts = self.shared.lock().expect("a lock");
-        texts.next = Some(text.into());
-        texts.send();
+    /// Answers the pending call with this list, or else the next call.
+    pub fn publish(&self, text: &str) {
+        let mut published = self.shared.lock().expect("a lock");
+        published.unsent = Some(text.into());
+        published.send();
     }
 
-    /// The same, and waits until more has been asked for.
-    pub fn tell(&self, text: &str) {
-        self.say(text);
-        self.until_asked();
+    /// The same, and waits for the next call, which shows that the node has read this list.
+    pub fn publish_and_wait(&self, text: &str) {
+        self.publish(text);
+        self.wait_for_poll();
     }
 
-    /// Waits until a call waits for more than what was told.
-    pub fn until_asked(&self) {
-        until(|| {
-            let texts = self.shared.lock().expect("a lock");
-            texts.next.is_none() && texts.waits.is_some()
+    /// Waits until all lists have been sent and a new call is pending.
+    pub fn wait_for_poll(&self) {
+        wait_until(|| {
+            let published = self.shared.lock().expect("a lock");
+            published.unsent.is_none() && published.pending_call.is_some()
         });
     }
 
@@ -154,38 +160,44 @@
     }
 }
 
+/// A running process of the daemon; it is killed when this is dropped.
 pub struct Node {
     pub child: Child,
     name: String,
+    /// Where clients connect.
     pub address: SocketAddr,
-    /// The operators' address, where it has one.
+    /// Where operators connect, if it has a management listener.
     management: Option<SocketAddr>,
     discovery: SocketAddr,
+    /// Its limit on descriptors.
     sockets: u32,
-    /// Its `$TMPDIR`.
+    /// Its `$TMPDIR`, in which its take-over socket lies.
     folder: Option<String>,
+    /// Path of the platform's configuration file; that of the operators is the same with `.toml` appended.
     config: String,
-    /// The table of its system calls that fail.
+    /// The fault table: which of its system calls fail.
     faults: Option<PathBuf>,
     _output: BufReader<ChildStdout>,
 }
 
-/// How a node is started.
+/// The options with which a node is started.
 struct Start<'a> {
     name: &'a str,
     listen: SocketAddr,
     folder: Option<&'a str>,
     discovery: SocketAddr,
     sockets: u32,
+    /// Text of the operators' configuration file.
     operators: Option<&'a str>,
+    /// Whether it has a management listener.
     managed: bool,
     settings: &'a str,
-    /// The table of system calls that fail; the program is the one that the shim reaches.
+    /// The fault table; with one, the program that is built for the fault shim is started.
     faults: Option<&'a Path>,
 }
 
 impl<'a> Start<'a> {
-    /// The usual way.
+    /// The defaults.
     fn new(discovery: SocketAddr) -> Start<'a> {
         Start {
             name: "n",
@@ -209,7 +221,7 @@
         program.envs(managed.then_some(("EDGE_MANAGEMENT", "127.0.0.1:0")));
         program.envs(folder.map(|folder| ("TMPDIR", folder)));
         if let Some(table) = faults {
-            program = shim::reached_by_it(&program, table);
+            program = shim::with_shim_loaded(&program, table);
         }
         let config = program.get_envs().find(|(name, _)| *name == "EDGE_CONFIG").and_then(|(_, file)| file);
         let config = config.expect("a file").to_string_lossy().into_owned();
@@ -220,19 +232,19 @@
         }
         let mut child = program.spawn().expect("the program starts");
         let mut output = BufReader::new(child.stdout.take().expect("its output"));
-        let mut told = || {
+        let mut printed_address = || {
             let mut line = String::new();
             output.read_line(&mut line).expect("a line");
             let address = line.trim().rsplit(' ').next().and_then(|a| a.parse().ok());
             address.unwrap_or_else(|| {
                 let _ = child.kill();
-                let mut said = String::new();
-                child.stderr.take().map(|mut errors| errors.read_to_string(&mut said));
-                panic!("it did not start: {line:?} {said}")
+                let mut log = String::new();
+                child.stderr.take().map(|mut errors| errors.read_to_string(&mut log));
+                panic!("the node did not start: {line:?} {log}")
             })
         };
-        let address = told();
-        let management = managed.then(told);
+        let address = printed_address();
+        let management = managed.then(printed_address);
         let folder = folder.map(String::from);
         let name = name.into();
         let faults = faults.map(Path::to_path_buf);
@@ -240,7 +252,8 @@
     }
 }
 
-/// The program on a configuration file; what is not in `variables` is in the file.
+/// The command that starts the program with this text as its configuration file and with these environment
+/// variables, which override the file.
 pub fn program(config: &str, variables: &[(&str, &str)]) -> Command {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let count = COUNT.fetch_add(1, Ordering::SeqCst);
@@ -253,58 +266,59 @@
 }
 
 impl Node {
-    /// Starts a node in a world.
+    /// Starts a node in a world, and waits until it is ready.
     pub fn start(world: &World<Books>) -> Node {
-        Node::limited(world, 1024)
+        Node::with_descriptor_limit(world, 1024)
     }
 
-    pub fn limited(world: &World<Books>, sockets: u32) -> Node {
-        Node::told_by(world.addresses().discovery(0).expect("discovery"), sockets)
+    pub fn with_descriptor_limit(world: &World<Books>, sockets: u32) -> Node {
+        Node::with_discovery(world.addresses().discovery(0).expect("discovery"), sockets)
     }
 
-    /// Starts a node that asks for its list there.
-    pub fn told_by(discovery: SocketAddr, sockets: u32) -> Node {
-        let node = Node::begin(discovery, sockets);
-        node.until_ready();
+    /// Starts a node that gets its server list from this discovery, and waits until it is ready.
+    pub fn with_discovery(discovery: SocketAddr, sockets: u32) -> Node {
+        let node = Node::spawn(discovery, sockets);
+        node.wait_ready();
         node
     }
 
-    /// The same, though it may have no list yet.
-    pub fn begin(discovery: SocketAddr, sockets: u32) -> Node {
-        Node::under(discovery, sockets, None)
+    /// The same without the wait: it may have no server list yet.
+    pub fn spawn(discovery: SocketAddr, sockets: u32) -> Node {
+        Node::with_operator_config(discovery, sockets, None)
     }
 
-    /// The same, under settings of the operators'.
-    pub fn under(discovery: SocketAddr, sockets: u32, operators: Option<&str>) -> Node {
+    /// The same, with this text as the operators' configuration file.
+    pub fn with_operator_config(discovery: SocketAddr, sockets: u32, operators: Option<&str>) -> Node {
         Node::run(discovery, sockets, operators, false)
     }
 
-    /// A ready node with an operators' address.
-    pub fn managed(world: &World<Books>, sockets: u32) -> Node {
+    /// A ready node with a management listener.
+    pub fn with_management(world: &World<Books>, sockets: u32) -> Node {
         let discovery = world.addresses().discovery(0).expect("discovery");
         let node = Node::run(discovery, sockets, None, true);
-        node.until_ready();
+        node.wait_ready();
         node
     }
 
-    /// A ready node at an address of its own, which another process may take the place of.
+    /// A ready node at an address of its own, so that a successor process can take over from it.
     pub fn replaceable(world: &World<Books>, sockets: u32) -> Node {
-        Node::replaceable_told_by(world.addresses().discovery(0).expect("discovery"), sockets).once_ready()
+        Node::replaceable_with_discovery(world.addresses().discovery(0).expect("discovery"), sockets)
+            .into_ready()
     }
 
-    /// The same, told by that discovery; it may have no member yet.
-    pub fn replaceable_told_by(discovery: SocketAddr, sockets: u32) -> Node {
-        Node::replaceable_under(discovery, sockets, None)
+    /// The same, with this discovery and without the wait: it may have no member yet.
+    pub fn replaceable_with_discovery(discovery: SocketAddr, sockets: u32) -> Node {
+        Node::replaceable_with_faults(discovery, sockets, None)
     }
 
-    /// The same; its system calls fail as the table says.
-    pub fn replaceable_under(discovery: SocketAddr, sockets: u32, faults: Option<&Path>) -> Node {
+    /// The same; its system calls fail as the fault table says.
+    pub fn replaceable_with_faults(discovery: SocketAddr, sockets: u32, faults: Option<&Path>) -> Node {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
-        // An address of 127/8 that nobody else has: the port need not be free elsewhere.
+        // An address of 127/8 that no other test or process uses: the port need not be free elsewhere.
         let [a, b] = (std::process::id() as u16).to_be_bytes();
         let host = 1 + COUNT.fetch_add(1, Ordering::SeqCst) % 250;
         let listen = SocketAddr::from(([127, a | 128, b, host as u8], 11211));
-        // A short path: that of a Unix socket has at most 107 bytes, wherever this is checked out.
+        // A short path, since that of a Unix socket has at most 107 bytes and the checkout may lie deep.
         let folder = std::env::temp_dir().join(format!("lr-{}-{host}", std::process::id()));
         let folder = folder.to_string_lossy().into_owned();
         std::fs::create_dir_all(&folder).expect("a folder");
@@ -312,46 +326,48 @@
         Start { listen, folder, sockets, faults, managed: true, ..Start::new(discovery) }.run()
     }
 
-    /// A node with an operators' address whose system calls fail as the table says; it may have no list yet.
-    pub fn failing(discovery: SocketAddr, settings: &str, faults: &Path) -> Node {
+    /// A node with a management listener whose system calls fail as the fault table says; it may have no list
+    /// yet.
+    pub fn with_faults(discovery: SocketAddr, settings: &str, faults: &Path) -> Node {
         Start { settings, managed: true, faults: Some(faults), ..Start::new(discovery) }.run()
     }
 
-    /// Where operators call.
+    /// Where operators connect.
     pub fn management(&self) -> SocketAddr {
-        self.management.expect("an operators' address")
+        self.management.expect("a management listener")
     }
 
-    /// A node of that name under settings of the operators', in a folder where its processes meet.
+    /// A ready node of this name with this text as the operators' configuration file, which a successor can
+    /// take over from.
     pub fn named(name: &str, world: &World<Books>, operators: &str) -> Node {
         let discovery = world.addresses().discovery(0).expect("discovery");
-        let first = Node::replaceable_told_by(discovery, 1024);
+        let first = Node::replaceable_with_discovery(discovery, 1024);
         let (listen, folder) = (first.address, first.folder.clone());
         drop(first);
         let (folder, operators) = (folder.as_deref(), Some(operators));
-        Start { name, listen, folder, operators, managed: true, ..Start::new(discovery) }.run().once_ready()
+        Start { name, listen, folder, operators, managed: true, ..Start::new(discovery) }.run().into_ready()
     }
 
-    /// Writes the operators' file anew and tells the node.
-    pub fn operate(&self, operators: &str) {
+    /// Rewrites the operators' configuration file and has the node reload it.
+    pub fn reload_operator_config(&self, operators: &str) {
         std::fs::write(format!("{}.toml", self.config), operators).expect("written");
         self.signal("-HUP");
     }
 
-    /// Another process in the place of this one, once it is ready; the old one is told to stop.
+    /// Starts a successor, waits until it is ready, and sends SIGTERM to this process.
     pub fn replace(&mut self) -> Node {
-        let new = Node::beside(self);
+        let successor = Node::start_successor(self);
         self.signal("-TERM");
-        new
+        successor
     }
 
-    /// Another ready process beside this one.
-    pub fn beside(old: &Node) -> Node {
-        Node::beside_unready(old).once_ready()
+    /// Starts a second process of the same node, which takes over from `old`, and waits until it is ready.
+    pub fn start_successor(old: &Node) -> Node {
+        Node::spawn_successor(old).into_ready()
     }
 
-    /// The same, though it may have no member yet.
-    pub fn beside_unready(old: &Node) -> Node {
+    /// The same without the wait: it may have no member yet.
+    pub fn spawn_successor(old: &Node) -> Node {
         let operators = std::fs::read_to_string(format!("{}.toml", old.config)).ok();
         let (name, listen, folder) = (old.name.as_str(), old.address, old.folder.as_deref());
         let (sockets, operators, faults) = (old.sockets, operators.as_deref(), old.faults.as_deref());
@@ -359,14 +375,16 @@
             .run()
     }
 
-    /// Where the processes of this node meet: the one file there.
-    pub fn meeting_place(&self) -> std::path::PathBuf {
-        let mut files = std::fs::read_dir(self.folder.as_ref().expect("a folder")).expect("it");
-        files.next().expect("a file").expect("it").path()
+    /// The Unix socket on which a successor asks this node to hand over; it is the only file in its folder.
+    pub fn takeover_socket(&self) -> std::path::PathBuf {
+        let mut files =
+            std::fs::read_dir(self.folder.as_ref().expect("a folder")).expect("the folder's files");
+        files.next().expect("a file").expect("its entry").path()
     }
 
-    fn once_ready(self) -> Node {
-        until(|| self.call("status\n") == "ok ready\n");
+    /// Waits until the management call `status` says that the node is ready.
+    fn into_ready(self) -> Node {
+        wait_until(|| self.call("status\n") == "ok ready\n");
         self
     }
 
@@ -374,42 +392,42 @@
         Start { sockets, operators, managed, ..Start::new(discovery) }.run()
     }
 
-    /// Starts a node under these settings; it may have no list yet.
-    pub fn set(discovery: SocketAddr, settings: &str) -> Node {
+    /// Starts a node with these settings of the platform; it may have no list yet.
+    pub fn with_settings(discovery: SocketAddr, settings: &str) -> Node {
         Start { settings, ..Start::new(discovery) }.run()
     }
 
-    /// One line on a connection of its own to the operators' address; gives the answer.
+    /// Sends one line on a management connection of its own and gives the answer.
     pub fn call(&self, line: &str) -> String {
-        self.caller(line).answer()
+        self.open_call(line).answer()
     }
 
-    /// The same, but the answer is not waited for.
-    pub fn caller(&self, said: &str) -> Client {
+    /// Sends the text on a management connection of its own; the answer is not waited for.
+    pub fn open_call(&self, text: &str) -> Client {
         let stream = TcpStream::connect(self.management()).expect("a connection");
-        stream.set_read_timeout(Some(WIDE)).expect("set");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         let mut caller = Client(BufReader::new(stream));
-        caller.send(said);
+        caller.send(text);
         caller
     }
 
-    /// Waits until it may be put to use.
-    pub fn until_ready(&self) {
+    /// Waits until the node is ready, which is when it answers `mn` with `MN`.
+    pub fn wait_ready(&self) {
         assert_eq!(self.client().ask("mn\r\n"), "MN\r\n");
     }
 
-    /// Changes the configuration file and tells the node.
+    /// Changes the platform's configuration file and has the node reload it.
     pub fn reload(&self, change: impl Fn(&str) -> String) {
         let text = std::fs::read_to_string(&self.config).expect("the file");
         std::fs::write(&self.config, change(&text)).expect("written");
         self.signal("-HUP");
     }
 
-    /// Stops it where it stands, until it is told to go on with `-CONT`.
-    pub fn stand_still(&self) {
+    /// Stalls the process with SIGSTOP and waits until it is stopped; SIGCONT resumes it.
+    pub fn pause_process(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        until(|| std::fs::read_to_string(&stat).is_ok_and(|s| s.contains(") T ")));
+        wait_until(|| std::fs::read_to_string(&stat).is_ok_and(|s| s.contains(") T ")));
     }
 
     pub fn signal(&self, signal: &str) {
@@ -421,13 +439,13 @@
         self.client_from([127, 0, 0, 1]).expect("a connection")
     }
 
-    /// A client at another address of this machine.
+    /// A client that connects from this source address.
     pub fn client_from(&self, ip: [u8; 4]) -> std::io::Result<Client> {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
         socket.bind(&SocketAddr::from((ip, 0)).into())?;
         socket.connect(&self.address.into())?;
         let stream = TcpStream::from(socket);
-        stream.set_read_timeout(Some(WIDE))?;
+        stream.set_read_timeout(Some(TEST_TIMEOUT))?;
         Ok(Client(BufReader::new(stream)))
     }
 }
@@ -439,12 +457,13 @@
     }
 }
 
+/// A blocking client of the daemon's memcache listener or of its management listener.
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    pub fn at(address: SocketAddr) -> std::io::Result<Client> {
+    pub fn connect(address: SocketAddr) -> std::io::Result<Client> {
         let stream = TcpStream::connect(address)?;
-        stream.set_read_timeout(Some(WIDE))?;
+        stream.set_read_timeout(Some(TEST_TIMEOUT))?;
         Ok(Client(BufReader::new(stream)))
     }
 
@@ -452,54 +471,55 @@
         self.0.get_mut().write_all(text.as_ref()).expect("written");
     }
 
-    /// One line, its end included; nothing at the end of the stream.
-    pub fn line(&mut self) -> String {
+    /// One line with its line end; empty at the end of the stream.
+    pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         self.0.read_line(&mut line).expect("a line in time");
         line
     }
 
-    /// So many bytes.
-    pub fn bytes(&mut self, length: usize) -> Vec<u8> {
+    /// Exactly `length` bytes.
+    pub fn read_bytes(&mut self, length: usize) -> Vec<u8> {
         let mut bytes = vec![0; length];
         self.0.read_exact(&mut bytes).expect("bytes in time");
         bytes
     }
 
-    /// What comes until the stream ends, or is reset.
-    pub fn rest(&mut self) -> Vec<u8> {
+    /// All bytes until the stream ends or is reset.
+    pub fn read_to_end(&mut self) -> Vec<u8> {
         let mut rest = Vec::new();
         let _ = self.0.read_to_end(&mut rest);
         rest
     }
 
-    /// Ends its sending, or all of it.
-    pub fn leave(&self, how: std::net::Shutdown) {
+    /// Shuts down its sending direction or both.
+    pub fn shutdown(&self, how: std::net::Shutdown) {
         self.0.get_ref().shutdown(how).expect("shut");
     }
 
-    /// Its connection was reset, be that behind its end.
+    /// Whether its connection was reset, also if only after the end of the stream.
     pub fn was_reset(&self) -> bool {
         self.0.get_ref().take_error().expect("its state").is_some()
     }
 
-    /// Sends, unless the connection has ended.
+    /// Sends the text; gives the error if the connection has ended.
     pub fn try_send(&mut self, text: &str) -> std::io::Result<()> {
         self.0.get_mut().write_all(text.as_bytes())
     }
 
-    /// Sends on the side, as far as the peer takes it.
-    pub fn flood(&self, text: &str) {
+    /// Sends the text from a thread of its own, until the peer accepts no more.
+    pub fn send_in_background(&self, text: &str) {
         let (mut stream, text) = (self.0.get_ref().try_clone().expect("a stream"), text.to_string());
         thread::spawn(move || stream.write_all(text.as_bytes()));
     }
 
-    /// One answer; nothing at the end of the stream. A value that a stand-in made for this very request is told by its
-    /// maker ([`by`]), any other stands behind its line.
+    /// One answer; empty at the end of the stream. A value that a simulated server made for this very request
+    /// is given as [`value_from`] describes it; any other value follows its `VA` line unchanged.
     pub fn answer(&mut self) -> String {
         self.try_answer().expect("an answer in time")
     }
 
+    /// The same; gives the error if the connection fails or times out.
     pub fn try_answer(&mut self) -> std::io::Result<String> {
         let mut line = String::new();
         self.0.read_line(&mut line)?;
@@ -509,22 +529,22 @@
             self.0.read_exact(&mut value)?;
             let id = line.split_whitespace().find_map(|w| w.strip_prefix('O')).unwrap_or_default();
             match maker(&value[..length], id) {
-                Some(uid) => return Ok(by(uid, id)),
+                Some(uid) => return Ok(value_from(uid, id)),
                 None => line.push_str(&String::from_utf8_lossy(&value)),
             }
         }
         Ok(line)
     }
 
-    /// The answer, if it comes by then.
+    /// The answer, or the error of a time-out at that instant.
     pub fn answer_by(&mut self, at: Instant) -> std::io::Result<String> {
         let left = at.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
         self.0.get_ref().set_read_timeout(Some(left))?;
         self.try_answer()
     }
 
-    /// Whether its connection ends by then, however it does.
-    pub fn has_ended_by(&mut self, at: Instant) -> bool {
+    /// Whether its connection is closed or reset by that instant.
+    pub fn closes_by(&mut self, at: Instant) -> bool {
         let mut rest = [0; 4096];
         loop {
             let left = at.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
@@ -538,34 +558,37 @@
         }
     }
 
-    /// Asks, and gives the answer if one came before the connection ended.
+    /// Sends a command; gives its answer, or the error if the connection failed before.
     pub fn try_ask(&mut self, text: &str) -> std::io::Result<String> {
         self.0.get_mut().write_all(text.as_bytes())?;
         self.try_answer()
     }
 
+    /// Sends a command and gives its answer.
     pub fn ask(&mut self, text: &str) -> String {
         self.send(text);
         self.answer()
     }
 
+    /// Reads the key `k{id}` with a deadline of `wait_ms`.
     pub fn read(&mut self, id: &str, wait_ms: u64) -> String {
-        self.begin_read(id, wait_ms);
+        self.send_read(id, wait_ms);
         self.answer()
     }
 
-    /// Asks as [`Client::read`] does; the answer is not waited for.
-    pub fn begin_read(&mut self, id: &str, wait_ms: u64) {
+    /// Sends the command of [`Client::read`]; the answer is not waited for.
+    pub fn send_read(&mut self, id: &str, wait_ms: u64) {
         self.send(format!("mg k{id} v O{id} Pc=read,d={wait_ms}\r\n"));
     }
 }
 
-/// The answer that a server of that name made for a read of that id.
-pub fn by(uid: &str, id: &str) -> String {
+/// How [`Client::answer`] gives a value that this server made for a read of this id.
+pub fn value_from(uid: &str, id: &str) -> String {
     format!("value of {uid} for {id}")
 }
 
-/// Who made a value, if every byte of it is as that server made it for this request and the key of [`Client::read`].
+/// Which server made a value; none unless every byte is as that server makes it for this request id and the
+/// key of [`Client::read`].
 pub fn maker(value: &[u8], id: &str) -> Option<&'static str> {
     let made = check(value, Key::of(format!("k{id}").as_bytes())).ok()?;
     let names = ["a", "b", "bad", "c", "good", "gone"].into_iter();
--- a/tests/held_up.rs
+++ b/tests/held_up.rs
@@ -1,5 +1,6 @@
-//! A node that the machine holds up for a moment (at most [`HOLD`]): what arrives meanwhile, and what falls due meanwhile,
-//! still gets its final answer in time. The process is stopped and continued by signals; time is read by the client.
+//! A node that the machine does not schedule for up to [`MAX_STALL`]: requests that arrive or fall due during
+//! the stall still get their final answer in time. The process is stopped and continued by signals; the
+//! client measures the time.
 
 #[allow(dead_code)]
 mod harness;
@@ -9,120 +10,125 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a node has to bear (STANDING: "held up for up to 0.15 s").
-const HOLD: Duration = Duration::from_millis(150);
-/// For so long it is held up here: the rest is for the signals, which are sent by other processes.
-const HELD_FOR: Duration = Duration::from_millis(125);
-/// Time limits on sockets are this much longer.
+/// The longest stall that a node has to tolerate.
+const MAX_STALL: Duration = Duration::from_millis(150);
+/// For how long the tests stall the node; the rest of the time is for the signals, which other processes
+/// send.
+const STALL: Duration = Duration::from_millis(125);
+/// Added to each time limit that is measured at a client's socket.
 const SLACK: Duration = Duration::from_millis(50);
 const WAIT_MS: u64 = 600;
-/// Plays that the machine itself held up are played again, so often at the most.
-const PLAYS: usize = 20;
+/// Limit on the runs of a case; one in which the machine stalled the node for longer than [`MAX_STALL`] is
+/// repeated.
+const MAX_RUNS: usize = 20;
 
 /// A node whose one cache server never answers.
-fn at_a_silent_server() -> (World<Books>, Node) {
+fn node_with_silent_server() -> (World<Books>, Node) {
     let world = world(spec(&["a"]), ids(1));
     let node = Node::start(&world);
-    world.control().pause(no(&world, "a"), 60_000_000).expect("paused");
+    world.control().pause(server_no(&world, "a"), 60_000_000).expect("paused");
     (world, node)
 }
 
-/// Holds the node up and does something meanwhile. Gives for how long it was held up at the most.
-fn hold_up<T>(node: &Node, meanwhile: impl FnOnce() -> T) -> (Duration, T) {
+/// Stalls the node and calls `meanwhile`. Gives an upper bound of the stall's length.
+fn stall<T>(node: &Node, meanwhile: impl FnOnce() -> T) -> (Duration, T) {
     let begun = Instant::now();
-    node.stand_still();
+    node.pause_process();
     let done = meanwhile();
-    thread::sleep(HELD_FOR.saturating_sub(begun.elapsed()));
+    thread::sleep(STALL.saturating_sub(begun.elapsed()));
     node.signal("-CONT");
     (begun.elapsed(), done)
 }
 
-/// How long an answer took, from a play in which the node was held up for no longer than it has to bear.
-fn took(mut play: impl FnMut(usize) -> (Duration, Duration)) -> Duration {
-    let plays = (0..PLAYS).map(&mut play);
-    let sound = plays.into_iter().find(|(held, _)| *held <= HOLD);
-    sound.expect("a play that the machine does not hold up").1
+/// How long an answer took, from the first run in which the node's stall was within [`MAX_STALL`].
+fn answer_time(mut run: impl FnMut(usize) -> (Duration, Duration)) -> Duration {
+    let runs = (0..MAX_RUNS).map(&mut run);
+    let valid = runs.into_iter().find(|(stalled, _)| *stalled <= MAX_STALL);
+    valid.expect("a run in which the stall was not too long").1
 }
 
 fn in_time(took: Duration) -> bool {
     took <= Duration::from_millis(WAIT_MS) + SLACK
 }
 
-/// Danger: the time of a request counted from when it was read, and its client had left when the answer came.
+/// Fails if a request's deadline counts from when the node read it, so that its client has left when the
+/// answer comes.
 #[test]
-fn a_request_that_arrives_while_the_node_is_held_up_is_answered_in_its_time() {
-    let (_world, node) = at_a_silent_server();
+fn a_request_that_arrives_during_a_stall_is_answered_by_its_deadline() {
+    let (_world, node) = node_with_silent_server();
     let mut kept = node.client();
     assert_eq!(kept.ask("mn\r\n"), "MN\r\n");
-    let on_a_kept_connection = took(|n| {
-        let (held, asked) = hold_up(&node, || {
+    let on_a_kept_connection = answer_time(|n| {
+        let (stalled, asked) = stall(&node, || {
             let asked = Instant::now();
-            kept.begin_read(&format!("kept{n}"), WAIT_MS);
+            kept.send_read(&format!("kept{n}"), WAIT_MS);
             asked
         });
         kept.answer();
-        (held, asked.elapsed())
+        (stalled, asked.elapsed())
     });
     assert!(in_time(on_a_kept_connection), "kept: {on_a_kept_connection:?}");
-    let on_a_new_connection = took(|n| {
-        let (held, (asked, mut new)) = hold_up(&node, || {
+    let on_a_new_connection = answer_time(|n| {
+        let (stalled, (asked, mut new)) = stall(&node, || {
             let mut new = node.client();
-            new.begin_read(&format!("new{n}"), WAIT_MS);
+            new.send_read(&format!("new{n}"), WAIT_MS);
             (Instant::now(), new)
         });
         new.answer();
-        (held, asked.elapsed())
+        (stalled, asked.elapsed())
     });
     assert!(in_time(on_a_new_connection), "new: {on_a_new_connection:?}");
 }
 
-/// Danger: a final answer was given at the very end of its time, and a node held up there gave it too late.
+/// Fails if the final answer is given only at the deadline, so that a node that is stalled then gives it too
+/// late.
 #[test]
-fn a_request_that_falls_due_while_the_node_is_held_up_is_answered_in_its_time() {
-    let (_world, node) = at_a_silent_server();
-    for held_from in [420, 470, 520, 570, 595] {
-        let took = took(|n| {
+fn a_request_that_falls_due_during_a_stall_is_answered_by_its_deadline() {
+    let (_world, node) = node_with_silent_server();
+    for stall_from in [420, 470, 520, 570, 595] {
+        let took = answer_time(|n| {
             let mut client = node.client();
             let asked = Instant::now();
-            client.begin_read(&format!("{held_from}x{n}"), WAIT_MS);
-            // The client reads on while the node is held up: an answer counts when it comes.
+            client.send_read(&format!("{stall_from}x{n}"), WAIT_MS);
+            // The client reads during the stall, so that an answer counts from when it arrives.
             let reads = thread::spawn(move || {
                 client.answer();
                 asked.elapsed()
             });
-            thread::sleep(Duration::from_millis(held_from).saturating_sub(asked.elapsed()));
-            let (held, ()) = hold_up(&node, || ());
-            (held, reads.join().expect("an answer"))
+            thread::sleep(Duration::from_millis(stall_from).saturating_sub(asked.elapsed()));
+            let (stalled, ()) = stall(&node, || ());
+            (stalled, reads.join().expect("an answer"))
         });
-        assert!(in_time(took), "held up from {held_from} ms on: {took:?}");
+        assert!(in_time(took), "stalled from {stall_from} ms on: {took:?}");
     }
 }
 
-/// Danger: a node that was told to stop while it was held up counted its last moments from when it heard of it, and was
-/// killed before they came.
+/// Fails if the time to stop counts from when a stalled node handles SIGTERM: it would then be killed before
+/// it has answered.
 #[test]
-fn a_node_told_to_stop_while_it_is_held_up_ends_in_its_time() {
-    /// What is still owed so long after the longest deadline fails: a hold-up more, and the node is killed.
-    const LAST_CALL: Duration = Duration::from_millis(450);
+fn a_node_that_gets_sigterm_during_a_stall_ends_in_time() {
+    /// How long after the longest deadline pending requests are answered with a failure; one more stall later
+    /// the node is killed.
+    const FINAL_ANSWERS_AFTER: Duration = Duration::from_millis(450);
     let world = world(spec(&["a"]), ids(1));
-    world.control().pause(no(&world, "a"), 60_000_000).expect("paused");
+    world.control().pause(server_no(&world, "a"), 60_000_000).expect("paused");
     let discovery = world.addresses().discovery(0).expect("discovery");
     let settings = SETTINGS.replace(r#""give-up-s":2.5"#, r#""give-up-s":0.3"#);
     let settings = settings.replace(r#""give-up-s":5.0"#, r#""give-up-s":0.3"#);
-    let took = took(|n| {
-        let node = Node::set(discovery, &settings);
-        node.until_ready();
+    let took = answer_time(|n| {
+        let node = Node::with_settings(discovery, &settings);
+        node.wait_ready();
         let mut client = node.client();
-        client.begin_read(&format!("stop{n}"), 60_000);
-        until(|| asked(&world, "a") > n);
-        let (held, told) = hold_up(&node, || {
-            let told = Instant::now();
+        client.send_read(&format!("stop{n}"), 60_000);
+        wait_until(|| requests_received(&world, "a") > n);
+        let (stalled, signalled) = stall(&node, || {
+            let signalled = Instant::now();
             node.signal("-TERM");
-            told
+            signalled
         });
         assert_eq!(client.answer(), "SERVER_ERROR failed\r\n");
-        (held, told.elapsed())
+        (stalled, signalled.elapsed())
     });
     let longest = Duration::from_millis(300);
-    assert!(took <= longest + LAST_CALL + SLACK, "{took:?}");
+    assert!(took <= longest + FINAL_ANSWERS_AFTER + SLACK, "{took:?}");
 }
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -1,4 +1,4 @@
-//! Large values: passed on as they come, with backpressure, in both directions.
+//! Large values are streamed in both directions, with backpressure.
 
 #[allow(dead_code)]
 mod harness;
@@ -9,175 +9,194 @@
 use std::thread;
 use std::time::Duration;
 
-const MOST: usize = 4 << 20;
+/// The longest value that the node accepts.
+const MAX_LENGTH: usize = 4 << 20;
 
-/// Bytes that differ wherever one is lost or doubled.
+/// A byte pattern in which a lost or duplicated byte shows.
 fn value(length: usize) -> Vec<u8> {
     (0..length).map(|n| (n % 251) as u8).collect()
 }
 
+/// The first line of a server's answer.
 fn head(length: usize, id: &str) -> Vec<u8> {
     format!("VA {length} O{id} h1\r\n").into_bytes()
 }
 
-fn whole(length: usize, id: &str) -> Vec<u8> {
+/// A server's complete answer.
+fn answer(length: usize, id: &str) -> Vec<u8> {
     [head(length, id), value(length), b"\r\n".to_vec()].concat()
 }
 
-/// A world whose one cache server hands each request to the test: its id, and where the answer goes.
+/// A world whose one cache server passes each request to the test: its id, and the reply to send.
 fn scripted() -> (World<Books>, Scripted, Receiver<(String, Reply)>) {
-    let (tell, asked) = channel();
+    let (sender, requests) = channel();
     let cache = Scripted::start(move |asked, reply| {
-        let _ = tell.send((asked.id, reply));
+        let _ = sender.send((asked.id, reply));
     });
     let cache = cache.unwrap();
     let mut spec = spec(&[]);
     spec.discovery.plan.members = vec![member("c", &cache.address().to_string(), "cache", "z")];
-    (world(spec, ids(0)), cache, asked)
+    (world(spec, ids(0)), cache, requests)
 }
 
-fn ask(client: &mut Client, id: &str, wait_ms: u64) {
+/// Sends a read.
+fn send_read(client: &mut Client, id: &str, wait_ms: u64) {
     client.send(format!("mg k{id} v O{id} Pc=read,d={wait_ms}\r\n"));
 }
 
-fn takes(client: &mut Client, length: usize, id: &str) {
-    assert_eq!(client.line(), format!("VA {length} O{id}\r\n"));
-    assert!(client.bytes(length) == value(length), "every byte of {length} as it was given");
-    assert_eq!(client.bytes(2), b"\r\n");
+/// Reads an answer and checks each byte of its value.
+fn expect_value(client: &mut Client, length: usize, id: &str) {
+    assert_eq!(client.read_line(), format!("VA {length} O{id}\r\n"));
+    assert!(client.read_bytes(length) == value(length), "every byte of {length} as it was sent");
+    assert_eq!(client.read_bytes(2), b"\r\n");
 }
 
+/// Fails if a large value is buffered until it is complete, or truncated because its deadline passes while it
+/// is streamed.
 #[test]
-fn a_large_value_is_passed_on_as_it_comes_and_past_its_deadline() {
-    let (world, _cache, asked) = scripted();
+fn a_large_value_is_streamed_and_may_end_past_its_deadline() {
+    let (world, _cache, requests) = scripted();
     let node = Node::start(&world);
     let mut client = node.client();
-    ask(&mut client, "1", 1500);
-    let (id, reply) = asked.recv().unwrap();
-    let all = whole(MOST, &id);
-    // The first bytes arrive while the rest has not been given yet.
+    send_read(&mut client, "1", 1500);
+    let (id, reply) = requests.recv().unwrap();
+    let all = answer(MAX_LENGTH, &id);
+    // The client gets the first bytes before the server has sent the rest.
     reply.send(&all[..100_000]);
-    assert_eq!(client.line(), format!("VA {MOST} O1\r\n"));
-    let first = client.bytes(90_000);
+    assert_eq!(client.read_line(), format!("VA {MAX_LENGTH} O1\r\n"));
+    let first = client.read_bytes(90_000);
     thread::sleep(Duration::from_millis(1600));
-    // Cut anywhere: in the value, and in the line end behind it.
+    // The rest comes in pieces that also end within the value and within the line end after it.
     let cuts = [100_000, 100_001, 1_000_000, all.len() - 3, all.len() - 1, all.len()];
     cuts.windows(2).for_each(|cut| reply.send(&all[cut[0]..cut[1]]));
-    let rest = client.bytes(MOST - 90_000);
-    assert!([first, rest].concat() == value(MOST), "every byte, past the deadline");
-    assert_eq!(client.bytes(2), b"\r\n");
-    // The connection goes on.
-    ask(&mut client, "2", 60_000);
-    let (id, reply) = asked.recv().unwrap();
-    reply.send(whole(5, &id));
-    takes(&mut client, 5, "2");
+    let rest = client.read_bytes(MAX_LENGTH - 90_000);
+    assert!([first, rest].concat() == value(MAX_LENGTH), "every byte, past the deadline");
+    assert_eq!(client.read_bytes(2), b"\r\n");
+    // The connection stays usable.
+    send_read(&mut client, "2", 60_000);
+    let (id, reply) = requests.recv().unwrap();
+    reply.send(answer(5, &id));
+    expect_value(&mut client, 5, "2");
 }
 
+/// Fails if a value of a length at a buffer's or the limit's edge is damaged, or one over the limit is
+/// accepted.
 #[test]
-fn lengths_from_nothing_to_the_limit_pass_and_one_over_is_refused() {
-    let (world, _cache, asked) = scripted();
+fn values_up_to_the_limit_pass_and_one_byte_more_is_rejected() {
+    let (world, _cache, requests) = scripted();
     let node = Node::start(&world);
     let mut client = node.client();
-    for (n, length) in [0, 1, 65_535, 65_536, 65_537, 200_000, MOST].into_iter().enumerate() {
+    for (n, length) in [0, 1, 65_535, 65_536, 65_537, 200_000, MAX_LENGTH].into_iter().enumerate() {
         let id = n.to_string();
-        ask(&mut client, &id, 60_000);
-        let (id, reply) = asked.recv().unwrap();
-        reply.send(whole(length, &id));
-        takes(&mut client, length, &id);
+        send_read(&mut client, &id, 60_000);
+        let (id, reply) = requests.recv().unwrap();
+        reply.send(answer(length, &id));
+        expect_value(&mut client, length, &id);
     }
-    ask(&mut client, "9", 1000);
-    for (id, reply) in asked.iter() {
-        // A length over the limit is a spoilt answer, whoever gives it.
+    send_read(&mut client, "9", 1000);
+    for (id, reply) in requests.iter() {
+        // A length over the limit counts as a corrupt response, whichever server sends it.
         if id == "9" {
-            reply.send(head(MOST + 1, &id));
+            reply.send(head(MAX_LENGTH + 1, &id));
             break;
         }
     }
-    assert!(client.line().starts_with("SERVER_ERROR"));
-    client.send(format!("ms k {} O10 Pc=put,d=9,k=a\r\n", MOST + 1));
-    assert_eq!(client.line(), "CLIENT_ERROR object too large\r\n");
+    assert!(client.read_line().starts_with("SERVER_ERROR"));
+    client.send(format!("ms k {} O10 Pc=put,d=9,k=a\r\n", MAX_LENGTH + 1));
+    assert_eq!(client.read_line(), "CLIENT_ERROR object too large\r\n");
 }
 
+/// Fails if a value that its server truncates leaves the client's connection open, or if it, or a client that
+/// disconnects within a value, harms another client.
 #[test]
-fn a_value_that_breaks_off_ends_its_connection_and_costs_no_other() {
-    let (world, _cache, asked) = scripted();
+fn a_truncated_value_closes_its_connection_and_harms_no_other() {
+    let (world, _cache, requests) = scripted();
     let node = Node::start(&world);
-    let (mut torn, mut other) = (node.client(), node.client());
-    ask(&mut torn, "1", 60_000);
-    let (id, reply) = asked.recv().unwrap();
-    reply.send(&whole(MOST, &id)[..1 << 20]);
-    assert_eq!(torn.line(), format!("VA {MOST} O1\r\n"));
+    let (mut truncated, mut other) = (node.client(), node.client());
+    send_read(&mut truncated, "1", 60_000);
+    let (id, reply) = requests.recv().unwrap();
+    reply.send(&answer(MAX_LENGTH, &id)[..1 << 20]);
+    assert_eq!(truncated.read_line(), format!("VA {MAX_LENGTH} O1\r\n"));
     reply.close();
-    let rest = torn.rest();
-    assert!(rest.len() < MOST && value(MOST).starts_with(&rest), "what came of it, and then the end");
-    // A client that goes in the middle harms nobody either.
+    let rest = truncated.read_to_end();
+    assert!(
+        rest.len() < MAX_LENGTH && value(MAX_LENGTH).starts_with(&rest),
+        "a prefix of the value, and then the end"
+    );
+    // Nor does a client that disconnects within a value harm another one.
     let mut gone = node.client();
-    ask(&mut gone, "2", 60_000);
-    let (id, reply) = asked.recv().unwrap();
-    reply.send(&whole(MOST, &id)[..1 << 20]);
-    gone.line();
+    send_read(&mut gone, "2", 60_000);
+    let (id, reply) = requests.recv().unwrap();
+    reply.send(&answer(MAX_LENGTH, &id)[..1 << 20]);
+    gone.read_line();
     drop(gone);
-    ask(&mut other, "3", 60_000);
-    let (id, reply) = asked.recv().unwrap();
-    reply.send(whole(70_000, &id));
-    takes(&mut other, 70_000, &id);
+    send_read(&mut other, "3", 60_000);
+    let (id, reply) = requests.recv().unwrap();
+    reply.send(answer(70_000, &id));
+    expect_value(&mut other, 70_000, &id);
 }
 
+/// Fails if answers that follow a large value in the pipeline overtake it or mix with it.
 #[test]
-fn answers_keep_their_order_round_a_large_one() {
-    let (world, _cache, asked) = scripted();
+fn pipelined_answers_keep_their_order_around_a_large_value() {
+    let (world, _cache, requests) = scripted();
     let node = Node::start(&world);
     let mut client = node.client();
     for id in ["1", "2", "3"] {
-        ask(&mut client, id, 60_000);
+        send_read(&mut client, id, 60_000);
     }
-    let mut replies: Vec<(String, Reply)> = (0..3).map(|_| asked.recv().unwrap()).collect();
+    let mut replies: Vec<(String, Reply)> = (0..3).map(|_| requests.recv().unwrap()).collect();
     replies.sort_by(|a, b| a.0.cmp(&b.0));
-    replies[2].1.send(whole(100_000, "3"));
-    replies[1].1.send(whole(3, "2"));
+    replies[2].1.send(answer(100_000, "3"));
+    replies[1].1.send(answer(3, "2"));
     thread::sleep(Duration::from_millis(50));
-    replies[0].1.send(whole(MOST, "1"));
-    takes(&mut client, MOST, "1");
-    takes(&mut client, 3, "2");
-    takes(&mut client, 100_000, "3");
+    replies[0].1.send(answer(MAX_LENGTH, "1"));
+    expect_value(&mut client, MAX_LENGTH, "1");
+    expect_value(&mut client, 3, "2");
+    expect_value(&mut client, 100_000, "3");
 }
 
+/// Fails if values that their clients do not read are buffered in full, or delay requests of other clients.
 #[test]
-fn a_hundred_slow_readers_of_large_values_take_little_memory_and_hold_up_no_small_request() {
+fn slow_readers_of_large_values_use_little_memory_and_delay_no_other_request() {
     const READERS: usize = 100;
-    let (world, _cache, asked) = scripted();
+    let (world, _cache, requests) = scripted();
     let node = Node::start(&world);
     let mut slow = Vec::new();
     for n in 0..READERS {
         let mut client = node.client();
-        ask(&mut client, &n.to_string(), 60_000);
-        let (id, reply) = asked.recv_timeout(WIDE).unwrap();
-        reply.send(whole(MOST, &id));
+        send_read(&mut client, &n.to_string(), 60_000);
+        let (id, reply) = requests.recv_timeout(TEST_TIMEOUT).unwrap();
+        reply.send(answer(MAX_LENGTH, &id));
         slow.push(client);
     }
-    slow.iter_mut().enumerate().for_each(|(n, c)| assert_eq!(c.line(), format!("VA {MOST} O{n}\r\n")));
+    slow.iter_mut()
+        .enumerate()
+        .for_each(|(n, c)| assert_eq!(c.read_line(), format!("VA {MAX_LENGTH} O{n}\r\n")));
     let mut small = node.client();
     for n in 0..50 {
         let id = format!("f{n}");
-        ask(&mut small, &id, 60_000);
-        let (id, reply) = asked.recv().unwrap();
-        reply.send(whole(10, &id));
-        takes(&mut small, 10, &id);
+        send_read(&mut small, &id, 60_000);
+        let (id, reply) = requests.recv().unwrap();
+        reply.send(answer(10, &id));
+        expect_value(&mut small, 10, &id);
     }
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.child.id())).unwrap();
     let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap().trim();
     let peak: usize = peak.trim_end_matches(" kB").parse().unwrap();
     assert!(peak < 40 << 10, "{peak} kB for {READERS} values of 4 MiB");
     for client in &mut slow[..5] {
-        assert!(client.bytes(MOST) == value(MOST));
+        assert!(client.read_bytes(MAX_LENGTH) == value(MAX_LENGTH));
     }
 }
 
+/// Fails if a large write that arrives in pieces does not reach the origin complete.
 #[test]
-fn a_large_write_comes_in_pieces_and_goes_to_the_origin_whole() {
-    let (tell, asked) = channel();
+fn a_large_write_in_pieces_reaches_the_origin_complete() {
+    let (sender, requests) = channel();
     let origin = Scripted::start(move |asked, reply| {
         let body = asked.text.split_once("\r\n\r\n").map_or(0, |(_, body)| body.len());
-        let _ = tell.send((asked.key, body));
+        let _ = sender.send((asked.key, body));
         reply.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nr-77");
     });
     let origin = origin.unwrap();
@@ -189,20 +208,21 @@
         .map(|n| {
             let mut client = node.client();
             thread::spawn(move || {
-                let text = "v".repeat(MOST);
-                client.send(format!("ms w{n} {MOST} O{n} Pc=put,d=60000,k=k{n}\r\n"));
+                let text = "v".repeat(MAX_LENGTH);
+                client.send(format!("ms w{n} {MAX_LENGTH} O{n} Pc=put,d=60000,k=k{n}\r\n"));
                 for piece in text.as_bytes().chunks(333_333) {
                     client.send(piece);
                 }
                 client.send("\r\n");
-                (client.line(), format!("HD O{n} cr-77\r\n"))
+                (client.read_line(), format!("HD O{n} cr-77\r\n"))
             })
         })
         .collect();
-    let mut got: Vec<(String, usize)> = (0..20).map(|_| asked.recv_timeout(WIDE).unwrap()).collect();
-    got.sort();
-    got.dedup();
-    assert!(got.len() == 20 && got.iter().all(|(_, length)| *length == MOST), "{got:?}");
+    let mut received: Vec<(String, usize)> =
+        (0..20).map(|_| requests.recv_timeout(TEST_TIMEOUT).unwrap()).collect();
+    received.sort();
+    received.dedup();
+    assert!(received.len() == 20 && received.iter().all(|(_, length)| *length == MAX_LENGTH), "{received:?}");
     for write in writes {
         let (answer, receipt) = write.join().unwrap();
         assert_eq!(answer, receipt);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -74,8 +74,8 @@
     let mut spec = spec(&[]);
     spec.discovery.plan.members = vec![member("c", &holder.address().to_string(), "cache", "z")];
     let world = world(spec, ids(0));
-    let node = Node::under(world.addresses().discovery(0).unwrap(), 160, operators);
-    node.until_ready();
+    let node = Node::with_operator_config(world.addresses().discovery(0).unwrap(), 160, operators);
+    node.wait_ready();
     let calm = usual(&node, 1, usual_clients);
     let over = AtomicBool::new(false);
     let (connects, served) = (AtomicUsize::new(0), AtomicUsize::new(0));
@@ -145,8 +145,8 @@
 fn all_in_flight_are_answered_though_descriptors_run_out_and_all_is_well_afterwards() {
     let held = (0..20).flat_map(|c| (0..8).map(move |n| format!("{c}x{n}")));
     let world = world(spec(&["c"]), held.chain(ids(40)));
-    let (c, control) = (no(&world, "c"), world.control());
-    let node = Node::limited(&world, 96);
+    let (c, control) = (server_no(&world, "c"), world.control());
+    let node = Node::with_descriptor_limit(&world, 96);
     control.pause(c, 60_000_000).unwrap();
     // Eight requests in flight on each of twenty connections.
     let mut clients: Vec<Client> = (0..20).map(|_| node.client()).collect();
@@ -154,7 +154,7 @@
         client
             .send((0..8).map(|n| format!("mg k{c}x{n} v O{c}x{n} Pc=read,d=60000\r\n")).collect::<String>());
     }
-    until(|| asked(&world, "c") > 0);
+    wait_until(|| requests_received(&world, "c") > 0);
     // Far more connects than there are descriptors; those that get in or are told so are usual too.
     let mut crowd: Vec<Client> =
         (0..300).filter_map(|n| node.client_from([127, 0, 3, n as u8]).ok()).collect();
@@ -163,7 +163,7 @@
     for (c, client) in clients.iter_mut().enumerate() {
         for n in 0..8 {
             let answer = client.answer();
-            let whole = answer == by("c", &format!("{c}x{n}")) || answer.starts_with("SERVER_ERROR ");
+            let whole = answer == value_from("c", &format!("{c}x{n}")) || answer.starts_with("SERVER_ERROR ");
             assert!(whole, "{c} {n}: {answer:?}");
         }
     }
@@ -174,7 +174,7 @@
 #[test]
 fn a_flow_finds_a_descriptor_though_the_machine_gave_fewer_than_it_said() {
     let world = world(spec(&["c"]), ids(40));
-    let node = Node::limited(&world, 200);
+    let node = Node::with_descriptor_limit(&world, 200);
     let pid = node.child.id().to_string();
     let lowered = Command::new("prlimit").args(["--nofile=40:40", "--pid", &pid]).status();
     assert!(lowered.expect("prlimit").success());
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,5 +1,6 @@
-//! What of the fleet only the daemon shows: replacement in place, keys changed while running, shares that follow the
-//! count, and that nothing is there where it is off. Faults between processes are in tests/fleet.rs.
+//! Fleet membership in the running daemon: replacement of a member's process, key changes while running, the
+//! number of members that each node counts, and no socket where membership is off. Faults between members are
+//! in tests/fleet.rs.
 
 #[allow(dead_code)]
 mod harness;
@@ -14,7 +15,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Addresses of a fleet that nobody else has: 127/8, by process and test.
+/// A fleet at addresses of 127/8 that no other test or process uses.
 struct Fleet {
     net: [u8; 3],
     key_file: Option<String>,
@@ -33,6 +34,7 @@
         ([a, b, c, 1 + node], port).into()
     }
 
+    /// The operators' configuration file of a node, with these lines added.
     fn operators(&self, node: u8, more: &str) -> String {
         let keys = self.key_file.as_ref().map_or(String::new(), |file| format!("key_file = \"{file}\"\n"));
         format!(
@@ -48,7 +50,7 @@
         Node::named(&format!("m{node}"), world, &self.operators(node, more))
     }
 
-    /// What a node holds each to be, as `lapisrudder fleet members` prints it.
+    /// A node's view of the members, as `lapisrudder fleet members` prints it.
     fn members(&self, node: u8) -> Vec<Value> {
         let program = env!("CARGO_BIN_EXE_lapisrudder");
         let at = self.at(node, 7947).to_string();
@@ -57,6 +59,7 @@
         serde_json::from_str(&text).unwrap_or_default()
     }
 
+    /// The same as sorted texts of name and state.
     fn states(&self, node: u8) -> Vec<String> {
         let state = |m: &Value| format!("{} {}", m["name"].as_str().unwrap(), m["state"].as_str().unwrap());
         let mut all: Vec<String> = self.members(node).iter().map(state).collect();
@@ -65,47 +68,56 @@
     }
 
     fn until_states(&self, node: u8, states: &[&str]) {
-        until(|| {
+        wait_until(|| {
             thread::sleep(Duration::from_millis(50));
             self.states(node) == states
         });
     }
 
+    /// A value that a node reports about itself.
     fn own(&self, node: u8, key: &str) -> Value {
         self.members(node).first().map_or(Value::Null, |own| own["own"][key].clone())
     }
 }
 
+/// Fails if other members see a replacement of a member's process as a failure or a restart, or do not see
+/// that it leaves.
 #[test]
-fn a_replacement_in_place_is_no_event_for_the_others_and_a_goodbye_is_heard() {
+fn a_process_replacement_is_no_membership_event_and_a_leave_is_seen() {
     let world = world(spec(&["a"]), ids(1));
     let fleet = Fleet::new();
     let (_a, _b) = (fleet.start(0, &world, ""), fleet.start(1, &world, ""));
     let mut old = fleet.start(2, &world, "");
     fleet.until_states(0, &["m0 alive", "m1 alive", "m2 alive"]);
     fleet.until_states(2, &["m0 alive", "m1 alive", "m2 alive"]);
-    let of_it = || fleet.members(0).into_iter().find(|m| m["name"] == "m2").map(|m| m["start"].clone());
-    let start = of_it();
+    let start_of_m2 = || fleet.members(0).into_iter().find(|m| m["name"] == "m2").map(|m| m["start"].clone());
+    let start = start_of_m2();
     let mut watch = TcpStream::connect(fleet.at(0, 7947)).expect("a call");
     watch.write_all(b"watch\n").expect("written");
     let mut watch = BufReader::new(watch);
     let mut line = String::new();
-    watch.read_line(&mut line).expect("all there are");
+    watch.read_line(&mut line).expect("the present members");
     let new = old.replace();
     assert!(old.child.wait().expect("its end").success());
-    // It has heard and answered for longer than a suspicion lasts.
+    // Long enough for a suspicion to end, had one begun.
     thread::sleep(Duration::from_secs(4));
     fleet.until_states(2, &["m0 alive", "m1 alive", "m2 alive"]);
-    assert_eq!(of_it(), start, "for the others it is the same process");
+    assert_eq!(start_of_m2(), start, "the other members see the same process");
     new.signal("-TERM");
     line.clear();
     watch.read_line(&mut line).expect("a change");
     let first: Value = serde_json::from_str(&line).expect("JSON");
-    assert_eq!((&first["name"], &first["state"]), (&"m2".into(), &"left".into()), "the first change since");
+    assert_eq!(
+        (&first["name"], &first["state"]),
+        (&"m2".into(), &"left".into()),
+        "the first change after the replacement"
+    );
 }
 
+/// Fails if members lose each other while their keys are changed, if a node without a key gets in, or if a
+/// bad key file is applied.
 #[test]
-fn keys_change_while_running_and_one_without_them_stays_outside() {
+fn keys_can_change_while_running_and_a_node_without_them_is_rejected() {
     let world = world(spec(&["a"]), ids(1));
     let mut fleet = Fleet::new();
     let path = std::env::temp_dir().join(format!("lr-keys-{}", std::process::id()));
@@ -117,13 +129,13 @@
     fleet.until_states(0, &["m0 alive", "m1 alive"]);
     fleet.key_file = None;
     let _stranger = fleet.start(2, &world, "");
-    until(|| fleet.own(0, "refused").as_u64() > Some(0));
+    wait_until(|| fleet.own(0, "refused").as_u64() > Some(0));
     for keys in [&[&old[..], &new][..], &[&new, &old], &[&new]] {
         write(keys);
         nodes.iter().for_each(|node| node.signal("-HUP"));
         thread::sleep(Duration::from_millis(1500));
     }
-    // Both went from the old key to the new one, and never lost each other.
+    // Both changed from the old key to the new one and still see each other.
     thread::sleep(Duration::from_secs(3));
     assert_eq!(fleet.states(0), ["m0 alive", "m1 alive"]);
     assert_eq!(fleet.states(1), ["m0 alive", "m1 alive"]);
@@ -135,38 +147,45 @@
     assert_eq!(fleet.states(1), ["m0 alive", "m1 alive"]);
 }
 
+/// Fails if a node counts fewer members than it has seen or is set to expect, or does not count one less
+/// after a leave.
 #[test]
-fn as_many_count_as_were_seen_or_are_expected_and_fewer_only_after_a_goodbye() {
+fn the_member_count_is_that_seen_or_expected_and_falls_only_after_a_leave() {
     let world = world(spec(&["a"]), ids(1));
     let fleet = Fleet::new();
     let a = fleet.start(0, &world, "expected = 2\nhold_s = 1\n");
     assert_eq!(fleet.own(0, "counted"), 2);
     let (_b, c) = (fleet.start(1, &world, ""), fleet.start(2, &world, ""));
-    until(|| fleet.own(0, "counted") == 3);
+    wait_until(|| fleet.own(0, "counted") == 3);
     c.signal("-TERM");
-    until(|| fleet.own(0, "counted") == 2);
-    // What is expected may change while it runs.
-    a.operate(&fleet.operators(0, "expected = 7\nhold_s = 1\n"));
-    until(|| fleet.own(0, "counted") == 7);
+    wait_until(|| fleet.own(0, "counted") == 2);
+    // The expected number can change while the node runs.
+    a.reload_operator_config(&fleet.operators(0, "expected = 7\nhold_s = 1\n"));
+    wait_until(|| fleet.own(0, "counted") == 7);
     // A bad file changes nothing.
-    a.operate(&fleet.operators(0, "expected = 0\n"));
+    a.reload_operator_config(&fleet.operators(0, "expected = 0\n"));
     thread::sleep(Duration::from_millis(300));
     assert_eq!(fleet.own(0, "counted"), 7);
 }
 
+/// Fails if a node opens a datagram socket although membership is off.
 #[test]
-fn where_it_is_off_there_is_no_socket_of_it() {
+fn without_membership_a_node_opens_no_datagram_socket() {
     let world = world(spec(&["a"]), ids(1));
     let node = Node::start(&world);
-    let datagrams = |pid: u32| {
-        let udp = std::fs::read_to_string(format!("/proc/{pid}/net/udp")).expect("the kernel's table");
+    let datagram_sockets = |pid: u32| {
+        let udp = std::fs::read_to_string(format!("/proc/{pid}/net/udp")).expect("the kernel's socket table");
         let inodes: Vec<&str> = udp.lines().skip(1).filter_map(|l| l.split_whitespace().nth(9)).collect();
-        let held = std::fs::read_dir(format!("/proc/{pid}/fd")).expect("descriptors");
-        let held = held.filter_map(|fd| std::fs::read_link(fd.ok()?.path()).ok()?.to_str().map(String::from));
-        held.filter(|to| inodes.iter().any(|inode| *to == format!("socket:[{inode}]"))).count()
+        let open = std::fs::read_dir(format!("/proc/{pid}/fd")).expect("descriptors");
+        let open = open.filter_map(|fd| std::fs::read_link(fd.ok()?.path()).ok()?.to_str().map(String::from));
+        open.filter(|to| inodes.iter().any(|inode| *to == format!("socket:[{inode}]"))).count()
     };
-    assert_eq!(datagrams(node.child.id()), 0);
+    assert_eq!(datagram_sockets(node.child.id()), 0);
     let fleet = Fleet::new();
     let other = fleet.start(0, &world, "");
-    assert_eq!(datagrams(other.child.id()), 1, "what is looked at would show it");
+    assert_eq!(
+        datagram_sockets(other.child.id()),
+        1,
+        "the same check finds the socket where membership is on"
+    );
 }
--- a/tests/suite/host.rs
+++ b/tests/suite/host.rs
@@ -1,7 +1,7 @@
 //! The two hosts of the engine, as the suite sees them: the daemon's process through its memcache front, and the
 //! plug-in inside this one.
 
-use crate::harness::{Client, Node, SETTINGS, WIDE, by, maker};
+use crate::harness::{Client, Node, SETTINGS, TEST_TIMEOUT, maker, value_from};
 use lapisrudder_client::{self as plug_in, Request, Response, ResponseFuture};
 use lapisrudder_lab::stand::{Books, World};
 use std::collections::VecDeque;
@@ -62,7 +62,7 @@
 
 /// The answer that a server of that name made for a read of that id.
 pub fn served(uid: &str, id: &str) -> Said {
-    Said::Served(by(uid, id))
+    Said::Served(value_from(uid, id))
 }
 
 /// Somebody who asks, one request after another or several at once.
@@ -119,11 +119,11 @@
     type Caller = Client;
 
     fn begin(discovery: SocketAddr) -> Daemon {
-        Daemon(Node::begin(discovery, 1024))
+        Daemon(Node::spawn(discovery, 1024))
     }
 
     fn ready(&self) {
-        self.0.until_ready();
+        self.0.wait_ready();
     }
 
     fn caller(&self) -> Client {
@@ -240,7 +240,7 @@
         let (id, future) = self.out.pop_front().expect("a request");
         match wait(future) {
             Ok(Response::Value(value)) => Said::Served(match maker(&value, &id) {
-                Some(uid) => by(uid, &id),
+                Some(uid) => value_from(uid, &id),
                 None => String::from_utf8_lossy(&value).into_owned(),
             }),
             Ok(Response::Receipt(receipt)) => Said::Receipt(String::from_utf8_lossy(&receipt).into_owned()),
@@ -270,7 +270,7 @@
         if let Poll::Ready(output) = future.as_mut().poll(&mut Context::from_waker(&waker)) {
             return output;
         }
-        let left = WIDE.checked_sub(begun.elapsed()).expect("it ends");
+        let left = TEST_TIMEOUT.checked_sub(begun.elapsed()).expect("it ends");
         thread::park_timeout(left);
     }
 }
--- a/tests/suite/rules.rs
+++ b/tests/suite/rules.rs
@@ -35,10 +35,10 @@
     let host = H::start(&world);
     let mut caller = host.caller();
     assert_eq!(caller.read("a1", 2000), Said::Served("from afar".into()));
-    let get = heard.recv_timeout(WIDE).unwrap();
+    let get = heard.recv_timeout(TEST_TIMEOUT).unwrap();
     assert!(get.starts_with("GET /ka1 ") && get.contains("Req-Id: a1\r\n"), "{get}");
     assert_eq!(caller.ask(&Ask::book("b2", "kb", "hi", "ee")), Said::Receipt("77".into()));
-    let put = heard.recv_timeout(WIDE).unwrap();
+    let put = heard.recv_timeout(TEST_TIMEOUT).unwrap();
     assert!(put.starts_with("PUT /kb ") && put.ends_with("\r\n\r\nhi") && put.contains(",k=ee\r\n"), "{put}");
 }
 
@@ -61,7 +61,7 @@
 
 pub fn a_transaction_that_nobody_serves_gets_one_answer_in_time<H: Host>() {
     let world = world(spec(&["a"]), ids(2));
-    world.control().fault(no(&world, "a"), Fault::Swallow(1.0)).unwrap();
+    world.control().fault(server_no(&world, "a"), Fault::Swallow(1.0)).unwrap();
     let host = H::start(&world);
     let begun = Instant::now();
     let said = host.caller().read("1", 300);
@@ -73,9 +73,9 @@
     let world = world(spec(&["a"]), ids(2002));
     let host = H::start(&world);
     let mut caller = host.caller();
-    world.control().pause(no(&world, "a"), 60_000_000).unwrap();
+    world.control().pause(server_no(&world, "a"), 60_000_000).unwrap();
     assert!(caller.read("1", 200).without());
-    world.control().pause(no(&world, "a"), 0).unwrap();
+    world.control().pause(server_no(&world, "a"), 0).unwrap();
     // The module leaves a silent member alone for a while, and says so.
     until_served(&mut caller, 2, |id| served("a", id));
 }
@@ -87,28 +87,28 @@
     let host = H::start(&world);
     let mut caller = host.caller();
     assert_eq!(caller.read("1", 2000), served("a", "1"));
-    let (a, control) = (no(&world, "a"), world.control());
-    let address = world.addresses().server(0, no(&world, "b")).unwrap();
+    let (a, control) = (server_no(&world, "a"), world.control());
+    let address = world.addresses().server(0, server_no(&world, "b")).unwrap();
     control.discovery_list(vec![member("b", &address.to_string(), "cache", "z")]).unwrap();
     control.drain(a).unwrap();
     until_served(&mut caller, 2, |id| served("b", id));
-    let before = asked(&world, "a");
+    let before = requests_received(&world, "a");
     for id in (3000..3050).map(|id| id.to_string()) {
         assert_eq!(caller.read(&id, 2000), served("b", &id));
     }
-    assert_eq!(asked(&world, "a"), before);
+    assert_eq!(requests_received(&world, "a"), before);
 }
 
 pub fn a_bad_list_changes_nothing<H: Host>() {
     let world = world(spec(&["a"]), ids(10));
-    let list = List::start(&world.control().known(0).unwrap());
+    let list = ScriptedDiscovery::start(&world.control().known(0).unwrap());
     let host = H::told_by(list.address());
     let mut caller = host.caller();
     assert_eq!(caller.read("1", 2000), served("a", "1"));
     for (id, text) in
         ["2", "3", "4"].into_iter().zip(["{\"rev\":", "[]", "{\"rev\":9,\"all\":true,\"targets\":[{}]}"])
     {
-        list.tell(text);
+        list.publish_and_wait(text);
         assert_eq!(caller.read(id, 2000), served("a", id), "{text}");
     }
 }
@@ -116,15 +116,15 @@
 pub fn a_list_that_empties_refuses_and_one_that_fills_serves<H: Host>() {
     let world = world(spec(&["a"]), ids(3000));
     let full = world.control().known(0).unwrap();
-    let list = List::start(&full);
+    let list = ScriptedDiscovery::start(&full);
     let host = H::told_by(list.address());
     let mut caller = host.caller();
     assert_eq!(caller.read("1", 2000), served("a", "1"));
-    list.tell(r#"{"rev":90,"all":true,"targets":[]}"#);
+    list.publish_and_wait(r#"{"rev":90,"all":true,"targets":[]}"#);
     let begun = Instant::now();
     (2..6).for_each(|id| assert_eq!(caller.read(&id.to_string(), 60_000), Said::Refused));
     assert!(begun.elapsed() < Duration::from_secs(30), "at once, not by their deadlines");
-    list.tell(&full.replace("\"rev\":1,", "\"rev\":91,"));
+    list.publish_and_wait(&full.replace("\"rev\":1,", "\"rev\":91,"));
     until_served(&mut caller, 10, |id| served("a", id));
 }
 
@@ -148,21 +148,21 @@
     let world = world(spec(&["bad", "good"]), ids(50));
     // Another value under a good head is the one thing that nobody could tell.
     let kinds = Noise::ALL.into_iter().filter(|kind| kind.spoils() && *kind != Noise::OtherValue).collect();
-    world.control().fault(no(&world, "bad"), Fault::Spoil { share: 1.0, kinds }).unwrap();
+    world.control().fault(server_no(&world, "bad"), Fault::Spoil { share: 1.0, kinds }).unwrap();
     let host = H::start(&world);
     let mut caller = host.caller();
     let said: Vec<(String, Said)> = ids(50).map(|id| (id.clone(), caller.read(&id, 2000))).collect();
     let sound = |(id, said): &(String, Said)| *said == served("good", id) || said.without();
     assert!(said.iter().all(sound), "{said:?}");
     assert!(said.iter().any(|(id, said)| *said == served("good", id)), "{said:?}");
-    assert!(asked(&world, "bad") > 0, "it was asked");
+    assert!(requests_received(&world, "bad") > 0, "it was asked");
 }
 
 pub fn what_a_member_sends_beyond_its_answer_reaches_nobody<H: Host>() {
     for noise in [Noise::SecondCopy, Noise::NoiseBehind, Noise::BadReport] {
         let world = world(spec(&["a"]), ids(20));
         let kinds = [noise].into_iter().collect();
-        world.control().fault(no(&world, "a"), Fault::Spoil { share: 1.0, kinds }).unwrap();
+        world.control().fault(server_no(&world, "a"), Fault::Spoil { share: 1.0, kinds }).unwrap();
         let host = H::start(&world);
         let mut caller = host.caller();
         for id in ids(20) {
@@ -173,12 +173,12 @@
 
 pub fn an_id_in_use_is_taken_once<H: Host>() {
     let world = world(spec(&["a"]), ids(2));
-    let (a, control) = (no(&world, "a"), world.control());
+    let (a, control) = (server_no(&world, "a"), world.control());
     let host = H::start(&world);
     let (mut first, mut second) = (host.caller(), host.caller());
     control.pause(a, 60_000_000).unwrap();
     first.send(&Ask::read("1", 60_000));
-    until(|| asked(&world, "a") == 1);
+    wait_until(|| requests_received(&world, "a") == 1);
     assert_eq!(second.read("1", 60_000), Said::Bad("request id in use".into()));
     control.pause(a, 0).unwrap();
     assert_eq!(first.answer(), served("a", "1"));
@@ -188,7 +188,7 @@
     let mut spec = spec(&["gone", "good"]);
     spec.discovery.notice.gone = 600_000_000;
     let world = world(spec, ids(50));
-    world.control().kill(no(&world, "gone")).unwrap();
+    world.control().kill(server_no(&world, "gone")).unwrap();
     let host = H::start(&world);
     let mut caller = host.caller();
     let said: Vec<(String, Said)> = ids(50).map(|id| (id.clone(), caller.read(&id, 60_000))).collect();
@@ -199,7 +199,7 @@
 
 pub fn a_caller_that_leaves_has_its_flow_called_off_and_harms_nobody<H: Host>() {
     let world = world(spec(&["a"]), ids(3000));
-    let (a, control) = (no(&world, "a"), world.control());
+    let (a, control) = (server_no(&world, "a"), world.control());
     let host = H::start(&world);
     let mut stays = host.caller();
     assert_eq!(stays.read("0", 2000), served("a", "0"));
@@ -216,9 +216,9 @@
     let id = |id: &str| ReqId(RequestId::of(id.as_bytes()).0);
     let came = |of: ReqId| told(&|e| matches!(e, ServerEvent::LastByte { req, .. } if *req == of));
     let off = |of: ReqId| told(&|e| matches!(e, ServerEvent::Cancelled { req, .. } if *req == of));
-    until(|| came(id("2")));
+    wait_until(|| came(id("2")));
     drop(late);
-    until(|| off(id("2")) && (off(id("1")) || !came(id("1"))));
+    wait_until(|| off(id("2")) && (off(id("1")) || !came(id("1"))));
     control.fault(a, Fault::Slow(1.0)).unwrap();
     until_served(&mut stays, 10, |id| served("a", id));
 }
@@ -246,12 +246,12 @@
 
 pub fn a_host_told_to_stop_answers_what_it_took_and_ends<H: Host>() {
     let world = world(spec(&["a"]), ids(3));
-    let (a, control) = (no(&world, "a"), world.control());
+    let (a, control) = (server_no(&world, "a"), world.control());
     let mut host = H::start(&world);
     let mut caller = host.caller();
     control.pause(a, 60_000_000).unwrap();
     caller.send(&Ask::read("1", 60_000));
-    until(|| asked(&world, "a") == 1);
+    wait_until(|| requests_received(&world, "a") == 1);
     host.stop();
     control.pause(a, 0).unwrap();
     assert_eq!(caller.answer(), served("a", "1"));
--- a/tests/suite/twice.rs
+++ b/tests/suite/twice.rs
@@ -21,7 +21,7 @@
 
 /// Writes that the origin carried out, and repeats that it dropped.
 fn effects(world: &World<Books>) -> (u64, u64) {
-    let books = world.control().look(no(world, "o")).unwrap();
+    let books = world.control().look(server_no(world, "o")).unwrap();
     (books.effects, books.repeats)
 }
 
@@ -50,10 +50,10 @@
     let world = bookings(LONG);
     let (here, there) = (A::start(&world), B::start(&world));
     let (mut first, mut second) = (here.caller(), there.caller());
-    let o = no(&world, "o");
+    let o = server_no(&world, "o");
     world.control().fault(o, Fault::Swallow(1.0)).unwrap();
     first.send(&Ask { wait_ms: 400, ..Ask::book("a1", "seat", "x", "key-1") });
-    until(|| effects(&world).0 == 1);
+    wait_until(|| effects(&world).0 == 1);
     assert_eq!(first.answer(), Said::Failed, "it has run, so that 'refused' would not be true");
     world.control().fault(o, Fault::Swallow(0.0)).unwrap();
     let told = receipt(second.ask(&Ask::book("a2", "seat", "x", "key-1")));
