--- a/tests/large.rs
+++ b/tests/large.rs
@@ -158,7 +158,7 @@
 
 /// Fails if values that their clients do not read are buffered in full, or delay requests of other clients.
 #[test]
-fn slow_readers_of_large_values_use_little_memory_and_delay_no_other_request() {
+fn slow_readers_use_little_memory_and_delay_no_other_request() {
     const READERS: usize = 100;
     let (world, _cache, requests) = scripted();
     let node = Node::start(&world);
--- a/tests/rare.rs
+++ b/tests/rare.rs
@@ -160,7 +160,7 @@
 
 /// Fails if a stopping node whose classes have short deadlines stops accepting while clients still connect.
 #[test]
-fn a_stopping_node_accepts_new_connections_for_the_full_time_though_deadlines_are_short() {
+fn a_stopping_node_accepts_for_the_full_time_despite_short_deadlines() {
     /// For how long after SIGTERM new clients connect.
     const CONNECT_FOR: Duration = Duration::from_millis(400);
     let world = world(spec(&["a"]), ids(1000));
@@ -349,7 +349,7 @@
 /// Fails if requests in flight at an old process get no answer when it has to stop before its successor is
 /// ready, or if a connection is lost that it hands over.
 #[test]
-fn requests_are_answered_when_the_old_process_stops_before_the_successor_is_ready() {
+fn requests_are_answered_though_sigterm_precedes_a_ready_successor() {
     let world = world(spec(&["a"]), ids(10));
     let (_, _discovery, mut old) = node_that_knows_a(&world);
     let (mut client, mut idle) = (old.client(), old.client());
@@ -370,7 +370,7 @@
 /// Fails if a successor does not know which members were removed, so that an outdated list makes it send to
 /// one of them.
 #[test]
-fn a_removed_member_stays_closed_at_the_successor_though_an_old_list_names_it() {
+fn a_removed_member_stays_closed_at_the_successor_despite_an_old_list() {
     let world = world(spec(&["a", "b"]), ids(40));
     let at = |uid: &str| world.addresses().server(0, server_no(&world, uid)).expect("an address");
     let old_list = list(1, true, &[("a", at("a"), "up"), ("b", at("b"), "up")]);
@@ -393,7 +393,7 @@
 /// Fails if a list that is received but not yet read is lost when a reload moves the node to another
 /// discovery.
 #[test]
-fn a_received_list_is_applied_though_a_reload_changes_discovery_before_it_is_read() {
+fn an_unread_list_is_applied_though_a_reload_changes_discovery() {
     let world = world(spec(&["a", "b"]), ids(40));
     let at = |uid: &str| world.addresses().server(0, server_no(&world, uid)).expect("an address");
     let discovery = ScriptedDiscovery::start(&list(1, true, &[("a", at("a"), "up"), ("b", at("b"), "up")]));
