--- a/tests/hearsay.rs
+++ b/tests/hearsay.rs
@@ -90,8 +90,8 @@
     assert!((0..60).all(|k| lb.hit(4_000 + k) != server));
 }
 
-/// Fails if an outdated complete list, as another discovery may send it, reopens a server that was reported
-/// as draining or gone.
+/// Fails if an outdated complete list, which discovery may send after it moved, reopens a server that was
+/// reported as draining or gone.
 #[test]
 fn an_old_complete_list_reopens_no_closed_server_where_gone_is_binding() {
     for stage in [Stage::Draining, Stage::Gone] {
@@ -121,8 +121,7 @@
     assert!((0..60).all(|k| lb.hit(k) == ServerId(1)));
 }
 
-/// Fails if retries and hedged attempts exceed the budget in some window, above all in one that spans two of
-/// its periods.
+/// Fails if retries and hedged attempts exceed the budget in some window, above all at a window's edge.
 #[test]
 fn retries_and_hedged_attempts_keep_to_the_budget_in_every_window() {
     for (free, share, span) in
