--- a/crates/takeover/src/lib.rs
+++ b/crates/takeover/src/lib.rs
@@ -1,33 +1,33 @@
-//! One process of a node takes the place of another (a hot restart): what the two tell each other, and who may hold
-//! how much while both run.
+//! The protocol by which one process of a node takes over from another (a hot restart): the messages between
+//! the two, and how many descriptors each may hold while both run.
 //!
-//! No I/O and no clock. Messages are framed ([`encode`], [`decode`]): versioned, bounded, checksummed. Anything that
-//! is not such a frame ends the talk, and the new process begins as if there had been no old one. Sockets that go along
-//! with a message are the host's matter.
+//! No I/O and no clock. Messages are framed ([`encode`], [`decode`]): versioned, of limited size, with a
+//! checksum. Anything that is not such a frame ends the connection, and the new process starts as if there
+//! had been no old one. Passing sockets along with a message is up to the host.
 //!
 //! ```
 //! use lapisrudder_takeover::{Message, decode, encode};
 //!
 //! let frame = encode(&Message::Ready);
-//! assert_eq!(decode(&frame[..7]), Ok(None), "not whole yet");
+//! assert_eq!(decode(&frame[..7]), Ok(None), "incomplete");
 //! assert_eq!(decode(&frame), Ok(Some((Message::Ready, frame.len()))));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs, unreachable_pub)]
 
+mod descriptor_split;
 mod frame;
-mod shares;
 
-pub use frame::{BadFrame, MOST, VERSION, decode, encode};
-pub use shares::{LEAST, Lender};
+pub use descriptor_split::{DescriptorSplit, MIN_GRANT};
+pub use frame::{BadFrame, MAX_MESSAGE, VERSION, decode, encode};
 
 use lapisrudder_membership::Inherited;
 use serde::{Deserialize, Serialize};
 
-/// A member that operators have taken out.
+/// A member that operators have taken out of service.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Ban {
-    /// The member's number.
+    /// The member's id.
     pub id: u64,
     /// Its name.
     pub name: String,
@@ -35,31 +35,31 @@
     pub since: i64,
 }
 
-/// A member as discovery has told it.
+/// A member as listed by discovery.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Member {
-    /// Its number.
+    /// Its id.
     pub id: u64,
-    /// Its zone, as a place in the settings.
+    /// Its zone, as an index into the zones of the settings.
     pub zone: u32,
-    /// Its kind, the same.
+    /// Its kind of host, as an index into those of the settings.
     pub kind: u32,
     /// Its cell.
     pub cell: u32,
-    /// It drains.
+    /// Whether it is draining.
     pub drains: bool,
-    /// Its size against others.
+    /// Its weight relative to others.
     pub weight: f64,
     /// When it last started, in microseconds since 1970.
     pub since: Option<i64>,
-    /// Where it answers.
+    /// Its address.
     pub endpoint: String,
 }
 
-/// A member that discovery no longer has.
+/// A member that discovery no longer lists.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Gone {
-    /// Its number.
+    /// Its id.
     pub id: u64,
     /// When it last started, in microseconds since 1970.
     pub since: Option<i64>,
@@ -70,40 +70,41 @@
 pub struct Grant {
     /// Descriptors.
     pub descriptors: usize,
-    /// Of the clients' places, so many are still held by the old process.
+    /// Number of clients' connections that the old process still holds, which count against the limit for
+    /// clients.
     pub clients_kept: usize,
 }
 
-/// What operators have said about a drain of the node. Times are on the machine's monotonic clock, which both processes read, in
-/// microseconds; an older version of the program tells none.
+/// The operators' call to drain the node or to let it serve. Times are in microseconds on the machine's
+/// monotonic clock, which both processes read; older versions of the program send none.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(from = "DrainCallForm")]
 pub struct DrainCall {
-    /// The node drains; else it serves.
+    /// The node drains; otherwise it serves.
     pub drains: bool,
-    /// When they called for it at the earliest: the drain's time counts from there.
+    /// The earliest time at which the call can have been made: the drain's time counts from there.
     pub called: Option<i64>,
-    /// When it was heard: the later of two calls holds.
+    /// When the call was received: of two calls the later one holds.
     pub heard: Option<i64>,
 }
 
 impl DrainCall {
-    /// The same call without times.
+    /// A call without times.
     pub fn untimed(drains: bool) -> DrainCall {
         DrainCall { drains, called: None, heard: None }
     }
 
-    /// Another call was heard later than this one.
+    /// Whether `other` was received later than this call.
     pub fn is_before(&self, other: &DrainCall) -> bool {
         matches!((self.heard, other.heard), (Some(this), Some(other)) if this < other)
     }
 }
 
-/// The forms in which it is read.
+/// The serialized forms that are accepted.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum DrainCallForm {
-    /// Of an older version.
+    /// Sent by older versions.
     Flag(bool),
     Call {
         drains: bool,
@@ -121,57 +122,59 @@
     }
 }
 
-/// What the old process has that is worth having.
+/// The state of the old process that the new one continues with.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct State {
-    /// Operators have told the node to drain.
+    /// Operators have the node drain.
     pub standby: bool,
-    /// Who is out by hand.
+    /// Members that operators have taken out of service.
     pub bans: Vec<Ban>,
-    /// Where the list is from.
+    /// Address of the discovery server that sent the list.
     pub discovery: String,
-    /// Its version; none where no list is held.
+    /// Version of the list; none if there is no list.
     pub revision: Option<u64>,
-    /// The list.
+    /// The list of members.
     pub members: Vec<Member>,
-    /// The call by which it drains or serves, if there was one.
+    /// The last call to drain or to serve, if there was one.
     #[serde(default)]
     pub drain: Option<DrainCall>,
-    /// Who has left it, lately: an old list that names one of them does not bring it back.
+    /// Members that have left the list lately: an outdated list that names one of them does not bring it
+    /// back.
     #[serde(default)]
     pub gone: Vec<Gone>,
     /// How much the new process may hold.
     pub grant: Grant,
 }
 
-/// What one process tells the other.
+/// A message from one process to the other.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// New to old, first: it wants to take the place of the node of that name.
+    /// From new to old, first: the sender wants to take over from the node of that name.
     Hello {
         /// The node's name.
         name: String,
     },
-    /// Old to new, first: what is worth having. The clients' listener goes along.
+    /// From old to new, first: the state of the old process. The clients' listener is passed with it.
     State(State),
-    /// Old to new: that is another amount now.
+    /// From old to new: how much the new process may hold has changed.
     Grant(Grant),
-    /// New to old: it serves, and takes all new connections from here on.
+    /// From new to old: the sender serves, and accepts all new connections from here on.
     Ready,
-    /// Old to new: a client's connection goes along, on which nothing is owed.
+    /// From old to new: a client's connection without pending answers. Its socket is passed with the message.
     Client {
         /// What was read of its next command.
         input: Vec<u8>,
     },
-    /// Old to new, once that serves: its place among the other nodes. The socket there goes along.
+    /// From old to new, once the new process serves: the membership in the fleet. Its socket is passed with
+    /// the message.
     Fleet(Inherited),
-    /// Either way: operators have taken a member out.
+    /// In either direction: operators have taken a member out of service.
     Out(Ban),
-    /// Either way: that member may serve again.
+    /// In either direction: operators have put that member back into service.
     Back {
-        /// The member's number.
+        /// The member's id.
         id: u64,
     },
-    /// Either way: operators have told the node to drain, or to serve again.
+    /// In either direction: operators have the node drain, or serve again.
     Standby(DrainCall),
 }
