--- a/src/cli/check_config.rs
+++ b/src/cli/check_config.rs
@@ -1,11 +1,11 @@
-//! `check-config`: one line a problem, all of them.
+//! `check-config`: prints all problems of the configuration, one in a line.
 
 use lapisrudder_config::{Problems, Sources};
 use std::process::ExitCode;
 
 pub fn run(sources: &Sources) -> ExitCode {
-    let sound = match (&sources.environment.config, &sources.operators) {
-        // For those who have their own file at hand, but not what the platform will say.
+    let checked = match (&sources.environment.config, &sources.operators) {
+        // The operators' file can be checked where the platform's file is not available.
         (None, Some(path)) => sources.load_operators().map(|_| {
             format!(
                 "{} is sound; EDGE_CONFIG is not set, so the platform's file was not looked at",
@@ -21,18 +21,18 @@
             )
         }),
     };
-    match sound {
+    match checked {
         Ok(line) => {
             println!("{line}");
             ExitCode::SUCCESS
         }
         Err(problems) => {
-            tell(&problems);
+            print_problems(&problems);
             ExitCode::FAILURE
         }
     }
 }
 
-fn tell(problems: &Problems) {
+fn print_problems(problems: &Problems) {
     problems.iter().for_each(|problem| eprintln!("{problem}"));
 }
--- a/src/cli/config.rs
+++ b/src/cli/config.rs
@@ -1,6 +1,6 @@
-//! `config`: the settings in force, and where each came from.
+//! `config`: the settings in force, and the source of each.
 
-use super::Told;
+use super::CommonArgs;
 use clap::{Args, ValueEnum};
 use lapisrudder_config::{Sources, to_toml};
 use std::error::Error;
@@ -8,28 +8,28 @@
 use std::process::ExitCode;
 
 #[derive(Args)]
-pub struct Asked {
+pub struct ConfigArgs {
     #[command(flatten)]
-    told: Told,
-    /// How to print them. What `toml` prints may be used as an operators' file.
+    common: CommonArgs,
+    /// Output format. The output of `toml` can be used as an operators' file.
     #[arg(long, value_enum, default_value = "toml")]
-    format: Printed,
+    format: OutputFormat,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Printed {
+enum OutputFormat {
     Toml,
     Json,
 }
 
-pub fn run(asked: Asked) -> Result<ExitCode, Box<dyn Error>> {
-    let settings = Sources::from(asked.told).explain()?;
-    let text = match asked.format {
-        Printed::Toml => to_toml(&settings),
-        Printed::Json => serde_json::to_string_pretty(&settings)? + "\n",
+pub fn run(args: ConfigArgs) -> Result<ExitCode, Box<dyn Error>> {
+    let settings = Sources::from(args.common).explain()?;
+    let text = match args.format {
+        OutputFormat::Toml => to_toml(&settings),
+        OutputFormat::Json => serde_json::to_string_pretty(&settings)? + "\n",
     };
     match io::stdout().write_all(text.as_bytes()) {
-        // Whoever reads it has seen enough.
+        // The reader has closed the pipe.
         Err(e) if e.kind() == ErrorKind::BrokenPipe => Ok(ExitCode::SUCCESS),
         done => done.map(|()| ExitCode::SUCCESS).map_err(Into::into),
     }
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -1,4 +1,4 @@
-//! `fleet`: look into a node's view of its fleet.
+//! `fleet`: shows a node's view of its fleet.
 
 use clap::{Args, Subcommand, ValueEnum};
 use lapisrudder_membership::View;
@@ -9,41 +9,41 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// A node that answers takes milliseconds; one that does not answer by then stands still.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// A node answers within milliseconds; one that has not answered by then is stalled.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Subcommand)]
-pub enum Asked {
-    /// Print all members as a node holds them, itself first.
-    Members(Members),
-    /// Print all members as one line of JSON, and then a line a change, until interrupted.
-    Watch(Watch),
+pub enum FleetCommand {
+    /// Print all members as a node sees them, itself first.
+    Members(MembersArgs),
+    /// Print all members as one line of JSON, and then one line for each change, until interrupted.
+    Watch(WatchArgs),
 }
 
 #[derive(Args)]
-pub struct Members {
-    /// Where that node is looked into: `fleet.look` of its operators' file.
+pub struct MembersArgs {
+    /// Address of that node's fleet view: `fleet.look` of its operators' file.
     #[arg(long, value_name = "ADDR")]
     at: SocketAddr,
-    /// How to print them.
+    /// Output format.
     #[arg(long, value_enum, default_value = "text")]
-    format: Printed,
+    format: OutputFormat,
 }
 
 #[derive(Args)]
-pub struct Watch {
-    /// Where that node is looked into: `fleet.look` of its operators' file.
+pub struct WatchArgs {
+    /// Address of that node's fleet view: `fleet.look` of its operators' file.
     #[arg(long, value_name = "ADDR")]
     at: SocketAddr,
 }
 
 #[derive(Clone, Copy, PartialEq, ValueEnum)]
-enum Printed {
+enum OutputFormat {
     Text,
     Json,
 }
 
-/// What is printed of a member.
+/// The part of a member's row that is printed.
 #[derive(Deserialize)]
 struct Row {
     #[serde(flatten)]
@@ -51,18 +51,18 @@
     for_s: f64,
 }
 
-pub fn run(asked: Asked) -> Result<ExitCode, Box<dyn Error>> {
-    match asked {
-        Asked::Members(Members { at, format }) => {
+pub fn run(command: FleetCommand) -> Result<ExitCode, Box<dyn Error>> {
+    match command {
+        FleetCommand::Members(MembersArgs { at, format }) => {
             let mut line = String::new();
             call(at, "members")?.read_line(&mut line).map_err(|e| format!("{at}: {e}"))?;
             if line.is_empty() {
-                return Err(format!("{at}: it ended the call").into());
+                return Err(format!("{at}: the node closed the connection").into());
             }
-            let text = if format == Printed::Json { line } else { table(&line)? };
+            let text = if format == OutputFormat::Json { line } else { table(&line)? };
             print(&text)
         }
-        Asked::Watch(Watch { at }) => {
+        FleetCommand::Watch(WatchArgs { at }) => {
             let lines = call(at, "watch")?;
             lines.get_ref().set_read_timeout(None)?;
             for line in lines.lines() {
@@ -71,22 +71,22 @@
                     return Ok(ExitCode::SUCCESS);
                 }
             }
-            Err(format!("{at}: it ended the call").into())
+            Err(format!("{at}: the node closed the connection").into())
         }
     }
 }
 
-// A command that somebody waits for: a failure is told, and the call made again by hand.
+// This is an interactive command: the user sees a failure and can repeat the call.
 #[allow(clippy::disallowed_methods)]
 fn call(at: SocketAddr, what: &str) -> Result<BufReader<TcpStream>, String> {
     let failed = |e: io::Error| format!("{at}: {e}");
-    let mut stream = TcpStream::connect_timeout(&at, PATIENCE).map_err(failed)?;
-    stream.set_read_timeout(Some(PATIENCE)).map_err(failed)?;
+    let mut stream = TcpStream::connect_timeout(&at, CALL_TIMEOUT).map_err(failed)?;
+    stream.set_read_timeout(Some(CALL_TIMEOUT)).map_err(failed)?;
     stream.write_all(format!("{what}\n").as_bytes()).map_err(failed)?;
     Ok(BufReader::new(stream))
 }
 
-/// Prints; a failure if whoever reads it has seen enough.
+/// Prints the text. Returns a failure code if the reader has closed the pipe.
 fn print(text: &str) -> Result<ExitCode, Box<dyn Error>> {
     let mut out = io::stdout();
     match out.write_all(text.as_bytes()).and_then(|()| out.flush()) {
@@ -102,7 +102,7 @@
         "NAME", "ADDRESS", "STATE", "FOR", "HEARD", "START"
     );
     for Row { view, for_s } in rows {
-        let (state, heard) = (word(&view.state)?, word(&view.heard)?);
+        let (state, heard) = (json_name(&view.state)?, json_name(&view.heard)?);
         text += &format!(
             "{:<20} {:<22} {state:<8} {:>10} {heard:<15} {:>20}\n",
             view.name.as_str(),
@@ -114,7 +114,7 @@
     Ok(text)
 }
 
-/// As the JSON has it, without quotes.
-fn word(of: &impl Serialize) -> Result<String, serde_json::Error> {
+/// The value as in JSON, without quotes.
+fn json_name(of: &impl Serialize) -> Result<String, serde_json::Error> {
     Ok(serde_json::to_string(of)?.trim_matches('"').into())
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,5 @@
-//! The command line. A sub-command is a file here with its arguments and a `run`, and a variant of [`Command`].
+//! The command line. Each sub-command is a file here with its arguments and a `run`, and a variant of
+//! [`Command`].
 
 mod check_config;
 mod config;
@@ -25,57 +26,57 @@
 #[derive(Subcommand)]
 enum Command {
     /// Run the node in the foreground, configured by $EDGE_CONFIG and the other EDGE_ variables.
-    Serve(Told),
-    /// Read all configuration as `serve` would, and tell each problem on a line with file, line and key.
-    CheckConfig(Told),
-    /// Print the settings that are in force, and where each came from.
-    Config(config::Asked),
-    /// Look into the limits: who gets in, who is kept, what is taken in.
+    Serve(CommonArgs),
+    /// Read the configuration as `serve` would, and print each problem on a line with file, line and key.
+    CheckConfig(CommonArgs),
+    /// Print the settings that are in force, and the source of each.
+    Config(config::ConfigArgs),
+    /// Show how the limits treat clients: admission, connections that are kept, requests that are taken.
     #[command(subcommand)]
-    Limits(limits::Asked),
-    /// Look into a node's view of the other nodes.
+    Limits(limits::LimitsCommand),
+    /// Show a node's view of the other nodes.
     #[command(subcommand)]
-    Fleet(fleet::Asked),
+    Fleet(fleet::FleetCommand),
     /// Print the version.
     Version,
 }
 
-/// What else than the environment tells a node something.
+/// Arguments that complement the environment.
 #[derive(Args)]
-struct Told {
-    /// The operators' file (TOML). Without one all their settings have their defaults.
+struct CommonArgs {
+    /// The operators' file (TOML). Without it all its settings have their defaults.
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// The least grave that is logged: error, warn, info, debug or trace. Goes before the operators' file.
+    /// Minimum severity of log messages: error, warn, info, debug or trace. Overrides the operators' file.
     #[arg(long, value_name = "LEVEL")]
     log_level: Option<Level>,
-    /// How log lines are written: text or json. Goes before the operators' file.
+    /// Format of log lines: text or json. Overrides the operators' file.
     #[arg(long, value_name = "FORMAT")]
     log_format: Option<Format>,
 }
 
-impl From<Told> for Sources {
-    fn from(told: Told) -> Sources {
+impl From<CommonArgs> for Sources {
+    fn from(common: CommonArgs) -> Sources {
         Sources {
             environment: Environment::of_process(),
-            operators: told.config,
-            arguments: Arguments { log_level: told.log_level, log_format: told.log_format },
+            operators: common.config,
+            arguments: Arguments { log_level: common.log_level, log_format: common.log_format },
         }
     }
 }
 
-/// Runs the sub-command. What ends it is told in one line on standard error.
+/// Runs the sub-command. An error is printed as one line on standard error.
 pub fn run() -> ExitCode {
     let done: Result<ExitCode, Box<dyn Error>> = match Cli::parse().command {
-        Command::Serve(told) => serve::run(told.into()),
-        Command::CheckConfig(told) => Ok(check_config::run(&told.into())),
-        Command::Config(asked) => config::run(asked),
-        Command::Limits(asked) => limits::run(asked),
-        Command::Fleet(asked) => fleet::run(asked),
+        Command::Serve(common) => serve::run(common.into()),
+        Command::CheckConfig(common) => Ok(check_config::run(&common.into())),
+        Command::Config(args) => config::run(args),
+        Command::Limits(args) => limits::run(args),
+        Command::Fleet(args) => fleet::run(args),
         Command::Version => version::run(),
     };
     done.unwrap_or_else(|error| {
-        // Danger: the macro for this panics where standard error takes nothing.
+        // `eprintln!` would panic if standard error cannot be written.
         let _ = write_line(&mut io::stderr(), format!("lapisrudder: {error}\n").as_bytes());
         ExitCode::FAILURE
     })
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -1,17 +1,17 @@
-//! `serve`: the node, until it is told to stop.
+//! `serve`: runs the node until a stop signal arrives.
 
 use crate::net;
 use lapisrudder_config::{Problems, Sources};
-use lapisrudder_io::keep_trying;
+use lapisrudder_io::retry_with_backoff;
 use std::error::Error;
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Configuration that cannot be read is tried to be read for this long.
-const START_PATIENCE: Duration = Duration::from_secs(10);
+/// Reading the configuration is retried for this long if it fails with a transient error.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
 pub fn run(sources: Sources) -> Result<ExitCode, Box<dyn Error>> {
-    let config = keep_trying(START_PATIENCE, || sources.load(), Problems::is_momentary)?;
+    let config = retry_with_backoff(START_TIMEOUT, || sources.load(), Problems::is_momentary)?;
     net::serve(sources, config)?;
     Ok(ExitCode::SUCCESS)
 }
--- a/src/cli/version.rs
+++ b/src/cli/version.rs
@@ -1,4 +1,4 @@
-//! `version`.
+//! `version`: prints the version.
 
 use std::error::Error;
 use std::process::ExitCode;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: a command line in front of the node.
+//! The node's executable: the command line.
 
 #![deny(clippy::disallowed_methods)]
 
