--- a/src/net/classes.rs
+++ b/src/net/classes.rs
@@ -1,62 +1,64 @@
-//! The classes that clients may name, and where the engine has them.
+//! The request classes that clients may name, and the index of each in the engine.
 
 use lapisrudder::Micros;
 use lapisrudder_config::{Options, RequestClass};
 use std::fmt;
 
-/// A class that the settings have dropped is still known for this long: clients are told of other settings up to 1.2 s
-/// after the node is, and name the old class until then.
-const KNOWN_ON: Micros = 2_000_000;
+/// A class that the settings no longer contain stays known for this long: clients receive the new settings up
+/// to 1.2 s after the node, and name the old class until then.
+const DROPPED_CLASS_GRACE: Micros = 2_000_000;
 
-/// What the front needs to know of a class.
+/// The properties of a class that the clients' side needs.
 pub struct Class {
     name: String,
-    /// Where the engine has it.
-    pub place: usize,
-    /// What a request is worth.
+    /// Its index in the engine.
+    pub index: usize,
+    /// The value of a request.
     pub worth: f64,
-    /// A request may be given up once taken.
+    /// A request may be recalled after it was taken.
     pub recallable: bool,
-    /// Nobody may name it from then on.
-    until: Option<Micros>,
+    /// For a class that the settings no longer contain: it is unknown from then on.
+    expires_at: Option<Micros>,
 }
 
-/// All of them.
+/// All known classes.
 pub struct Classes(Vec<Class>);
 
 impl Classes {
-    /// Those of the first settings, in their places.
+    /// The classes of the first settings, with their positions as indices.
     pub fn new(options: &Options) -> Classes {
         let all = options.request_classes.iter().enumerate();
-        Classes(all.map(|(place, class)| Class::of(class, place)).collect())
+        Classes(all.map(|(index, class)| Class::of(class, index)).collect())
     }
 
-    /// Those of other settings, and where the engine has each.
-    pub fn next(&mut self, options: &Options, places: &[usize], now: Micros) {
+    /// Applies other settings; `indices` has the engine's index of each class.
+    pub fn update(&mut self, options: &Options, indices: &[usize], now: Micros) {
         let mut old = std::mem::take(&mut self.0);
         let named = |name: &str| options.request_classes.iter().any(|class| class.name == name);
-        old.retain(|class| !named(&class.name) && class.until.is_none_or(|until| now < until));
-        old.iter_mut().for_each(|class| _ = class.until.get_or_insert(now + KNOWN_ON));
-        let new = options.request_classes.iter().zip(places).map(|(class, place)| Class::of(class, *place));
+        old.retain(|class| !named(&class.name) && class.expires_at.is_none_or(|expires_at| now < expires_at));
+        old.iter_mut().for_each(|class| _ = class.expires_at.get_or_insert(now + DROPPED_CLASS_GRACE));
+        let new = options.request_classes.iter().zip(indices).map(|(class, index)| Class::of(class, *index));
         self.0 = new.chain(old).collect();
     }
 
-    /// The one of that name.
+    /// The class of that name.
     pub fn find(&self, name: &[u8], now: Micros) -> Option<&Class> {
-        self.0.iter().find(|c| c.name.as_bytes() == name && c.until.is_none_or(|until| now < until))
+        self.0
+            .iter()
+            .find(|c| c.name.as_bytes() == name && c.expires_at.is_none_or(|expires_at| now < expires_at))
     }
 }
 
 impl Class {
-    fn of(class: &RequestClass, place: usize) -> Class {
+    fn of(class: &RequestClass, index: usize) -> Class {
         let (worth, recallable) = (class.worth, class.may_repeat());
-        Class { name: class.name.clone(), place, worth, recallable, until: None }
+        Class { name: class.name.clone(), index, worth, recallable, expires_at: None }
     }
 }
 
 impl fmt::Display for Classes {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let named = self.0.iter().filter(|c| c.until.is_none()).map(|c| c.name.as_str());
+        let named = self.0.iter().filter(|c| c.expires_at.is_none()).map(|c| c.name.as_str());
         f.write_str(&named.collect::<Vec<_>>().join(" "))
     }
 }
@@ -71,15 +73,18 @@
     }
 
     #[test]
-    fn a_dropped_class_is_known_for_a_while_and_one_that_is_back_is_another() {
+    fn a_removed_class_stays_known_for_a_while_and_is_replaced_when_added_again() {
         let mut classes = Classes::new(&options(&["a", "b"]));
-        let place = |classes: &Classes, name: &str, now| classes.find(name.as_bytes(), now).map(|c| c.place);
-        classes.next(&options(&["b", "c"]), &[1, 2], 100);
-        assert_eq!(place(&classes, "a", 100 + KNOWN_ON - 1), Some(0));
-        assert_eq!(place(&classes, "a", 100 + KNOWN_ON), None);
-        assert_eq!((place(&classes, "b", 100), place(&classes, "c", 100)), (Some(1), Some(2)));
-        classes.next(&options(&["a"]), &[3], 200);
-        assert_eq!((place(&classes, "a", 9 * KNOWN_ON), place(&classes, "c", 300)), (Some(3), Some(2)));
+        let index = |classes: &Classes, name: &str, now| classes.find(name.as_bytes(), now).map(|c| c.index);
+        classes.update(&options(&["b", "c"]), &[1, 2], 100);
+        assert_eq!(index(&classes, "a", 100 + DROPPED_CLASS_GRACE - 1), Some(0));
+        assert_eq!(index(&classes, "a", 100 + DROPPED_CLASS_GRACE), None);
+        assert_eq!((index(&classes, "b", 100), index(&classes, "c", 100)), (Some(1), Some(2)));
+        classes.update(&options(&["a"]), &[3], 200);
+        assert_eq!(
+            (index(&classes, "a", 9 * DROPPED_CLASS_GRACE), index(&classes, "c", 300)),
+            (Some(3), Some(2))
+        );
         assert_eq!(classes.to_string(), "a");
     }
 }
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -1,59 +1,63 @@
-//! A client's connection: commands come in, answers go out in their order.
+//! A client's connection: reads commands, and sends the answers in the order of the commands.
 
 use super::Socket;
 use super::deadlines::Key;
 use lapisrudder::permit::{Close, Denial};
-use lapisrudder::time_limits::HOLD_UP;
+use lapisrudder::time_limits::MAX_STALL;
 use lapisrudder::{Micros, RequestId};
 use lapisrudder_codec::memcache::{MAX_LINE, MAX_WHOLE};
-use lapisrudder_io::{Look, Read, Written};
+use lapisrudder_io::{Probe, Read, Written};
 use lapisrudder_limits::drain::State;
 use lapisrudder_limits::{Activity, ConnId};
 use std::collections::VecDeque;
 use std::io::{self, IoSlice};
 use std::os::fd::OwnedFd;
 
-/// Commands of one connection that may wait for their answers. Guards memory: no more are read until some
-/// have been answered.
-const PIPELINE: usize = 32;
-/// Bytes that a client may leave unread before nothing more is read from it.
-const UNREAD: usize = 128 << 10;
-/// Buffers larger than this are given back once empty.
-const KEPT: usize = 4 << 10;
-/// Errors on one connection after which it closes. Guards usual clients against one that sends nothing else.
-const ERRORS: u32 = 16;
+/// Maximum number of commands of one connection that wait for their answers. No more are read until some are
+/// answered, which bounds memory.
+const MAX_PIPELINE: usize = 32;
+/// Maximum bytes of answers that a client has not taken; beyond it nothing more is read from the client.
+const MAX_UNSENT: usize = 128 << 10;
+/// Buffers larger than this are freed once empty.
+const MAX_IDLE_BUFFER: usize = 4 << 10;
+/// Number of errors on one connection after which it closes, so that a client that sends only errors does not
+/// burden the others.
+const MAX_ERRORS: u32 = 16;
 /// An answer that its client does not read is kept for this long.
-const UNREAD_FOR: Micros = 30_000_000;
-/// A connection on which framing was lost is read from, and what comes is dropped, for this long and up to so
-/// many bytes. Guards the error line: closing on unread bytes sends a reset, which may destroy it.
-const LINGER: Micros = 1_000_000;
-const DRAINED: usize = 1 << 20;
-/// A drain cuts off an answer that is being taken only once nothing of it was taken for so long.
-const TAKES_ON: Micros = 2_000_000;
-/// One that was closed between requests is read from for this long, to see whether the close crossed a request: longer than a
-/// hold-up, in which nothing is read.
-const PARTING: Micros = HOLD_UP + 100_000;
-
-/// Answers up to this size are copied together, so that all of a turn go out in one write; larger ones go straight
-/// from where they were read.
-const COPIED: usize = 8 << 10;
-
-/// The room that one read needs at most: what is left of a command, and as much again to read into.
+const UNSENT_TIMEOUT: Micros = 30_000_000;
+/// After the last answer a connection is read from and its input dropped for this long and up to this many
+/// bytes. Closing with unread bytes would send a reset, which may destroy an error line.
+const LINGER_TIME: Micros = 1_000_000;
+const MAX_LINGER_BYTES: usize = 1 << 20;
+/// A drain closes a connection whose client is taking an answer only if the client has taken nothing for this
+/// long.
+const READER_STALL_TIMEOUT: Micros = 2_000_000;
+/// A connection that was closed between requests is read from for this long, to detect whether the close
+/// crossed a request. It is longer than a stall of the process, in which nothing is read.
+const CLOSE_CHECK_TIME: Micros = MAX_STALL + 100_000;
+
+/// Answers up to this size are copied into one buffer, so that all answers of an event-loop iteration are
+/// sent in one write. Larger ones are written straight from the buffer that they were read into.
+const MAX_COPIED_ANSWER: usize = 8 << 10;
+
+/// Size of the read buffer: an incomplete command, and as much again to read into.
 pub const SCRATCH: usize = 2 * (MAX_LINE + MAX_WHOLE + 2);
 
-/// A large value is read from its server while less than this is left of it for its client, or there is room for more
-/// of all clients'; and again from there on.
-const HIGH: usize = 64 << 10;
-const LOW: usize = 16 << 10;
-/// Sent bytes that the room for answers may begin with before they are dropped.
-const SENT: usize = 64 << 10;
-/// A large value of which nothing comes for this long is given up. Guards the budget for those.
-const UPLOAD_STALLS: Micros = 10_000_000;
+/// A large value is read from its server while less than the high mark of it waits for its client, or while
+/// all clients' answers together leave space. A paused one is read on below the low mark.
+const HIGH_MARK: usize = 64 << 10;
+const LOW_MARK: usize = 16 << 10;
+/// Sent bytes at the start of the output buffer are removed once there are this many.
+const COMPACT_THRESHOLD: usize = 64 << 10;
+/// An upload of a large value of which nothing arrives for this long is given up, because it holds part of
+/// the budget for uploads.
+const UPLOAD_TIMEOUT: Micros = 10_000_000;
 
 pub enum Slot {
     Waiting(RequestId),
     Ready(Vec<u8>),
-    /// A large value that is passed on as it comes: what of it has come before its turn, and whether that is all.
+    /// A large value that is streamed: what has arrived of it before it is next in order, and whether that is
+    /// all.
     Stream {
         request: RequestId,
         bytes: Vec<u8>,
@@ -61,17 +65,17 @@
     },
 }
 
-/// A command with a large value that comes in.
+/// A command with a large value that is being received.
 pub struct Upload {
     pub bytes: Vec<u8>,
-    /// Bytes of the command in all.
+    /// Size of the complete command in bytes.
     pub total: usize,
-    /// There is room for it; before that nothing more of it is read.
+    /// It fits into the budget; before that no more of it is read.
     pub admitted: bool,
 }
 
 impl Upload {
-    /// The room that is to be set aside for it: it is held once as it came and once as it is passed on.
+    /// Bytes to reserve for it: it is held once as received and once as passed on.
     pub fn needs(&self) -> usize {
         2 * self.total
     }
@@ -80,66 +84,68 @@
 #[derive(PartialEq)]
 enum Phase {
     Open,
-    /// Nothing more is read; closes once all is answered and sent.
+    /// Nothing more is read; the connection closes once everything is answered and sent.
     Closing,
-    /// All is sent, and its sending side shut; what still comes is dropped.
+    /// All is sent, and the sending side is shut; input is dropped.
     Lingering,
-    /// Its sending side was shut between requests, to make room.
-    Parting,
+    /// The sending side was shut between requests, to free the connection.
+    ShutBetweenRequests,
 }
 
-/// What came on a connection that is over.
+/// What was read on a connection whose sending side is shut.
 #[derive(PartialEq)]
-pub enum Drained {
+pub enum LingerRead {
     Nothing,
-    /// Something that a close had crossed.
+    /// Data that crossed the close.
     Crossed,
-    /// The peer has closed too.
+    /// The peer has closed, too.
     Ended,
 }
 
 pub struct Client {
-    /// Its name in the books of who gets in.
+    /// Its number in the limits.
     pub conn: ConnId,
     socket: Socket,
     /// Part of a command that has been read.
     pub input: Vec<u8>,
-    /// A command with a large value, of which `input` has nothing.
+    /// A command with a large value, of which nothing is in `input`.
     pub upload: Option<Upload>,
-    /// So many bytes of its answers are counted in the sum over all clients.
+    /// Bytes of its answers that are counted in the sum over all clients.
     pub counted: usize,
-    /// The server of a large value waits until its client has read on.
-    stalled: bool,
-    /// Answers owed, in the order of the commands.
+    /// Reading of a large value from its server is paused until the client has taken more.
+    stream_paused: bool,
+    /// Pending answers, in the order of the commands.
     pub slots: VecDeque<Slot>,
     output: Vec<u8>,
     sent: usize,
     phase: Phase,
-    /// The socket may hold more that was not read.
+    /// The socket may hold data that has not been read.
     pub unread: bool,
-    /// A call failed for a moment, and no readiness will tell: it is to be come back to.
-    pub later: bool,
-    /// It goes to another process once nothing is owed on it: nothing more is taken meanwhile.
+    /// A call failed with a transient error, and no readiness will be reported: the client has to be
+    /// processed again.
+    pub needs_retry: bool,
+    /// It is to be handed to another process once no answer is pending; no further command is taken
+    /// meanwhile.
     pub leaving: bool,
-    /// It is on the list of those to look at again.
-    pub listed: bool,
-    /// It is to be sent what the turn has brought.
+    /// It is on the list of clients that are not read from.
+    pub in_blocked_list: bool,
+    /// It is on the list of clients with answers to be sent.
     pub dirty: bool,
     errors: u32,
     drained: usize,
-    /// When it was last sent something, or began to be over.
-    since: Micros,
+    /// When something was last sent or received for an upload, or the sending side was shut.
+    last_progress: Micros,
     /// When it last took bytes of its answers.
-    took: Micros,
-    /// The node drains: the connection is closed by then.
+    last_taken: Micros,
+    /// The time by which a drain closes the connection.
     pub close_by: Option<Micros>,
-    /// When it arrived, if it has not spoken yet; else long ago.
+    /// When it arrived, if nothing has been read from it yet; else `Micros::MIN`.
     pub since_arrival: Micros,
-    /// What is not read came after this; none where nothing is known to have come.
+    /// The unread data arrived after this time; none if none is known to have arrived.
     came_after: Option<Micros>,
-    /// All that had come before this was read.
-    emptied: Micros,
-    /// When this is to be looked at again.
+    /// Everything that had arrived before this time is read.
+    read_empty_at: Micros,
+    /// The deadline at which this client is checked.
     pub deadline: Option<Key>,
 }
 
@@ -150,165 +156,169 @@
             socket,
             input: Vec::new(),
             upload: None,
-            stalled: false,
+            stream_paused: false,
             counted: 0,
             slots: VecDeque::new(),
             output: Vec::new(),
             sent: 0,
             phase: Phase::Open,
             unread: false,
-            later: false,
+            needs_retry: false,
             leaving: false,
-            listed: false,
+            in_blocked_list: false,
             dirty: false,
             errors: 0,
             drained: 0,
-            since: now,
-            took: now,
+            last_progress: now,
+            last_taken: now,
             close_by: None,
             since_arrival: now,
             came_after: None,
-            emptied: Micros::MIN,
+            read_empty_at: Micros::MIN,
             deadline: None,
         }
     }
 
-    /// Nothing is owed to it.
-    pub fn quiet(&self) -> bool {
+    /// Whether all commands are answered and all answers sent.
+    pub fn nothing_pending(&self) -> bool {
         self.slots.is_empty() && self.sent == self.output.len()
     }
 
-    /// Looks whether something has come that no callback has told of yet.
-    pub fn look(&mut self) -> bool {
-        // Danger: a look that failed told of bytes that were not there, or of none.
-        self.unread |= self.socket.has_unread() != Look::No;
+    /// Checks whether data has arrived that the event loop has not reported yet.
+    pub fn check_readable(&mut self) -> bool {
+        // A failed check counts as readable: it must not report that nothing has arrived.
+        self.unread |= self.socket.has_unread() != Probe::No;
         self.unread
     }
 
     /// Whether it may close between requests.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why it may not.
     pub fn permit_close(&mut self) -> Result<(), Denial> {
-        Close { owed: !self.quiet(), unread: self.look() }.check()
+        Close { owed: !self.nothing_pending(), unread: self.check_readable() }.check()
     }
 
-    /// Nothing more is owed on it, and its sending side is shut.
+    /// Whether everything is sent and the sending side is shut.
     pub fn lingers(&self) -> bool {
-        matches!(self.phase, Phase::Lingering | Phase::Parting)
+        matches!(self.phase, Phase::Lingering | Phase::ShutBetweenRequests)
     }
 
-    /// What it is doing, as the limits see it.
+    /// Its activity, as the limits distinguish it.
     pub fn activity(&self) -> Activity {
         match self.phase {
-            // It is nobody who only holds a place: its value comes in.
-            Phase::Open if self.upload.is_some() => Activity::Owed,
-            Phase::Open if self.quiet() && !self.unread => {
+            // Receiving a large value counts as activity: the client does not just occupy a connection.
+            Phase::Open if self.upload.is_some() => Activity::Pending,
+            Phase::Open if self.nothing_pending() && !self.unread => {
                 if self.input.is_empty() {
                     Activity::Idle
                 } else {
                     Activity::Unfinished
                 }
             }
-            _ if self.lingers() => Activity::Over,
-            _ => Activity::Owed,
+            _ if self.lingers() => Activity::Closing,
+            _ => Activity::Pending,
         }
     }
 
-    /// Its state in a few words.
+    /// Its state for logs.
     pub fn describe(&self, now: Micros) -> String {
         let (owed, unsent) = (self.slots.len(), self.output.len() - self.sent);
         let upload = if self.upload.is_some() { " upload" } else { "" };
         let unread = if self.unread { " unread" } else { "" };
         let leaving = if self.leaving { " leaving" } else { "" };
-        let (activity, last_ms) = (self.activity(), (now - self.since) / 1000);
+        let (activity, last_ms) = (self.activity(), (now - self.last_progress) / 1000);
         format!("{activity:?} owed={owed} unsent={unsent} last_sent_ms={last_ms}{upload}{unread}{leaving}")
     }
 
-    /// Shuts its sending side between requests. Guards the count of closes that crossed a request: what comes from
-    /// here on does.
-    pub fn part(&mut self, now: Micros) -> io::Result<()> {
-        (self.phase, self.since) = (Phase::Parting, now);
+    /// Shuts its sending side between requests. Data that arrives from here on has crossed the close, which
+    /// is counted.
+    pub fn shut_sending(&mut self, now: Micros) -> io::Result<()> {
+        (self.phase, self.last_progress) = (Phase::ShutBetweenRequests, now);
         self.socket.finish()
     }
 
-    /// May be given another command.
-    pub fn room(&self) -> bool {
+    /// Whether another command may be taken.
+    pub fn can_take_command(&self) -> bool {
         self.phase == Phase::Open
             && !self.leaving
-            && self.slots.len() < PIPELINE
-            && self.output.len() - self.sent < UNREAD
+            && self.slots.len() < MAX_PIPELINE
+            && self.output.len() - self.sent < MAX_UNSENT
     }
 
-    /// There is something to read, but it is not read for now: its room is all taken, it is to close, or it goes elsewhere.
-    pub fn is_blind(&self) -> bool {
-        let waits = self.upload.as_ref().is_some_and(|u| !u.admitted);
-        self.unread && !self.lingers() && (waits || !self.room())
+    /// Whether there is data that is not read for now: the client has reached its limits, the upload does not
+    /// fit into the budget, or the connection is to close or to go to another process.
+    pub fn is_read_blocked(&self) -> bool {
+        let upload_waits = self.upload.as_ref().is_some_and(|u| !u.admitted);
+        self.unread && !self.lingers() && (upload_waits || !self.can_take_command())
     }
 
-    /// It has not spoken yet.
+    /// Whether nothing has been read from it yet.
     pub fn is_fresh(&self) -> bool {
         self.since_arrival != Micros::MIN
     }
 
-    /// Its peer has gone, seen past what is not read. Where that cannot be told, it is to be asked again.
-    pub fn has_left(&mut self) -> Look {
-        let left = self.socket.is_ended();
-        self.later |= left == Look::Unknown;
-        left
+    /// Whether the peer has closed, even if data before that is unread. If that is unknown, it is checked
+    /// again.
+    pub fn has_left(&mut self) -> Probe {
+        let ended = self.socket.is_ended();
+        self.needs_retry |= ended == Probe::Unknown;
+        ended
     }
 
-    /// Puts its socket on the loop, if that was not allowed before.
-    pub fn ensure_watched(&mut self) {
-        self.later |= !self.socket.ensure();
+    /// Registers its socket in the event loop if that has failed before.
+    pub fn ensure_registered(&mut self) {
+        self.needs_retry |= !self.socket.ensure_enabled();
     }
 
     /// Takes no more commands.
-    pub fn finish(&mut self) {
+    pub fn stop_taking(&mut self) {
         if self.phase == Phase::Open {
             self.phase = Phase::Closing;
         }
     }
 
-    /// Counts an error that it is told.
-    pub fn erred(&mut self) {
+    /// Counts an error answer to the client.
+    pub fn count_error(&mut self) {
         self.errors += 1;
-        if self.errors >= ERRORS {
-            self.finish();
+        if self.errors >= MAX_ERRORS {
+            self.stop_taking();
         }
     }
 
-    /// The time at which it is to be closed, if nothing happens until then and it is not between requests.
+    /// The time at which it is closed if nothing happens until then and it is not between requests.
     pub fn due(&self) -> Option<Micros> {
-        [self.stalls_at(), self.drained_by()].into_iter().flatten().min()
+        [self.stall_due(), self.drain_due()].into_iter().flatten().min()
     }
 
-    /// The node drains, and its time is over.
+    /// Whether the time of its drain is over.
     pub fn is_past_drain(&self, now: Micros) -> bool {
-        self.drained_by().is_some_and(|at| at <= now)
+        self.drain_due().is_some_and(|at| at <= now)
     }
 
-    /// By when a drain closes it. A client that is taking its answer keeps the connection while it takes on.
-    fn drained_by(&self) -> Option<Micros> {
-        let takes_on = if self.is_sending() { self.took + TAKES_ON } else { Micros::MIN };
-        self.close_by.map(|at| at.max(takes_on))
+    /// The time at which a drain closes it. A client that is taking an answer keeps the connection as long as
+    /// it makes progress.
+    fn drain_due(&self) -> Option<Micros> {
+        let progress_until =
+            if self.is_sending() { self.last_taken + READER_STALL_TIMEOUT } else { Micros::MIN };
+        self.close_by.map(|at| at.max(progress_until))
     }
 
-    /// A large value is passed on, or answers wait for the client to take them.
+    /// Whether a large value is being streamed, or answers wait for the client to take them.
     fn is_sending(&self) -> bool {
         let streams = matches!(self.slots.front(), Some(Slot::Stream { .. }));
         streams || self.sent < self.output.len()
     }
 
-    /// What it is doing, as a drain sees it. Looks whether something has come.
+    /// Its state, as a drain distinguishes it. Checks whether data has arrived.
     pub fn drain_state(&mut self) -> State {
         let open = self.phase == Phase::Open;
-        let unread = if self.room() { self.look() } else { self.unread };
+        let unread = if self.can_take_command() { self.check_readable() } else { self.unread };
         match () {
             () if self.lingers() => State::Lingering,
             () if open && self.upload.is_some() => State::Unfinished,
-            () if !self.slots.is_empty() && !self.is_sending() && open && unread => State::OwedUnread,
-            () if !self.slots.is_empty() && !self.is_sending() => State::Owed,
+            () if !self.slots.is_empty() && !self.is_sending() && open && unread => State::PendingUnread,
+            () if !self.slots.is_empty() && !self.is_sending() => State::Pending,
             () if self.is_sending() => State::Sending,
             () if unread => State::Unread,
             () if !self.input.is_empty() => State::Unfinished,
@@ -316,44 +326,49 @@
         }
     }
 
-    fn stalls_at(&self) -> Option<Micros> {
-        let lasts = match self.phase {
-            Phase::Lingering => LINGER,
-            Phase::Parting => PARTING,
-            _ if self.sent < self.output.len() => UNREAD_FOR,
-            _ if self.upload.as_ref().is_some_and(|u| u.admitted) => UPLOAD_STALLS,
-            // The transactions have deadlines of their own, and the limits know how long the others may stay.
+    fn stall_due(&self) -> Option<Micros> {
+        let timeout = match self.phase {
+            Phase::Lingering => LINGER_TIME,
+            Phase::ShutBetweenRequests => CLOSE_CHECK_TIME,
+            _ if self.sent < self.output.len() => UNSENT_TIMEOUT,
+            _ if self.upload.as_ref().is_some_and(|u| u.admitted) => UPLOAD_TIMEOUT,
+            // Transactions have deadlines of their own, and the limits decide how long other clients may
+            // stay.
             _ => return None,
         };
-        Some(self.since + lasts)
+        Some(self.last_progress + timeout)
     }
 
-    /// Something has come, later than `after`.
-    pub fn has_come(&mut self, after: Micros) {
+    /// Marks that data may have arrived, later than `after`.
+    pub fn mark_readable(&mut self, after: Micros) {
         self.unread = true;
         self.came_after(after);
     }
 
-    /// What is read next came after this, if nothing more is known of it than that it came after `after`.
+    /// Lower bound of the arrival time of the data that is read next; it follows from `after` if none is
+    /// recorded.
     pub fn came_after(&mut self, after: Micros) -> Micros {
-        *self.came_after.get_or_insert(after.max(self.emptied))
+        *self.came_after.get_or_insert(after.max(self.read_empty_at))
     }
 
-    /// What is not read has waited for the answers before it, which does not count: its time begins when it is read.
+    /// Forgets the arrival time of unread data that waits behind pending answers: the wait does not count,
+    /// and its time starts when it is read.
     pub fn forget_arrival(&mut self) {
         self.came_after = None;
     }
 
-    /// Reads once, behind what an earlier read left over; gives what there is now in `scratch`. `None` means
-    /// that the peer has closed. Guards others against a client that sends without end: one read a turn.
+    /// Reads once, and returns the incomplete command of earlier reads and the new data in `scratch`. `None`
+    /// means that the peer has closed. There is one read in each event-loop iteration, so that a client that
+    /// keeps sending does not keep others waiting.
     pub fn read<'s>(&mut self, scratch: &'s mut [u8], now: Micros) -> Option<&'s [u8]> {
         let held = self.input.len();
         scratch[..held].copy_from_slice(&self.input);
         let read = match self.socket.read(&mut scratch[held..]) {
             Read::End | Read::Broken(_) => return None,
             Read::Bytes(n) => {
-                // Danger: few bytes were taken for all, and the rest of a command waited for an edge that had been spent.
-                self.unread = held + n == scratch.len() || self.socket.has_unread() != Look::No;
+                // A short read does not prove that the socket is empty: the rest of a command would wait for
+                // an edge-triggered event that has already been reported.
+                self.unread = held + n == scratch.len() || self.socket.has_unread() != Probe::No;
                 self.since_arrival = Micros::MIN;
                 n
             }
@@ -362,76 +377,77 @@
                 0
             }
             Read::Later(_) => {
-                self.later = true;
+                self.needs_retry = true;
                 0
             }
         };
         if self.unread {
-            // Guards one that sends without end, whose first bytes came long ago: what is left came since, or in a hold-up.
-            self.came_after = self.came_after.map(|after| after.max(now - HOLD_UP));
+            // If a client keeps sending, its first bytes arrived long ago, and would date the later ones too
+            // early. What is left arrived at most one stall of the process before now.
+            self.came_after = self.came_after.map(|after| after.max(now - MAX_STALL));
         } else {
-            (self.came_after, self.emptied) = (None, now);
+            (self.came_after, self.read_empty_at) = (None, now);
         }
         Some(&scratch[..held + read])
     }
 
-    /// Reads on a command with a large value, no further than its end. Gives it once it is whole; `None` means that the
-    /// peer has closed.
+    /// Reads more of a command with a large value, but not beyond its end. Returns the command once it is
+    /// complete; `None` means that the peer has closed.
     pub fn read_upload(&mut self, scratch: &mut [u8], now: Micros) -> Option<Option<Vec<u8>>> {
         let Some(upload) = self.upload.as_mut().filter(|u| u.admitted) else { return Some(None) };
-        let room = (upload.total - upload.bytes.len()).min(scratch.len());
-        match self.socket.read(&mut scratch[..room]) {
+        let space = (upload.total - upload.bytes.len()).min(scratch.len());
+        match self.socket.read(&mut scratch[..space]) {
             Read::End | Read::Broken(_) => return None,
             Read::Bytes(n) => {
                 upload.bytes.extend_from_slice(&scratch[..n]);
-                self.since = now;
+                self.last_progress = now;
             }
             Read::NotReady => self.unread = false,
-            Read::Later(_) => self.later = true,
+            Read::Later(_) => self.needs_retry = true,
         }
-        let whole = upload.bytes.len() == upload.total;
-        Some(self.upload.take_if(|_| whole).map(|upload| upload.bytes))
+        let complete = upload.bytes.len() == upload.total;
+        Some(self.upload.take_if(|_| complete).map(|upload| upload.bytes))
     }
 
-    /// Keeps what is not taken of what was read.
-    pub fn keep(&mut self, rest: &[u8]) {
+    /// Keeps the incomplete command at the end of what was read.
+    pub fn keep_rest(&mut self, rest: &[u8]) {
         self.input.clear();
         self.input.extend_from_slice(rest);
-        self.input.shrink_to(KEPT);
+        self.input.shrink_to(MAX_IDLE_BUFFER);
     }
 
-    /// Drops what comes, up to a point.
-    pub fn drain(&mut self, scratch: &mut [u8], now: Micros) -> Drained {
+    /// Reads and drops input after the sending side is shut, up to a limit.
+    pub fn read_lingering(&mut self, scratch: &mut [u8], now: Micros) -> LingerRead {
         match self.socket.read(scratch) {
-            Read::End | Read::Broken(_) => return Drained::Ended,
+            Read::End | Read::Broken(_) => return LingerRead::Ended,
             Read::Bytes(n) => {
                 self.drained += n;
-                if self.phase == Phase::Parting {
-                    // A close over what still comes would reset the connection.
-                    (self.phase, self.since) = (Phase::Lingering, now);
-                    return Drained::Crossed;
+                if self.phase == Phase::ShutBetweenRequests {
+                    // Closing with unread bytes would reset the connection.
+                    (self.phase, self.last_progress) = (Phase::Lingering, now);
+                    return LingerRead::Crossed;
                 }
             }
             Read::NotReady => self.unread = false,
-            Read::Later(_) => self.later = true,
+            Read::Later(_) => self.needs_retry = true,
         }
-        self.unread &= self.drained < DRAINED;
-        Drained::Nothing
+        self.unread &= self.drained < MAX_LINGER_BYTES;
+        LingerRead::Nothing
     }
 
-    /// Nothing is owed on it, and it may go on at another process.
+    /// Whether it can be handed to another process now.
     pub fn can_leave(&self) -> bool {
-        self.leaving && self.quiet() && self.phase == Phase::Open
+        self.leaving && self.nothing_pending() && self.phase == Phase::Open
     }
 
     /// The connection, and what was read of its next command.
     ///
     /// # Errors
-    /// Itself, where the connection cannot be taken off the loop.
+    /// The client, if the connection cannot be removed from the event loop.
     pub fn into_parts(self) -> Result<(OwnedFd, Vec<u8>), Box<Client>> {
         match self.socket.into_inner() {
             Ok(stream) => Ok((stream.into(), self.input)),
-            Err(socket) => Err(Box::new(Client { socket, later: true, ..self })),
+            Err(socket) => Err(Box::new(Client { socket, needs_retry: true, ..self })),
         }
     }
 
@@ -443,7 +459,7 @@
                 Slot::Ready(bytes) => self.output.append(bytes),
                 Slot::Stream { bytes, over, .. } => {
                     self.output.append(bytes);
-                    bytes.shrink_to(KEPT);
+                    bytes.shrink_to(MAX_IDLE_BUFFER);
                     if !*over {
                         break;
                     }
@@ -455,68 +471,75 @@
             match self.socket.write(&[IoSlice::new(&self.output[self.sent..])]) {
                 Written::Bytes(n) => {
                     self.sent += n;
-                    self.took = now;
+                    self.last_taken = now;
                 }
                 Written::Full => {
                     self.compact();
                     return Ok(());
                 }
                 Written::Later(_) => {
-                    self.later = true;
+                    self.needs_retry = true;
                     return Ok(());
                 }
                 Written::Broken(e) => return Err(e),
             }
-            self.since = now;
+            self.last_progress = now;
         }
         self.output.clear();
-        self.output.shrink_to(KEPT);
+        self.output.shrink_to(MAX_IDLE_BUFFER);
         self.sent = 0;
         if self.phase == Phase::Closing && self.slots.is_empty() {
             self.phase = Phase::Lingering;
-            (self.since, self.unread) = (now, true);
+            (self.last_progress, self.unread) = (now, true);
             self.input = Vec::new();
             self.socket.finish()?;
         }
         Ok(())
     }
 
-    /// Drops what was sent, where that is much. Guards memory: the answers of a slow reader would pile up behind it.
+    /// Removes sent bytes from the buffer if there are many. It would grow without limit for a client that
+    /// reads slowly.
     fn compact(&mut self) {
-        if self.sent >= SENT {
+        if self.sent >= COMPACT_THRESHOLD {
             self.output.drain(..self.sent);
             self.sent = 0;
         }
     }
 
-    /// The answer to a command is a large value, which comes in pieces: `head` is its line.
-    pub fn begin(&mut self, request: RequestId, head: Vec<u8>) {
-        let waits = |s: &&mut Slot| matches!(s, Slot::Waiting(r) if *r == request);
-        if let Some(slot) = self.slots.iter_mut().find(waits) {
+    /// Begins an answer that is a large value and comes in pieces; `head` is its first line.
+    pub fn begin_value(&mut self, request: RequestId, head: Vec<u8>) {
+        let is_pending = |s: &&mut Slot| matches!(s, Slot::Waiting(r) if *r == request);
+        if let Some(slot) = self.slots.iter_mut().find(is_pending) {
             *slot = Slot::Stream { request, bytes: head, over: false };
         }
     }
 
-    /// A piece of it. False if there is no room for another.
-    pub fn piece(&mut self, request: RequestId, piece: &[u8], room: bool, now: Micros) -> io::Result<bool> {
-        let ours = |s: &Slot| matches!(s, Slot::Stream { request: r, .. } if *r == request);
-        let Some(place) = self.slots.iter().position(ours) else { return Ok(true) };
-        match self.slots.get_mut(place) {
-            Some(Slot::Stream { bytes, .. }) if place > 0 || !bytes.is_empty() => {
+    /// Appends a piece of a large value. Returns false if no further piece can be buffered.
+    pub fn push_piece(
+        &mut self,
+        request: RequestId,
+        piece: &[u8],
+        has_space: bool,
+        now: Micros,
+    ) -> io::Result<bool> {
+        let is_this = |s: &Slot| matches!(s, Slot::Stream { request: r, .. } if *r == request);
+        let Some(position) = self.slots.iter().position(is_this) else { return Ok(true) };
+        match self.slots.get_mut(position) {
+            Some(Slot::Stream { bytes, .. }) if position > 0 || !bytes.is_empty() => {
                 bytes.extend_from_slice(piece);
-                if place == 0 {
+                if position == 0 {
                     self.flush(now)?;
                 }
             }
             _ => self.answer(&[piece], now)?,
         }
         self.compact();
-        self.stalled = self.held() >= HIGH && !room;
-        Ok(!self.stalled)
+        self.stream_paused = self.unsent_bytes() >= HIGH_MARK && !has_space;
+        Ok(!self.stream_paused)
     }
 
-    /// Bytes of answers that it holds.
-    pub fn held(&self) -> usize {
+    /// Bytes of its answers that have not been sent.
+    pub fn unsent_bytes(&self) -> usize {
         let slots = self.slots.iter().map(|slot| match slot {
             Slot::Waiting(_) => 0,
             Slot::Ready(bytes) | Slot::Stream { bytes, .. } => bytes.len(),
@@ -524,27 +547,28 @@
         slots.sum::<usize>() + self.output.len() - self.sent
     }
 
-    /// All of it has come.
-    pub fn end(&mut self, request: RequestId) {
-        let ours = |s: &&mut Slot| matches!(s, Slot::Stream { request: r, .. } if *r == request);
-        if let Some(Slot::Stream { bytes, over, .. }) = self.slots.iter_mut().find(ours) {
+    /// Completes a large value.
+    pub fn end_value(&mut self, request: RequestId) {
+        let is_this = |s: &&mut Slot| matches!(s, Slot::Stream { request: r, .. } if *r == request);
+        if let Some(Slot::Stream { bytes, over, .. }) = self.slots.iter_mut().find(is_this) {
             bytes.extend_from_slice(b"\r\n");
-            (*over, self.stalled) = (true, false);
+            (*over, self.stream_paused) = (true, false);
         }
     }
 
-    /// The large value whose server may go on, if one waits and its client has read on.
-    pub fn resumes(&mut self) -> Option<RequestId> {
+    /// The large value that was paused and may be read on, because the client has taken enough of it.
+    pub fn take_resumable(&mut self) -> Option<RequestId> {
         let Some(Slot::Stream { request, .. }) = self.slots.front() else { return None };
-        let ready = self.stalled && self.output.len() - self.sent < LOW;
-        self.stalled &= !ready;
+        let ready = self.stream_paused && self.output.len() - self.sent < LOW_MARK;
+        self.stream_paused &= !ready;
         ready.then_some(*request)
     }
 
-    /// Takes the answer whose turn it is. A small one goes out with all others of the turn; a large one is sent at
-    /// once, straight from its parts, and only what the socket leaves is copied.
+    /// Takes the answer that is next in order. A small one is sent with all others of the event-loop
+    /// iteration; a large one is written at once from its parts, and only what the socket does not take is
+    /// copied.
     pub fn answer(&mut self, parts: &[&[u8]], now: Micros) -> io::Result<()> {
-        if parts.iter().map(|p| p.len()).sum::<usize>() <= COPIED {
+        if parts.iter().map(|p| p.len()).sum::<usize>() <= MAX_COPIED_ANSWER {
             parts.iter().for_each(|part| self.output.extend_from_slice(part));
             return Ok(());
         }
@@ -553,12 +577,12 @@
         slices.extend(parts.iter().map(|p| IoSlice::new(p)));
         let mut done = match self.socket.write(&slices) {
             Written::Bytes(n) => n,
-            // All answers of the turn are sent once more at its end.
+            // All unsent answers are tried again at the end of the event-loop iteration.
             Written::Full | Written::Later(_) => 0,
             Written::Broken(e) => return Err(e),
         };
         if done > 0 {
-            self.took = now;
+            self.last_taken = now;
         }
         self.sent += done.min(held);
         done -= done.min(held);
@@ -567,7 +591,7 @@
             self.output.extend_from_slice(&part[skipped..]);
             done -= skipped;
         }
-        self.since = now;
+        self.last_progress = now;
         Ok(())
     }
 }
--- a/src/net/requests.rs
+++ b/src/net/requests.rs
@@ -1,5 +1,6 @@
-//! Requests that the node has taken and that are owed an answer: the host's own record of them, and the one way in which they
-//! end. The engine keeps another; neither can end a request without the other, and what is written is checked against this one.
+//! Open requests: those that the node has taken and not answered yet. This is the host's record of them, and
+//! the only place that ends them. The engine keeps its own record; neither side ends a request without the
+//! other, and attempts are checked against this record before they are written.
 
 use super::deadlines::Deadlines;
 use super::virtual_server::VirtualServer;
@@ -12,61 +13,61 @@
 use rustc_hash::FxHashMap;
 use tracing::debug;
 
-/// A request that is owed an answer.
+/// A request without its final answer.
 pub struct OpenRequest {
-    /// On whose connection the answer goes.
+    /// The client whose connection gets the answer.
     pub client: u64,
-    /// Its name in the limits.
+    /// Its ticket in the limits.
     pub ticket: Ticket,
-    /// Its value is being passed on.
+    /// Its value is being streamed to the client.
     pub streams: bool,
-    /// When its time is over.
+    /// Its deadlines.
     pub time: RequestTime,
 }
 
 /// How the host ends a request.
 pub enum Ending<'a> {
-    /// This line is its final answer. A value that has begun to be passed on breaks off instead.
+    /// This line is its final answer. If streaming of its value has begun, the connection is closed instead.
     Answer(&'a [u8], EndReason),
-    /// Its client has left: nobody is to be told.
+    /// Its client has left, so no answer is sent.
     ClientLeft,
 }
 
-/// Who is told of the end of a request.
-pub struct Parties<'a> {
+/// What is updated when a request ends.
+pub struct EndContext<'a> {
     pub server: &'a mut VirtualServer,
     pub engine: &'a mut Engine,
     pub deadlines: &'a mut Deadlines,
     pub now: Micros,
 }
 
-/// A request about which the two records differ.
+/// A request on which the two records differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Difference {
     pub request: RequestId,
-    /// The host owes it an answer; else only the engine does.
+    /// It is open in the host's record; else only in the engine's.
     pub open_at_host: bool,
 }
 
-/// All requests that are owed an answer.
+/// All open requests.
 #[derive(Default)]
 pub struct OpenRequests {
     open: FxHashMap<RequestId, OpenRequest>,
-    /// Which of them the limits mean.
+    /// The requests by their tickets in the limits.
     tickets: FxHashMap<Ticket, RequestId>,
-    /// So many of them are being passed on.
+    /// Number of requests whose value is being streamed.
     streaming: usize,
     recorder: Recorder,
 }
 
 impl OpenRequests {
-    /// One more, which the engine has taken.
+    /// Adds a request that the engine has taken.
     pub fn add(&mut self, id: RequestId, request: OpenRequest) {
         self.tickets.insert(request.ticket, id);
         self.open.insert(id, request);
     }
 
-    /// An answer is owed: an attempt of it may begin.
+    /// Whether a request is open, so that an attempt of it may begin.
     pub fn is_open(&self, id: RequestId) -> bool {
         self.open.contains_key(&id)
     }
@@ -79,20 +80,20 @@
         self.open.iter()
     }
 
-    /// The request that the limits mean.
+    /// The request of a ticket in the limits.
     pub fn of_ticket(&self, ticket: Ticket) -> Option<RequestId> {
         self.tickets.get(&ticket).copied()
     }
 
-    /// The last ends of requests.
+    /// The last recorded ends of requests.
     pub fn recorder(&self) -> &Recorder {
         &self.recorder
     }
 
-    /// Ends a request: its client is answered, the limits are told, and its attempts are called off.
-    pub fn close(&mut self, id: RequestId, ending: Ending<'_>, parties: Parties<'_>) {
-        let Parties { server, engine, deadlines, now } = parties;
-        engine.left(now, id);
+    /// Ends a request: answers its client, notifies the limits, and cancels its attempts.
+    pub fn close(&mut self, id: RequestId, ending: Ending<'_>, parties: EndContext<'_>) {
+        let EndContext { server, engine, deadlines, now } = parties;
+        engine.client_left(now, id);
         let reason = match &ending {
             Ending::Answer(_, reason) => *reason,
             Ending::ClientLeft => EndReason::ClientLeft,
@@ -100,17 +101,18 @@
         let Some(request) = self.remove(id, reason, now) else { return };
         let OpenRequest { client, ticket, streams, time } = request;
         if let Ending::Answer(line, _) = ending {
-            debug!(number = id.0, client, line = %String::from_utf8_lossy(line).trim_end(), "ended");
+            debug!(number = id.0, client, line = %String::from_utf8_lossy(line).trim_end(), "request ended");
             self.note_answer(id, &time, server, now);
             match streams {
-                true => server.tear(client, now, deadlines),
+                true => server.abort(client, now, deadlines),
                 false => server.answer(client, id, &[line], now),
             }
         }
-        server.over(ticket, false, now);
+        server.request_ended(ticket, false, now);
     }
 
-    /// Takes it out of the record. Only for [`OpenRequests::close`], and for ends that the engine itself tells of.
+    /// Removes a request from the record. Only for [`OpenRequests::close`], and for ends that the engine
+    /// itself reports.
     fn remove(&mut self, id: RequestId, reason: EndReason, now: Micros) -> Option<OpenRequest> {
         let request = self.open.remove(&id)?;
         self.tickets.remove(&request.ticket);
@@ -119,17 +121,18 @@
         Some(request)
     }
 
-    /// Counts an answer that is given later than it may be.
+    /// Counts an answer that is given after its deadline.
     fn note_answer(&mut self, id: RequestId, time: &RequestTime, server: &mut VirtualServer, now: Micros) {
         if time.is_missed(now) {
-            server.violations.note(Err(Denial::AnsweredLate));
+            server.violations.record(Err(Denial::AnsweredLate));
             self.recorder.note(now, id, None, Step::Violated(Denial::AnsweredLate));
         }
     }
 
-    /// Requests about which this record and the engine's differ. Nothing may be on its way between the two.
+    /// Requests on which this record and the engine's differ. Must be called when no event is in transit
+    /// between the two.
     pub fn differences(&self, engine: &Engine) -> Vec<Difference> {
-        if self.open.len() - self.streaming == engine.open() {
+        if self.open.len() - self.streaming == engine.open_count() {
             return Vec::new();
         }
         let here = self.open.iter().filter(|(id, request)| !request.streams && !engine.is_open(**id));
@@ -138,22 +141,22 @@
         here.chain(there.map(|request| Difference { request, open_at_host: false })).collect()
     }
 
-    /// Counts a request about which the records differed.
+    /// Counts a request on which the records differed.
     pub fn note_difference(&mut self, difference: Difference, server: &mut VirtualServer, now: Micros) {
-        server.violations.note(Err(Denial::BooksDiffer));
-        self.recorder.note(now, difference.request, None, Step::Violated(Denial::BooksDiffer));
+        server.violations.record(Err(Denial::AccountingMismatch));
+        self.recorder.note(now, difference.request, None, Step::Violated(Denial::AccountingMismatch));
     }
 }
 
-/// The clients' side, as the engine's answers see it.
-pub struct Front<'a> {
+/// The clients' side as a receiver of the engine's answers.
+pub struct AnswerSink<'a> {
     pub server: &'a mut VirtualServer,
     pub requests: &'a mut OpenRequests,
     pub now: Micros,
 }
 
-impl Answers for Front<'_> {
-    /// Passes the answer on, straight from where it was read.
+impl Answers for AnswerSink<'_> {
+    /// Passes the answer on, straight from the buffer that it was read into.
     fn served(&mut self, transaction: RequestId, request: &Request, answer: Answer<'_>) {
         let Some(open) = self.requests.remove(transaction, EndReason::Served, self.now) else { return };
         let OpenRequest { client, ticket, time, .. } = open;
@@ -170,7 +173,7 @@
                 self.server.answer(client, transaction, &parts, self.now);
             }
         }
-        self.server.over(ticket, true, self.now);
+        self.server.request_ended(ticket, true, self.now);
     }
 
     fn begins(&mut self, transaction: RequestId, request: &Request, length: usize) -> bool {
@@ -179,18 +182,18 @@
         let mut head = format!("VA {length} O").into_bytes();
         head.extend_from_slice(request.command.id());
         head.extend_from_slice(b"\r\n");
-        self.server.begin(open.client, transaction, head);
+        self.server.begin_value(open.client, transaction, head);
         true
     }
 
     fn piece(&mut self, transaction: RequestId, bytes: &[u8]) -> bool {
         let Some(open) = self.requests.open.get(&transaction) else { return true };
-        self.server.piece(open.client, transaction, bytes, self.now)
+        self.server.push_piece(open.client, transaction, bytes, self.now)
     }
 
     fn ends(&mut self, transaction: RequestId) {
         let Some(open) = self.requests.remove(transaction, EndReason::Served, self.now) else { return };
-        self.server.end(open.client, transaction);
-        self.server.over(open.ticket, true, self.now);
+        self.server.end_value(open.client, transaction);
+        self.server.request_ended(open.ticket, true, self.now);
     }
 }
--- a/src/net/virtual_server.rs
+++ b/src/net/virtual_server.rs
@@ -1,22 +1,22 @@
-//! The clients' side: the listener, and the connections that it has accepted. Who gets in, who is kept and for how
-//! long, and what is taken in is decided by [`lapisrudder_limits`]; this carries it out.
+//! The clients' side: the listener and the connections that it has accepted. [`lapisrudder_limits`] decides
+//! which connections and requests are taken and how long a connection is kept; this module carries that out.
 
 mod accepting;
 mod release;
 mod states;
 
-use super::client::{Client, Drained, Slot, Upload};
+use super::client::{Client, LingerRead, Slot, Upload};
 use super::deadlines::{Deadline, Deadlines, Key};
 use super::{Handle, Owner, Ready};
 use lapisrudder::permit::{Close, Denial, Violations};
 use lapisrudder::{Micros, RequestId};
 use lapisrudder_codec::memcache::{self, Command, OwnedRequest};
-use lapisrudder_host::{COME_BACK, Watched};
-use lapisrudder_io::{Listener, Look, Shortage as Failures};
+use lapisrudder_host::{RETRY_INTERVAL, RegisteredSource};
+use lapisrudder_io::{Listener, Probe, Shortage as Failures};
 use lapisrudder_limits::budget::Budget;
 use lapisrudder_limits::drain::Drain;
 use lapisrudder_limits::{
-    Admission, ConnId, EventKind, Facts, Intake, Order, Resources, SettingsError, Ticket,
+    Admission, ConnId, EventKind, Intake, Order, RequestInfo, Resources, SettingsError, Ticket,
 };
 use rustc_hash::FxHashMap;
 use states::ConnectionStates;
@@ -26,40 +26,40 @@
 use std::net::SocketAddr;
 use tracing::{debug, info, warn};
 
-/// Connections that the kernel keeps until they are accepted. Guards against a burst whose connects are dropped
-/// there and tried again only after a second.
+/// Length of the listener's queue. In a burst that overflows it the kernel drops connects, and clients repeat
+/// those only after a second.
 const BACKLOG: i32 = 1024;
-/// Whether a client has left whose bytes are not read for now is looked at this often.
-const LOOK_AGAIN: Micros = 50_000;
-/// What is read this long after the last turn may have waited for it, and its client may have left meanwhile.
-const STOOD_STILL: Micros = 40_000;
+/// How often a client whose bytes are not read for now is checked for having left.
+const BLOCKED_CHECK_INTERVAL: Micros = 50_000;
+/// If nothing was read for this long, data may have waited meanwhile, and its client may have left.
+const STALL_THRESHOLD: Micros = 40_000;
 
-/// What there is in the listener's queue.
+/// State of the listener's queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Queue {
-    /// Nobody waits, or nobody is taken here any more.
+    /// No connection waits, or none is accepted here any more.
     Empty,
-    /// Some may wait.
+    /// Connections may wait.
     Waiting,
 }
 
-/// What the clients' side tells the node.
-pub enum News {
+/// What the clients' side reports to the node.
+pub enum ClientEvent {
     Command {
         client: u64,
         request: RequestId,
         command: OwnedRequest,
-        /// It came later than this.
+        /// The command arrived after this time.
         came_after: Micros,
     },
-    Left {
+    ClientLeft {
         request: RequestId,
     },
-    /// The drain of its connection is over: what is owed fails.
+    /// The drain of its connection is over: the pending request fails.
     DrainOver {
         request: RequestId,
     },
-    /// A transaction that was taken must be given up at once; its client may come again after so many milliseconds.
+    /// A transaction that was taken must end at once; its client may retry after this many milliseconds.
     Recall {
         ticket: Ticket,
         retry_ms: u32,
@@ -69,103 +69,106 @@
 #[derive(PartialEq)]
 enum State {
     Open,
-    Over(Closed),
+    Closed(CloseReason),
 }
 
 /// Why a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Closed {
-    /// Its peer has ended it, or it failed.
+enum CloseReason {
+    /// The peer has closed it, or it failed.
     PeerEnded,
-    /// Its peer did not read, send on or close in time.
+    /// The peer did not read, send on or close in time.
     Stalled,
-    /// To make room, while nothing was owed on it.
-    ForRoom,
-    /// An answer that had begun cannot be finished.
-    AnswerTorn,
-    /// The drain's time was over.
+    /// Closed to free its descriptor, while no answer was pending on it.
+    Evicted,
+    /// An answer that had begun cannot be completed.
+    AnswerAborted,
+    /// The time of the drain was over.
     DrainOver,
 }
 
 pub struct VirtualServer {
     clients: FxHashMap<u64, Client>,
-    /// Who they are in the books.
-    names: FxHashMap<ConnId, u64>,
+    /// Clients by their number in the limits.
+    by_conn: FxHashMap<ConnId, u64>,
     admission: Admission,
-    listener: Option<Watched<Ready, Listener>>,
-    /// New connections are this process's.
+    listener: Option<RegisteredSource<Ready, Listener>>,
+    /// This process accepts new connections.
     accepting: bool,
     /// Failures of `accept` in a row.
     failures: Failures,
     handle: Handle,
-    /// Held so that a connection can be accepted and told that there is no room, when descriptors have run out.
+    /// A spare descriptor. It is closed when descriptors are exhausted, so that one connection can be
+    /// accepted and rejected with a retry time.
     spare: Option<File>,
-    /// Nothing is accepted until then.
+    /// Nothing is accepted before this deadline.
     paused: Option<Key>,
-    /// Operators have told the node to drain: connections are let go until that is taken back, and `mn` gets a no.
+    /// Set while operators have the node drain: connections are released until they take that back, and `mn`
+    /// is answered with a refusal.
     standby: Option<Drain>,
-    /// The process ends soon, and connections are let go for good.
-    ends: Option<Drain>,
-    /// When it is looked again whose time has come.
-    round: Option<Key>,
-    /// `mn` is answered.
+    /// Set once the process ends: connections are released for good.
+    final_drain: Option<Drain>,
+    /// When connections are next checked for their release.
+    next_release: Option<Key>,
+    /// `mn` is answered with a yes.
     pub ready: bool,
-    asked_ready: Vec<u64>,
+    awaiting_ready: Vec<u64>,
     next_client: u64,
     next_request: u64,
-    /// Clients to see to in this turn: they may have more to read, or another deadline.
+    /// Clients to process in this event-loop iteration: they may have more to read, or another deadline.
     touched: Vec<u64>,
-    /// Clients to come back to shortly: a call failed for a moment.
-    later: Vec<u64>,
-    /// Clients that have answers of this turn to be sent.
+    /// Clients to process again shortly, because a call failed with a transient error.
+    retries: Vec<u64>,
+    /// Clients with answers of this event-loop iteration to be sent.
     dirty: Vec<u64>,
-    /// Clients that are not read from, and when to look whether they have left, in order.
-    blind: VecDeque<(Micros, u64)>,
-    /// The last turn in which clients were read from.
-    turned: Micros,
-    /// What this turn finds on sockets came after this.
+    /// Clients that are not read from, with the time of their next check for having left, in order.
+    blocked: VecDeque<(Micros, u64)>,
+    /// Time of the last event-loop iteration in which clients were read from.
+    last_read: Micros,
+    /// Everything that this event-loop iteration finds on sockets arrived after this time.
     came_after: Micros,
-    /// Who waits to be accepted came after this.
+    /// The listener's queue was empty then: the connections in it arrived later.
     queue_emptied: Micros,
-    /// Some waited there when it was last looked at.
-    queue_in_arrears: bool,
-    /// Closes and answers that were not allowed.
+    /// Connections waited in the queue when it was last checked.
+    queue_has_backlog: bool,
+    /// Closes and answers that violated a rule.
     pub violations: Violations,
-    pub news: VecDeque<News>,
-    /// Large values whose servers may go on.
+    pub events: VecDeque<ClientEvent>,
+    /// Large values that may be read on from their servers.
     pub resumed: Vec<RequestId>,
-    /// Bytes of answers that clients have not taken; beyond that many each gets but a little of its large value.
-    unread: usize,
-    unread_most: usize,
-    /// Bytes set aside for commands with large values, and of them those for each that was taken.
-    uploads: Budget,
-    taken_in: FxHashMap<RequestId, usize>,
+    /// Bytes of answers that clients have not taken. Above the maximum only a small part of each large value
+    /// is buffered for its client.
+    unsent: usize,
+    max_unsent: usize,
+    /// Budget for commands with large values, and the bytes reserved for each of them that was taken.
+    upload_budget: Budget,
+    upload_bytes: FxHashMap<RequestId, usize>,
 }
 
-/// The request ids of `mn`, which is no transaction, lie above all others.
-const READY: u64 = 1 << 63;
+/// The request id of `mn`, which is no transaction, is above all others.
+const READY_REQUEST: u64 = 1 << 63;
 /// The answers to `mn`.
 const READY_LINE: &[u8] = b"MN\r\n";
 const NOT_READY: &[u8] = b"SERVER_ERROR draining\r\n";
 
 impl VirtualServer {
-    /// Listens there, or goes on where another process of this node has listened: then nothing is accepted before
-    /// [`VirtualServer::begin_accepting`].
+    /// Listens on `at`, or takes over the listener of another process of this node. In the second case
+    /// nothing is accepted before [`VirtualServer::begin_accepting`].
     pub fn new(
         at: SocketAddr,
         handed: Option<Listener>,
         admission: Admission,
         handle: &Handle,
     ) -> io::Result<VirtualServer> {
-        let waits = handed.is_some();
+        let handed_over = handed.is_some();
         let listener = match handed {
             Some(listener) => listener,
             None => Listener::bind(at, BACKLOG, true)?,
         };
-        let listener = Watched::level(listener, handle, Owner::Listener);
+        let listener = RegisteredSource::level(listener, handle, Owner::Listener);
         let mut server = VirtualServer {
             clients: FxHashMap::default(),
-            names: FxHashMap::default(),
+            by_conn: FxHashMap::default(),
             admission,
             listener: Some(listener),
             accepting: false,
@@ -174,47 +177,47 @@
             spare: None,
             paused: None,
             standby: None,
-            ends: None,
-            round: None,
+            final_drain: None,
+            next_release: None,
             ready: false,
-            asked_ready: Vec::new(),
+            awaiting_ready: Vec::new(),
             next_client: 0,
             next_request: 0,
             touched: Vec::new(),
-            later: Vec::new(),
+            retries: Vec::new(),
             dirty: Vec::new(),
-            blind: VecDeque::new(),
-            turned: Micros::MIN / 2,
+            blocked: VecDeque::new(),
+            last_read: Micros::MIN / 2,
             came_after: Micros::MIN / 2,
             queue_emptied: Micros::MIN / 2,
-            queue_in_arrears: false,
+            queue_has_backlog: false,
             violations: Violations::default(),
-            news: VecDeque::new(),
+            events: VecDeque::new(),
             resumed: Vec::new(),
-            unread: 0,
-            unread_most: usize::MAX,
-            uploads: Budget::new(usize::MAX),
-            taken_in: FxHashMap::default(),
+            unsent: 0,
+            max_unsent: usize::MAX,
+            upload_budget: Budget::new(usize::MAX),
+            upload_bytes: FxHashMap::default(),
         };
-        server.take_spare();
-        if !waits {
+        server.open_spare();
+        if !handed_over {
             server.begin_accepting();
         }
         Ok(server)
     }
 
-    /// Commands with large values may take so many bytes, and answers that clients have not taken so many.
-    pub fn set_budgets(&mut self, uploads: usize, unread: usize) {
-        (self.uploads, self.unread_most) = (Budget::new(uploads), unread);
+    /// Sets the maximum bytes of commands with large values, and of answers that clients have not taken.
+    pub fn set_budgets(&mut self, upload_budget: usize, unsent: usize) {
+        (self.upload_budget, self.max_unsent) = (Budget::new(upload_budget), unsent);
     }
 
-    /// Room that was set aside is free again.
+    /// Returns reserved bytes to the budget.
     fn free(&mut self, bytes: usize) {
-        let next = self.uploads.free(bytes);
+        let next = self.upload_budget.release(bytes);
         self.admit(next);
     }
 
-    /// Reads on the commands with large values for which there is room now.
+    /// Continues to read the commands with large values that now fit into the budget.
     fn admit(&mut self, ids: Vec<u64>) {
         for id in ids {
             if let Some(upload) = self.clients.get_mut(&id).and_then(|c| c.upload.as_mut()) {
@@ -224,49 +227,50 @@
         }
     }
 
-    fn over_with(&mut self, request: RequestId) {
-        if let Some(bytes) = self.taken_in.remove(&request) {
+    fn release_upload(&mut self, request: RequestId) {
+        if let Some(bytes) = self.upload_bytes.remove(&request) {
             self.free(bytes);
         }
     }
 
-    /// The answer to a command is a large value, which comes in pieces.
-    pub fn begin(&mut self, id: u64, request: RequestId, head: Vec<u8>) {
+    /// Begins an answer that is a large value and comes in pieces.
+    pub fn begin_value(&mut self, id: u64, request: RequestId, head: Vec<u8>) {
         if let Some(client) = self.clients.get_mut(&id) {
-            client.begin(request, head);
-            mark(&mut self.dirty, id, client);
+            client.begin_value(request, head);
+            mark_dirty(&mut self.dirty, id, client);
         }
     }
 
-    /// A piece of it. False if there is no room for another.
-    pub fn piece(&mut self, id: u64, request: RequestId, piece: &[u8], now: Micros) -> bool {
+    /// Appends a piece of a large value. Returns false if no further piece can be buffered.
+    pub fn push_piece(&mut self, id: u64, request: RequestId, piece: &[u8], now: Micros) -> bool {
         let Some(client) = self.clients.get_mut(&id) else { return true };
-        let room = client.piece(request, piece, self.unread < self.unread_most, now);
-        // After an error the next read tells that the connection is over.
-        client.unread |= room.is_err();
-        mark(&mut self.dirty, id, client);
-        count(&mut self.unread, client);
-        room.unwrap_or(true)
+        let has_space = client.push_piece(request, piece, self.unsent < self.max_unsent, now);
+        // After an error the next read reports that the connection is over.
+        client.unread |= has_space.is_err();
+        mark_dirty(&mut self.dirty, id, client);
+        recount(&mut self.unsent, client);
+        has_space.unwrap_or(true)
     }
 
-    /// All of it has come.
-    pub fn end(&mut self, id: u64, request: RequestId) {
+    /// Completes a large value.
+    pub fn end_value(&mut self, id: u64, request: RequestId) {
         let Some(client) = self.clients.get_mut(&id) else { return };
-        client.end(request);
-        mark(&mut self.dirty, id, client);
+        client.end_value(request);
+        mark_dirty(&mut self.dirty, id, client);
     }
 
-    /// It ends short of its length: the connection closes, which tells its client.
-    pub fn tear(&mut self, id: u64, now: Micros, deadlines: &mut Deadlines) {
-        self.remove(id, Closed::AnswerTorn, now, deadlines);
+    /// Closes the connection of a large value that cannot be completed: the client sees the value end before
+    /// its length.
+    pub fn abort(&mut self, id: u64, now: Micros, deadlines: &mut Deadlines) {
+        self.remove(id, CloseReason::AnswerAborted, now, deadlines);
     }
 
-    /// Connections of clients.
+    /// Number of clients' connections.
     pub fn count(&self) -> usize {
         self.clients.len()
     }
 
-    /// How many connections there are, by state.
+    /// Number of connections by state.
     pub fn states(&self) -> ConnectionStates {
         let mut states = ConnectionStates::default();
         self.clients.values().for_each(|client| states.count(client));
@@ -285,98 +289,100 @@
         self.listener.as_ref()?.address().ok()
     }
 
-    /// No client is left. One that has all that is owed to it goes when it closes, or soon after: a process that ended before
-    /// would reset the connection, which may destroy what its client has not read.
+    /// Whether no client is left. A client whose answers are all sent counts until it closes, or for a short
+    /// time: if the process ended before, the connection would be reset, which may destroy what the client
+    /// has not read.
     pub fn is_empty(&self) -> bool {
         self.clients.is_empty()
     }
 
-    /// For how long the loop may wait at the most, where something is to be come back to (microseconds).
-    pub fn comes_back_in(&self) -> Option<Micros> {
+    /// The longest time for which the event loop may wait if something has to be retried (microseconds).
+    pub fn retry_in(&self) -> Option<Micros> {
         if !self.touched.is_empty() {
             return Some(0);
         }
-        let unwatched = self.wants_connections() && self.listener.as_ref().is_some_and(|l| !l.is_telling());
-        (unwatched || !self.later.is_empty()).then_some(COME_BACK)
+        let unwatched = self.wants_connections() && self.listener.as_ref().is_some_and(|l| !l.is_enabled());
+        (unwatched || !self.retries.is_empty()).then_some(RETRY_INTERVAL)
     }
 
-    /// The loop has failed: what it would have told of any client may have been lost.
-    pub fn look_at_all(&mut self) {
+    /// Rechecks all clients after the event loop has failed, since it may have lost their events.
+    pub fn recheck_all(&mut self) {
         for (id, client) in &mut self.clients {
-            client.has_come(self.came_after);
+            client.mark_readable(self.came_after);
             self.touched.push(*id);
         }
     }
 
-    /// The loop has looked at the sockets: what it found came after this.
-    pub fn looked(&mut self, came_after: Micros) {
+    /// Begins an event-loop iteration: everything found on the sockets arrived after `came_after`.
+    pub fn begin_iteration(&mut self, came_after: Micros) {
         self.came_after = came_after;
     }
 
-    // ---- Who is kept ----------------------------------------------------------------------------------
+    // ---- Limits -------------------------------------------------------------------------------------------
 
-    /// What the node can bear now.
+    /// Passes the resources that the node has now to the limits.
     pub fn resources(&mut self, now: Micros, resources: &Resources) {
-        self.admission.resources(now, resources);
+        self.admission.set_resources(now, resources);
     }
 
-    /// When the limits want to be asked again, or a client is to be looked at.
+    /// When the limits have to be polled again, or a client has to be checked.
     pub fn due(&self) -> Option<Micros> {
-        self.admission.due().into_iter().chain(self.blind.front().map(|(at, _)| *at)).min()
+        self.admission.due().into_iter().chain(self.blocked.front().map(|(at, _)| *at)).min()
     }
 
-    /// Looks whether clients that are not read from have left. Danger: what had been taken was sent on long after that.
-    pub fn look_again(&mut self, now: Micros) {
-        while let Some((_, id)) = self.blind.pop_front_if(|(at, _)| *at <= now) {
+    /// Checks whether clients that are not read from have left. Their requests would otherwise be sent to
+    /// servers long after that.
+    pub fn recheck_blocked(&mut self, now: Micros) {
+        while let Some((_, id)) = self.blocked.pop_front_if(|(at, _)| *at <= now) {
             let Some(client) = self.clients.get_mut(&id) else { continue };
-            client.listed = false;
-            if client.is_blind() {
+            client.in_blocked_list = false;
+            if client.is_read_blocked() {
                 self.touched.push(id);
             }
         }
     }
 
-    /// Carries out what the limits say: connections close, transactions are given up.
-    pub fn keep_limits(&mut self, now: Micros, deadlines: &mut Deadlines) {
+    /// Carries out the orders of the limits: closes connections, recalls transactions.
+    pub fn enforce_limits(&mut self, now: Micros, deadlines: &mut Deadlines) {
         while let Some(order) = self.admission.poll(now) {
             match order {
                 Order::Close { conn, linger, .. } => {
-                    let Some(&id) = self.names.get(&conn) else { continue };
+                    let Some(&id) = self.by_conn.get(&conn) else { continue };
                     if linger {
-                        self.part(id, now, deadlines);
+                        self.close_gracefully(id, now, deadlines);
                     } else if !self.close_idle(id, now, deadlines) {
-                        self.admission.spoke(now, conn);
+                        self.admission.on_close_aborted(now, conn);
                     }
                 }
                 Order::Expire { conn } => {
-                    if let Some(&id) = self.names.get(&conn) {
+                    if let Some(&id) = self.by_conn.get(&conn) {
                         self.expire(id);
                     }
                 }
                 Order::Recall { ticket, retry_ms, .. } => {
-                    self.news.push_back(News::Recall { ticket, retry_ms });
+                    self.events.push_back(ClientEvent::Recall { ticket, retry_ms });
                 }
             }
         }
         for event in self.admission.events(now) {
             match event.kind {
-                // What usual clients cause on usual days.
+                // Ordinary clients cause these all the time.
                 EventKind::Closed(_) => debug!("limits: {event}"),
                 _ => info!("limits: {event}"),
             }
         }
     }
 
-    /// Half a command is waited for no longer.
+    /// Rejects a command that did not arrive completely in time.
     fn expire(&mut self, id: u64) {
         if let Some(client) = self.clients.get_mut(&id) {
             client.slots.push_back(Slot::Ready(error("command not finished in time")));
-            client.finish();
+            client.stop_taking();
             self.touched.push(id);
         }
     }
 
-    /// Takes other settings on; nobody is dropped who is owed an answer.
+    /// Applies other settings. No client with a pending answer loses its connection.
     pub fn reload(
         &mut self,
         now: Micros,
@@ -385,59 +391,62 @@
         self.admission.reload(now, settings)
     }
 
-    /// The node is stopping: its clients have only the connections that stay open.
-    pub fn stopping(&mut self) {
-        self.admission.stopping();
+    /// Notifies the limits that the node is stopping: its clients can only use the connections that stay
+    /// open.
+    pub fn begin_stopping(&mut self) {
+        self.admission.set_stopping();
     }
 
-    /// Closes a connection, unless something has come on it meanwhile: that is seen to first.
+    /// Closes a connection, unless data has arrived on it meanwhile: that is processed first.
     fn close_idle(&mut self, id: u64, now: Micros, deadlines: &mut Deadlines) -> bool {
         let stays = |c: &mut Client| !c.lingers() && c.permit_close().is_err();
         if self.clients.get_mut(&id).is_some_and(stays) {
             self.touched.push(id);
             return false;
         }
-        self.remove(id, Closed::ForRoom, now, deadlines);
+        self.remove(id, CloseReason::Evicted, now, deadlines);
         true
     }
 
-    /// The same, but reads on for a while, to see whether the close crossed a request.
-    fn part(&mut self, id: u64, now: Micros, deadlines: &mut Deadlines) {
+    /// The same, but reads on for a while, to detect whether the close crossed a request.
+    fn close_gracefully(&mut self, id: u64, now: Micros, deadlines: &mut Deadlines) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         if let Err(denial) = client.permit_close() {
-            debug!(client = id, %denial, "stays open");
-            self.admission.spoke(now, client.conn);
+            debug!(client = id, %denial, "connection stays open");
+            self.admission.on_close_aborted(now, client.conn);
             self.touched.push(id);
-        } else if client.part(now).is_err() {
-            self.remove(id, Closed::PeerEnded, now, deadlines);
+        } else if client.shut_sending(now).is_err() {
+            self.remove(id, CloseReason::PeerEnded, now, deadlines);
         } else {
-            self.watch(id, deadlines);
+            self.update_deadline(id, deadlines);
         }
     }
 
-    fn remove(&mut self, id: u64, why: Closed, now: Micros, deadlines: &mut Deadlines) {
+    fn remove(&mut self, id: u64, why: CloseReason, now: Micros, deadlines: &mut Deadlines) {
         let Some(mut client) = self.clients.remove(&id) else { return };
-        if why == Closed::ForRoom && !client.lingers() {
-            self.violations.note(Close { owed: !client.quiet(), unread: false }.check());
+        if why == CloseReason::Evicted && !client.lingers() {
+            self.violations.record(Close { owed: !client.nothing_pending(), unread: false }.check());
         }
-        self.unread -= client.counted;
-        self.names.remove(&client.conn);
-        self.admission.left(now, client.conn);
+        self.unsent -= client.counted;
+        self.by_conn.remove(&client.conn);
+        self.admission.on_closed(now, client.conn);
         deadlines.remove(client.deadline.take());
         let left = client.slots.iter().filter_map(|s| match s {
-            Slot::Waiting(request) | Slot::Stream { request, over: false, .. } if request.0 != READY => {
+            Slot::Waiting(request) | Slot::Stream { request, over: false, .. }
+                if request.0 != READY_REQUEST =>
+            {
                 Some(*request)
             }
             _ => None,
         });
         let left: Vec<RequestId> = left.collect();
         debug!(client = id, reason = ?why, owed = left.len(), "connection closed");
-        self.news.extend(left.iter().map(|request| News::Left { request: *request }));
-        left.into_iter().for_each(|request| self.over_with(request));
+        self.events.extend(left.iter().map(|request| ClientEvent::ClientLeft { request: *request }));
+        left.into_iter().for_each(|request| self.release_upload(request));
         match client.upload {
             Some(upload) if upload.admitted => self.free(upload.needs()),
             Some(_) => {
-                let next = self.uploads.leave(id);
+                let next = self.upload_budget.cancel(id);
                 self.admit(next);
             }
             None => {}
@@ -445,77 +454,77 @@
         self.resume(deadlines);
     }
 
-    /// Whether a command is taken in as a transaction.
-    pub fn intake(&mut self, id: u64, facts: &Facts, now: Micros) -> Intake {
+    /// Asks the limits whether a command is taken as a transaction.
+    pub fn intake(&mut self, id: u64, facts: &RequestInfo, now: Micros) -> Intake {
         let conn = self.clients.get(&id).map_or(ConnId(u64::MAX), |c| c.conn);
         self.admission.request(now, conn, facts)
     }
 
-    /// A transaction that was taken in is over.
-    pub fn over(&mut self, ticket: Ticket, served: bool, now: Micros) {
+    /// Notifies the limits of the end of a transaction that was taken.
+    pub fn request_ended(&mut self, ticket: Ticket, served: bool, now: Micros) {
         self.admission.ended(now, ticket, served);
     }
 
     // ---- Reading and answering ------------------------------------------------------------------------
 
-    /// A client's connection has something to tell: sends what waits, reads what has come.
+    /// Handles readiness of a client's connection: sends what waits, reads what has arrived.
     pub fn on_ready(&mut self, id: u64, scratch: &mut [u8], now: Micros, deadlines: &mut Deadlines) {
         let Some(client) = self.clients.get_mut(&id) else { return };
-        client.has_come(self.came_after);
-        self.see_to(id, scratch, now, deadlines);
+        client.mark_readable(self.came_after);
+        self.process(id, scratch, now, deadlines);
     }
 
-    /// Reads on from clients that have more, once each.
-    pub fn read_on(&mut self, scratch: &mut [u8], now: Micros, deadlines: &mut Deadlines) {
-        let later = std::mem::take(&mut self.later);
-        for id in std::mem::take(&mut self.touched).into_iter().chain(later) {
-            self.see_to(id, scratch, now, deadlines);
+    /// Reads once from each client that may have more.
+    pub fn read_touched(&mut self, scratch: &mut [u8], now: Micros, deadlines: &mut Deadlines) {
+        let retries = std::mem::take(&mut self.retries);
+        for id in std::mem::take(&mut self.touched).into_iter().chain(retries) {
+            self.process(id, scratch, now, deadlines);
         }
-        self.turned = now;
+        self.last_read = now;
     }
 
-    fn see_to(&mut self, id: u64, scratch: &mut [u8], now: Micros, deadlines: &mut Deadlines) {
+    fn process(&mut self, id: u64, scratch: &mut [u8], now: Micros, deadlines: &mut Deadlines) {
         let Some(client) = self.clients.get_mut(&id) else { return };
-        client.later = false;
-        client.ensure_watched();
+        client.needs_retry = false;
+        client.ensure_registered();
         let state = match client.flush(now) {
-            Ok(()) if client.lingers() => match client.drain(scratch, now) {
-                Drained::Nothing => State::Open,
-                Drained::Ended => State::Over(Closed::PeerEnded),
-                Drained::Crossed => {
+            Ok(()) if client.lingers() => match client.read_lingering(scratch, now) {
+                LingerRead::Nothing => State::Open,
+                LingerRead::Ended => State::Closed(CloseReason::PeerEnded),
+                LingerRead::Crossed => {
                     debug!(client = id, "a request crossed the close");
-                    self.admission.crossed(now, client.conn);
+                    self.admission.on_request_crossed(now, client.conn);
                     State::Open
                 }
             },
             Ok(()) => self.read(id, scratch, now),
-            Err(_) => State::Over(Closed::PeerEnded),
+            Err(_) => State::Closed(CloseReason::PeerEnded),
         };
         let Some(client) = self.clients.get_mut(&id) else { return };
-        // A client that closed its sending side only may still read what is ready.
+        // A client that has closed its sending side only may still read answers that are ready.
         let flushed = client.flush(now).is_ok();
         match state {
-            State::Over(why) => return self.remove(id, why, now, deadlines),
-            State::Open if !flushed => return self.remove(id, Closed::PeerEnded, now, deadlines),
+            State::Closed(why) => return self.remove(id, why, now, deadlines),
+            State::Open if !flushed => return self.remove(id, CloseReason::PeerEnded, now, deadlines),
             State::Open => {}
         }
-        self.resumed.extend(client.resumes());
-        count(&mut self.unread, client);
-        let blind = client.is_blind();
-        if client.later {
-            self.later.push(id);
-        } else if client.unread && !blind {
+        self.resumed.extend(client.take_resumable());
+        recount(&mut self.unsent, client);
+        let blocked = client.is_read_blocked();
+        if client.needs_retry {
+            self.retries.push(id);
+        } else if client.unread && !blocked {
             self.touched.push(id);
         }
-        if blind && !std::mem::replace(&mut client.listed, true) {
-            self.blind.push_back((now + LOOK_AGAIN, id));
+        if blocked && !std::mem::replace(&mut client.in_blocked_list, true) {
+            self.blocked.push_back((now + BLOCKED_CHECK_INTERVAL, id));
         }
-        self.admission.state(now, client.conn, client.activity());
-        self.watch(id, deadlines);
+        self.admission.set_activity(now, client.conn, client.activity());
+        self.update_deadline(id, deadlines);
     }
 
-    /// Sets a client's deadline, if it is earlier than the one that is set: a later one is found then.
-    fn watch(&mut self, id: u64, deadlines: &mut Deadlines) {
+    /// Moves a client's deadline to an earlier time if needed. A later one is found when the earlier passes.
+    fn update_deadline(&mut self, id: u64, deadlines: &mut Deadlines) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         let Some(due) = client.due() else { return };
         if client.deadline.is_none_or(|(at, _)| due < at) {
@@ -524,7 +533,8 @@
         }
     }
 
-    /// Guards descriptors and memory: a connection whose client does not read, or does not close, is closed.
+    /// Closes a connection whose client does not read, or does not close, in time. It would hold descriptors
+    /// and memory.
     pub fn on_deadline(&mut self, id: u64, now: Micros, deadlines: &mut Deadlines) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.deadline = None;
@@ -533,55 +543,66 @@
                 let drained = client.is_past_drain(now);
                 if drained && !client.lingers() {
                     warn!(about = %format_args!("connection {id}"), state = %client.describe(now), "held past a drain");
-                    self.violations.note(Err(Denial::HeldPastDrain));
+                    self.violations.record(Err(Denial::OpenAfterDrain));
                 }
-                self.remove(id, if drained { Closed::DrainOver } else { Closed::Stalled }, now, deadlines);
+                self.remove(
+                    id,
+                    if drained { CloseReason::DrainOver } else { CloseReason::Stalled },
+                    now,
+                    deadlines,
+                );
             }
-            _ => self.watch(id, deadlines),
+            _ => self.update_deadline(id, deadlines),
         }
     }
 
     fn read(&mut self, id: u64, scratch: &mut [u8], now: Micros) -> State {
         let Some(client) = self.clients.get_mut(&id).filter(|c| c.unread) else { return State::Open };
-        // Danger: what had been taken was sent on long after its client had left, since nothing was read that told of it.
-        if client.is_blind() {
+        // Without this check the requests of a client that has left would be sent to servers, since nothing
+        // is read that reports its end.
+        if client.is_read_blocked() {
             client.forget_arrival();
-            return if client.has_left() == Look::Yes { State::Over(Closed::PeerEnded) } else { State::Open };
+            return if client.has_left() == Probe::Yes {
+                State::Closed(CloseReason::PeerEnded)
+            } else {
+                State::Open
+            };
         }
-        // Danger: it left while its connection waited to be accepted, or the node stood still, and what it had asked was sent on.
-        let waited = client.is_fresh() || now - self.turned > STOOD_STILL;
-        match if waited { client.has_left() } else { Look::No } {
-            Look::No => {}
-            Look::Yes => return State::Over(Closed::PeerEnded),
-            Look::Unknown => return State::Open,
+        // The client may have left while its connection waited to be accepted, or while the process was
+        // stalled: its requests must not be sent to servers.
+        let waited = client.is_fresh() || now - self.last_read > STALL_THRESHOLD;
+        match if waited { client.has_left() } else { Probe::No } {
+            Probe::No => {}
+            Probe::Yes => return State::Closed(CloseReason::PeerEnded),
+            Probe::Unknown => return State::Open,
         }
-        // How long the first bytes of a large value have been here says nothing of its last.
+        // The arrival of the first bytes of a large value does not bound that of its last.
         let large = client.upload.is_some();
         let came_after = if large { self.came_after } else { client.came_after(self.came_after) };
         let uploaded = client.upload.as_ref().map(Upload::needs);
-        let whole;
+        let complete;
         let buffer = match uploaded {
             Some(_) => match client.read_upload(scratch, now) {
                 Some(Some(bytes)) => {
-                    whole = bytes;
-                    &whole[..]
+                    complete = bytes;
+                    &complete[..]
                 }
                 Some(None) => return State::Open,
-                None => return State::Over(Closed::PeerEnded),
+                None => return State::Closed(CloseReason::PeerEnded),
             },
             None => match client.read(scratch, now) {
                 Some(buffer) => buffer,
-                None => return State::Over(Closed::PeerEnded),
+                None => return State::Closed(CloseReason::PeerEnded),
             },
         };
         let mut newest = None;
         let mut taken = 0;
-        while client.room() {
+        while client.can_take_command() {
             let bad = match memcache::parse_command(&buffer[taken..]) {
                 Ok(None) => break,
                 Err(what) => {
-                    client.finish();
-                    // Nobody knows where another command would begin.
+                    client.stop_taking();
+                    // After this error the start of the next command is unknown.
                     taken = buffer.len();
                     Some(what)
                 }
@@ -595,8 +616,9 @@
                             newest = Some(number);
                             client.slots.push_back(Slot::Waiting(number));
                             if let Some(command) = OwnedRequest::of(&request, raw) {
-                                let news = News::Command { client: id, request: number, command, came_after };
-                                self.news.push_back(news);
+                                let event =
+                                    ClientEvent::Command { client: id, request: number, command, came_after };
+                                self.events.push_back(event);
                             }
                             None
                         }
@@ -606,12 +628,12 @@
                             None
                         }
                         Command::Ready => {
-                            client.slots.push_back(Slot::Waiting(RequestId(READY)));
-                            self.asked_ready.push(id);
+                            client.slots.push_back(Slot::Waiting(RequestId(READY_REQUEST)));
+                            self.awaiting_ready.push(id);
                             None
                         }
                         Command::Quit => {
-                            client.finish();
+                            client.stop_taking();
                             None
                         }
                         Command::Bad(what) => Some(what),
@@ -620,96 +642,96 @@
             };
             if let Some(what) = bad {
                 client.slots.push_back(Slot::Ready(error(what)));
-                client.erred();
+                client.count_error();
             }
         }
-        // Guards against a stall: whole commands may be left over here, and no edge tells of those.
-        if !client.room() {
+        // Complete commands may be left over here, for which no edge-triggered event will come.
+        if !client.can_take_command() {
             client.unread = true;
             client.forget_arrival();
         }
         let rest = &buffer[taken..];
-        if let Some(total) = memcache::large_command(rest).filter(|_| client.room()) {
+        if let Some(total) = memcache::large_command(rest).filter(|_| client.can_take_command()) {
             let mut upload = Upload { bytes: rest.to_vec(), total, admitted: false };
-            upload.admitted = self.uploads.ask(id, upload.needs());
+            upload.admitted = self.upload_budget.acquire(id, upload.needs());
             client.upload = Some(upload);
             client.unread = true;
-            client.keep(&[]);
+            client.keep_rest(&[]);
         } else {
-            client.keep(rest);
+            client.keep_rest(rest);
         }
         match (uploaded, newest) {
-            (Some(bytes), Some(request)) => _ = self.taken_in.insert(request, bytes),
-            // It was no request after all.
+            (Some(bytes), Some(request)) => _ = self.upload_bytes.insert(request, bytes),
+            // The large command was not taken as a request.
             (Some(bytes), None) => self.free(bytes),
             (None, _) => {}
         }
         State::Open
     }
 
-    /// The answer to a command; `parts` are sent as they are where its turn has come.
+    /// Answers a command. If it is the next in order, `parts` are sent without being joined.
     pub fn answer(&mut self, id: u64, request: RequestId, parts: &[&[u8]], now: Micros) {
-        self.over_with(request);
+        self.release_upload(request);
         let Some(client) = self.clients.get_mut(&id) else { return };
-        let waits = |s: &Slot| matches!(s, Slot::Waiting(r) if *r == request);
-        let Some(place) = client.slots.iter().position(waits) else { return };
-        if place > 0 {
-            client.slots[place] = Slot::Ready(parts.concat());
+        let is_pending = |s: &Slot| matches!(s, Slot::Waiting(r) if *r == request);
+        let Some(position) = client.slots.iter().position(is_pending) else { return };
+        if position > 0 {
+            client.slots[position] = Slot::Ready(parts.concat());
             return;
         }
         client.slots.pop_front();
-        // After an error the next read tells that the connection is over.
+        // After an error the next read reports that the connection is over.
         client.unread |= client.answer(parts, now).is_err();
-        mark(&mut self.dirty, id, client);
+        mark_dirty(&mut self.dirty, id, client);
     }
 
-    /// Sends what there is to be sent: all answers of the turn to a client in one write.
+    /// Sends all answers of the event-loop iteration, in one write for each client.
     pub fn send_out(&mut self, now: Micros, deadlines: &mut Deadlines) {
         for id in std::mem::take(&mut self.dirty) {
             let Some(client) = self.clients.get_mut(&id) else { continue };
             client.dirty = false;
             client.unread |= client.flush(now).is_err();
-            self.resumed.extend(client.resumes());
-            count(&mut self.unread, client);
+            self.resumed.extend(client.take_resumable());
+            recount(&mut self.unsent, client);
             if client.unread || client.lingers() {
                 self.touched.push(id);
             }
-            if client.later {
-                self.later.push(id);
+            if client.needs_retry {
+                self.retries.push(id);
             }
-            self.admission.state(now, client.conn, client.activity());
-            self.watch(id, deadlines);
+            self.admission.set_activity(now, client.conn, client.activity());
+            self.update_deadline(id, deadlines);
         }
     }
 
-    /// The answer to a command that cannot be a transaction.
+    /// Answers a command that cannot be taken as a transaction with an error.
     pub fn reject(&mut self, id: u64, request: RequestId, what: impl std::fmt::Display, now: Micros) {
         if let Some(client) = self.clients.get_mut(&id) {
-            client.erred();
+            client.count_error();
         }
         self.answer(id, request, &[&error(what)], now);
     }
 
-    /// Answers the `mn` that came too soon.
-    pub fn now_ready(&mut self, now: Micros) {
+    /// Marks the node as ready, and answers the `mn` that came before.
+    pub fn set_ready(&mut self, now: Micros) {
         self.ready = true;
-        for id in std::mem::take(&mut self.asked_ready) {
-            self.answer(id, RequestId(READY), &[READY_LINE], now);
+        for id in std::mem::take(&mut self.awaiting_ready) {
+            self.answer(id, RequestId(READY_REQUEST), &[READY_LINE], now);
         }
     }
 }
 
-/// It is to be sent what the turn has brought.
-fn mark(dirty: &mut Vec<u64>, id: u64, client: &mut Client) {
+/// Puts a client on the list of those with answers to be sent.
+fn mark_dirty(dirty: &mut Vec<u64>, id: u64, client: &mut Client) {
     if !std::mem::replace(&mut client.dirty, true) {
         dirty.push(id);
     }
 }
 
-/// Counts anew what a client has not taken, in the sum over all.
-fn count(unread: &mut usize, client: &mut Client) {
-    let held = client.held();
-    *unread = *unread + held - std::mem::replace(&mut client.counted, held);
+/// Updates a client's part in the sum of bytes that clients have not taken.
+fn recount(unsent: &mut usize, client: &mut Client) {
+    let held = client.unsent_bytes();
+    *unsent = *unsent + held - std::mem::replace(&mut client.counted, held);
 }
 
 fn error(what: impl std::fmt::Display) -> Vec<u8> {
--- a/src/net/virtual_server/accepting.rs
+++ b/src/net/virtual_server/accepting.rs
@@ -1,12 +1,12 @@
-//! New connections: from the listener's queue to a client, a refusal or a later try.
+//! New connections: each is accepted as a client, rejected, or left in the listener's queue for a later try.
 
 use super::{Queue, VirtualServer};
 use crate::net::client::Client;
 use crate::net::deadlines::{Deadline, Deadlines};
 use crate::net::{Owner, Socket};
 use lapisrudder::Micros;
-use lapisrudder::time_limits::HOLD_UP;
-use lapisrudder_io::{Accepted, Lack, Listener, Next, Read, Stream, Written, count_of, open_file};
+use lapisrudder::time_limits::MAX_STALL;
+use lapisrudder_io::{Accepted, Listener, Next, Read, Scarce, Stream, Written, limit_state_of, open_file};
 use lapisrudder_limits::{Accepting, Shortage, Verdict};
 use std::io::{self, IoSlice};
 use std::net::SocketAddr;
@@ -14,31 +14,33 @@
 use std::path::Path;
 use tracing::warn;
 
-/// Calls of `accept` in one turn that may bring nothing. The loop tells again of those who wait.
-const IN_VAIN: usize = 64;
-/// What can be opened at any time, to hold a descriptor.
+/// Maximum number of calls of `accept` in one event-loop iteration that may return no connection. The event
+/// loop reports the rest again.
+const MAX_FAILED_ACCEPTS: usize = 64;
+/// A file that can always be opened, to hold a spare descriptor.
 const SPARE: &str = "/dev/null";
-/// After accepting has failed for another reason than want of descriptors, it is tried again this soon.
-const ACCEPT_AGAIN: Micros = 50_000;
-/// What has come on a connection that does not get in is read and dropped, so many times a buffer at the most: a request is
-/// smaller, and who sends on and on is not waited for.
-const DROPPED: usize = 16;
+/// Delay after `accept` has failed for another reason than a lack of descriptors.
+const ACCEPT_RETRY_DELAY: Micros = 50_000;
+/// Maximum number of tries to send the line to a rejected connection, and of reads that discard its input. A
+/// request fits into one buffer, and a client that keeps sending is not waited for.
+const MAX_DISCARD_READS: usize = 16;
 
 impl VirtualServer {
-    /// Clients may come.
+    /// Starts to accept connections.
     pub fn begin_accepting(&mut self) {
         self.accepting = true;
-        self.keep_listening();
+        self.update_listener_interest();
     }
 
-    /// Has the loop tell of new connections, or not, as is wanted. Danger: a failure here would be for good.
-    pub fn keep_listening(&mut self) {
+    /// Enables or disables the listener in the event loop as needed. It is called again in each iteration, so
+    /// a failure here is retried.
+    pub fn update_listener_interest(&mut self) {
         let wanted = self.wants_connections();
         let Some(listener) = &mut self.listener else { return };
         if wanted {
-            listener.ensure();
+            listener.ensure_enabled();
         } else {
-            listener.silence();
+            listener.disable();
         }
     }
 
@@ -46,40 +48,40 @@
         self.accepting && self.paused.is_none()
     }
 
-    /// The listener, for another process.
+    /// A copy of the listener for another process.
     pub fn listener(&self) -> io::Result<Option<OwnedFd>> {
         self.listener.as_ref().map(|listener| listener.copy()).transpose()
     }
 
-    /// Who is accepted now came after this. Where many wait, for long, it is not known who came when: then no more than a
-    /// hold-up is taken for granted.
+    /// The connections that are accepted now arrived after this time. While the queue has a backlog it is
+    /// unknown which of them arrived when; then the longest stall that the machine may cause is assumed.
     pub(super) fn queued_after(&self, now: Micros) -> Micros {
-        let known = if self.queue_in_arrears { now - HOLD_UP } else { self.came_after };
+        let known = if self.queue_has_backlog { now - MAX_STALL } else { self.came_after };
         known.max(self.queue_emptied)
     }
 
-    /// Takes new connections as far as the limits have it. Says whether more may wait.
+    /// Accepts new connections as far as the limits allow. Returns whether more may wait.
     pub fn accept(&mut self, now: Micros, deadlines: &mut Deadlines) -> Queue {
-        self.keep_listening();
+        self.update_listener_interest();
         if !self.wants_connections() {
             return if self.accepting { Queue::Waiting } else { Queue::Empty };
         }
-        let most = match self.admission.accepting(now) {
-            Accepting::Take(most) => most,
+        let max = match self.admission.accepting(now) {
+            Accepting::Take(max) => max,
             Accepting::Pause { until } => {
-                self.queue_in_arrears = true;
+                self.queue_has_backlog = true;
                 self.pause(until, deadlines);
                 return Queue::Waiting;
             }
         };
         let came_after = self.queued_after(now);
-        self.queue_in_arrears = true;
+        self.queue_has_backlog = true;
         let Some(listener) = self.listener.take() else { return Queue::Empty };
-        let queue = self.accept_from(&listener, most, came_after, now, deadlines);
+        let queue = self.accept_from(&listener, max, came_after, now, deadlines);
         self.listener = Some(listener);
-        self.keep_listening();
+        self.update_listener_interest();
         if queue == Queue::Empty {
-            (self.queue_emptied, self.queue_in_arrears) = (now, false);
+            (self.queue_emptied, self.queue_has_backlog) = (now, false);
         }
         queue
     }
@@ -87,41 +89,41 @@
     pub(super) fn accept_from(
         &mut self,
         listener: &Listener,
-        most: usize,
+        max: usize,
         came_after: Micros,
         now: Micros,
         deadlines: &mut Deadlines,
     ) -> Queue {
-        let (mut taken, mut in_vain) = (0, 0);
-        while taken < most && in_vain < IN_VAIN {
+        let (mut taken, mut failed) = (0, 0);
+        while taken < max && failed < MAX_FAILED_ACCEPTS {
             match listener.accept() {
                 Accepted::Client(stream, peer) => {
                     self.failures.worked();
                     taken += 1;
-                    self.arrived(stream, peer, came_after, now, deadlines);
+                    self.on_accepted(stream, peer, came_after, now, deadlines);
                 }
-                Accepted::Gone => in_vain += 1,
+                Accepted::Gone => failed += 1,
                 Accepted::Empty => {
-                    // The kernel finds a descriptor before it looks who waits.
+                    // The kernel allocates a descriptor before it checks the queue, so one was available.
                     self.failures.worked();
                     return Queue::Empty;
                 }
-                Accepted::Lacking(lack) => match self.failures.failed(now, count_of(lack)) {
-                    Next::AtOnce => in_vain += 1,
+                Accepted::Exhausted(lack) => match self.failures.failed(now, limit_state_of(lack)) {
+                    Next::AtOnce => failed += 1,
                     Next::After(wait) => {
                         self.pause(now + wait, deadlines);
                         return Queue::Waiting;
                     }
-                    // Guards against a loop that spins on EMFILE: the listener stays readable all the while.
+                    // Pausing prevents a busy loop on EMFILE: the listener stays readable all the while.
                     Next::Shortage => {
                         warn!(?lack, "cannot accept");
-                        self.ran_out(listener, lack, now, deadlines);
+                        self.on_descriptor_shortage(listener, lack, now, deadlines);
                         return Queue::Waiting;
                     }
                 },
                 Accepted::Broken(e) => {
                     warn!("cannot accept: {e}");
-                    self.pause(now + ACCEPT_AGAIN, deadlines);
+                    self.pause(now + ACCEPT_RETRY_DELAY, deadlines);
                     return Queue::Waiting;
                 }
             }
@@ -129,8 +131,8 @@
         Queue::Waiting
     }
 
-    /// A connection that may get in; gives its number.
-    pub(super) fn arrived(
+    /// Asks the limits about a new connection. Returns its number if it becomes a client.
+    pub(super) fn on_accepted(
         &mut self,
         stream: Stream,
         peer: SocketAddr,
@@ -138,119 +140,122 @@
         now: Micros,
         deadlines: &mut Deadlines,
     ) -> Option<u64> {
-        let speaks = stream.speaks();
-        let (conn, mut victim) = match self.admission.arrived(now, peer.ip(), speaks) {
+        let speaks = stream.has_input();
+        let (conn, mut victim) = match self.admission.on_accepted(now, peer.ip(), speaks) {
             Verdict::Keep { conn } => (conn, None),
             Verdict::KeepAndClose { conn, victim } => (conn, Some(victim)),
             Verdict::Refuse { retry_ms, .. } => {
-                tell_busy(&stream, retry_ms);
+                send_busy(&stream, retry_ms);
                 return None;
             }
         };
         while let Some(other) = victim {
-            let id = self.names.get(&other).copied();
+            let id = self.by_conn.get(&other).copied();
             if id.is_none_or(|id| self.close_idle(id, now, deadlines)) {
                 break;
             }
-            victim = self.admission.instead(now, conn, other);
+            victim = self.admission.replace_victim(now, conn, other);
             if victim.is_none() {
-                tell_busy(&stream, None);
+                send_busy(&stream, None);
                 return None;
             }
         }
         let id = self.next_client;
         self.next_client += 1;
         let mut client = Client::new(conn, Socket::edge(stream, &self.handle, Owner::Client(id)), now);
-        // Danger: a connection that could not be watched at once was dropped, read by nobody.
-        client.ensure_watched();
-        if speaks || client.later {
-            client.has_come(came_after);
+        // A connection that cannot be registered at once is kept and retried: otherwise its requests would
+        // never be read.
+        client.ensure_registered();
+        if speaks || client.needs_retry {
+            client.mark_readable(came_after);
             self.touched.push(id);
         }
         self.clients.insert(id, client);
-        self.names.insert(conn, id);
-        self.close_in_time(id, now, deadlines);
+        self.by_conn.insert(conn, id);
+        self.set_drain_deadline(id, now, deadlines);
         Some(id)
     }
 
-    /// Calls of `accept` only fail. Where descriptors have run out, one that waits is told so with the spare one's help.
-    pub(super) fn ran_out(
+    /// Handles a lasting failure of `accept`. If descriptors are exhausted, one waiting connection is
+    /// rejected with the help of the spare descriptor.
+    pub(super) fn on_descriptor_shortage(
         &mut self,
         listener: &Listener,
-        lack: Lack,
+        lack: Scarce,
         now: Micros,
         deadlines: &mut Deadlines,
     ) {
-        let own = lack == Lack::ProcessDescriptors;
-        if !own && lack != Lack::SystemDescriptors {
-            return self.pause(now + ACCEPT_AGAIN, deadlines);
+        let own = lack == Scarce::ProcessDescriptors;
+        if !own && lack != Scarce::SystemDescriptors {
+            return self.pause(now + ACCEPT_RETRY_DELAY, deadlines);
         }
-        match self.admission.ran_out(now, own) {
+        match self.admission.on_descriptor_shortage(now, own) {
             Shortage::Pause { until } => self.pause(until, deadlines),
             Shortage::UseSpare { retry_ms } => {
                 self.spare = None;
                 if let Accepted::Client(stream, _) = listener.accept() {
-                    tell_busy(&stream, Some(retry_ms));
+                    send_busy(&stream, Some(retry_ms));
                 }
-                self.take_spare();
+                self.open_spare();
             }
         }
     }
 
-    /// A connect to a member found no descriptor: clients make room, so that the next one finds it.
-    pub fn short(&mut self, own: bool, now: Micros) {
-        // Nobody waits to be told; the spare one stays.
-        let _ = self.admission.ran_out(now, own);
+    /// A connect to a member found no descriptor: clients' connections are closed so that the next connect
+    /// finds one.
+    pub fn on_connect_shortage(&mut self, own: bool, now: Micros) {
+        // No connection waits to be rejected, so the spare descriptor stays open.
+        let _ = self.admission.on_descriptor_shortage(now, own);
     }
 
-    pub(super) fn take_spare(&mut self) {
+    pub(super) fn open_spare(&mut self) {
         self.spare = open_file(Path::new(SPARE)).ok();
-        self.admission.spare(self.spare.is_some());
+        self.admission.set_spare_descriptor(self.spare.is_some());
     }
 
     pub(super) fn pause(&mut self, until: Micros, deadlines: &mut Deadlines) {
         if self.paused.is_none() {
-            self.paused = Some(deadlines.add(until, Deadline::Accept));
+            self.paused = Some(deadlines.add(until, Deadline::ResumeAccepting));
         }
-        self.keep_listening();
+        self.update_listener_interest();
     }
 
-    /// Accepts again, if that was paused.
+    /// Accepts again, if accepting was paused.
     pub fn resume(&mut self, deadlines: &mut Deadlines) {
         deadlines.remove(self.paused.take());
-        self.keep_listening();
+        self.update_listener_interest();
     }
 
-    /// Takes no more new connections; those there are close between requests. False if some may wait that cannot be taken for
-    /// now: then this is to be called again, unless it is the `last` time.
+    /// Stops accepting; the existing connections close between requests. Returns false if connections may
+    /// wait that cannot be accepted now: then this has to be called again, unless this was the `last` try.
     pub fn stop_accepting(&mut self, last: bool, now: Micros, deadlines: &mut Deadlines) -> bool {
-        let emptied = !self.accepting || self.take_all(now, deadlines) == Queue::Empty;
+        let emptied = !self.accepting || self.accept_all(now, deadlines) == Queue::Empty;
         if emptied || last {
             deadlines.remove(self.paused.take());
             self.accepting = false;
             self.listener = None;
         }
-        self.begin_end(now, deadlines);
+        self.begin_final_drain(now, deadlines);
         emptied || last
     }
 
-    /// Takes all that the kernel has let in: they get in, or are told that there is no room, however full it is. Danger: the
-    /// first failure, of whatever kind, ended this, and all behind it were reset.
-    pub(super) fn take_all(&mut self, now: Micros, deadlines: &mut Deadlines) -> Queue {
+    /// Accepts every connection in the queue, however full the node is: each becomes a client or is rejected.
+    /// Single failures are skipped, since all connections behind the failed one would be reset.
+    pub(super) fn accept_all(&mut self, now: Micros, deadlines: &mut Deadlines) -> Queue {
         let Some(listener) = self.listener.take() else { return Queue::Empty };
         let came_after = self.queued_after(now);
-        let mut in_vain = 0;
+        let mut failed = 0;
         let queue = loop {
             match listener.accept() {
                 Accepted::Client(stream, peer) => {
                     self.failures.worked();
-                    in_vain = 0;
-                    self.arrived(stream, peer, came_after, now, deadlines);
+                    failed = 0;
+                    self.on_accepted(stream, peer, came_after, now, deadlines);
                 }
                 Accepted::Empty => break Queue::Empty,
-                Accepted::Gone | Accepted::Lacking(_) | Accepted::Broken(_) => in_vain += 1,
+                Accepted::Gone | Accepted::Exhausted(_) | Accepted::Broken(_) => failed += 1,
             }
-            if in_vain == IN_VAIN {
+            if failed == MAX_FAILED_ACCEPTS {
                 break Queue::Waiting;
             }
         };
@@ -259,13 +264,13 @@
     }
 }
 
-/// Says on a connection that does not get in when to come again, and closes it.
-fn tell_busy(stream: &Stream, retry_ms: Option<u32>) {
+/// Sends a retry time on a connection that is not taken, and closes it.
+fn send_busy(stream: &Stream, retry_ms: Option<u32>) {
     let Some(ms) = retry_ms else { return };
     let line = format!("SERVER_ERROR busy {ms}\r\n");
     let mut rest = line.as_bytes();
-    // It is fresh: a line fits in its buffer, and whether it arrives is not waited for.
-    for _ in 0..DROPPED {
+    // The connection is new, so a line fits into its send buffer. Its delivery is not waited for.
+    for _ in 0..MAX_DISCARD_READS {
         match stream.write(&[IoSlice::new(rest)]) {
             Written::Bytes(n) if n < rest.len() => rest = &rest[n..],
             Written::Later(_) => {}
@@ -273,8 +278,8 @@
         }
     }
     let _ = stream.finish();
-    // Danger: a close over unread bytes resets the connection, and the line may go with it.
+    // Input is discarded first: closing with unread bytes resets the connection, and the line may be lost.
     let mut dropped = [0; 4096];
     let more = |_: &usize| matches!(stream.read(&mut dropped), Read::Bytes(_) | Read::Later(_));
-    (0..DROPPED).take_while(more).for_each(drop);
+    (0..MAX_DISCARD_READS).take_while(more).for_each(drop);
 }
--- a/src/net/virtual_server/states.rs
+++ b/src/net/virtual_server/states.rs
@@ -1,28 +1,28 @@
-//! States of clients' connections, as logs tell of them.
+//! States of clients' connections for logs.
 
 use crate::net::client::Client;
 use lapisrudder_limits::Activity;
 use std::fmt;
 
-/// How many connections there are in each state.
+/// Number of connections in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionStates {
     idle: usize,
     unfinished: usize,
     owed: usize,
     over: usize,
-    /// Of these, so many go to another process.
+    /// How many of these are to be handed to another process.
     leaving: usize,
 }
 
 impl ConnectionStates {
-    /// Counts one more.
+    /// Counts one connection.
     pub fn count(&mut self, client: &Client) {
         let state = match client.activity() {
             Activity::Idle => &mut self.idle,
             Activity::Unfinished => &mut self.unfinished,
-            Activity::Owed => &mut self.owed,
-            Activity::Over => &mut self.over,
+            Activity::Pending => &mut self.owed,
+            Activity::Closing => &mut self.over,
         };
         *state += 1;
         self.leaving += usize::from(client.leaving);
