--- a/src/net/deadlines.rs
+++ b/src/net/deadlines.rs
@@ -1,36 +1,37 @@
-//! The daemon's own deadlines, swept each turn of the loop. The engine has those of transactions and members.
+//! The daemon's own deadlines, checked in each event-loop iteration. The engine has those of transactions and
+//! members.
 
 pub use lapisrudder_engine::DeadlineKey as Key;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deadline {
-    /// A client's connection must have got on by now.
+    /// A client's connection must have made progress by now.
     Client(u64),
-    /// A caller on the operators' address must have got on by now.
-    Caller(u64),
-    /// Clients' connections are let go.
-    LetGo,
-    /// A drain takes in who waits to be accepted.
-    EmptyQueue,
-    /// The log is told which connections a drain has left.
+    /// A connection with a management call must have made progress by now.
+    ManagementClient(u64),
+    /// Draining connections are checked for their release.
+    ReleaseDue,
+    /// A drain accepts the connections that wait in the listener's queue.
+    DrainAcceptQueue,
+    /// The connections that a drain has left are logged.
     DrainReport,
-    /// Clients' connections go to the process that takes the place of this one.
+    /// The next clients' connections are handed to the successor.
     HandOver,
-    /// A process before this one that said nothing must be gone by now.
-    Alone,
-    /// Accepting was paused for want of descriptors.
-    Accept,
-    /// The way in for the next process is opened again.
-    OpenDoor,
-    /// The next process gets what could not be handed over before.
-    Lend,
-    /// A stopping node may end, if no client is left.
+    /// A predecessor that did not answer must be gone by now.
+    PredecessorGone,
+    /// Accepting was paused, and is resumed.
+    ResumeAccepting,
+    /// The take-over listener is opened again.
+    ReopenTakeover,
+    /// A hand-over that could not begin is tried again.
+    BeginHandOver,
+    /// A stopping node may end if no client is left.
     Leave,
-    /// The time for which a stopping node takes new connections and requests is over.
+    /// The time for which a stopping node accepts connections is over.
     StopAccepting,
-    /// What a stopping node still owes fails.
+    /// The open requests of a stopping node fail.
     LastCall,
-    /// It must end before it is killed.
+    /// A stopping node must end, before it is killed.
     End,
 }
 
--- a/src/net/management.rs
+++ b/src/net/management.rs
@@ -1,6 +1,7 @@
-//! The operators' address: one line comes in on a connection, one goes out. What a call does is the node's matter.
+//! The listener for management calls: a connection sends one line and gets one line. The node executes the
+//! calls.
 
-use super::callers::{Arrival, Callers};
+use super::control_listener::{AcceptOutcome, ControlListener};
 use super::deadlines::{Deadline, Deadlines};
 use super::{Handle, Owner, Socket};
 use lapisrudder::Micros;
@@ -10,200 +11,208 @@
 use std::io::{self, IoSlice};
 use std::net::SocketAddr;
 
-/// Callers that are held at a time; their descriptors are set aside. One more puts out the one that has been silent
-/// for longest. Guards calls against callers that say nothing and stay.
-const CALLERS: usize = 16;
-/// Descriptors that the address takes: its listener and callers, and one that is just arriving.
-pub const SOCKETS: usize = CALLERS + 2;
-/// A caller that has not ended its line by then is told so. Some are known to stay for 4 s without a word.
-const PATIENCE: Micros = 5_000_000;
-/// One that has its answer is read from for this long. Guards the answer: closing on unread bytes sends a reset.
+/// Maximum number of connections; their descriptors are reserved. A further one closes one that has its
+/// answer, or else the oldest whose call is incomplete: calls must get through although other connections
+/// stay silent.
+const MAX_CLIENTS: usize = 16;
+/// Descriptors that the management interface needs: the listener, its connections, and one that is just being
+/// accepted.
+pub const SOCKETS: usize = MAX_CLIENTS + 2;
+/// A connection whose call is not complete by then gets an error; some clients stay silent for 4 s.
+const CALL_TIMEOUT: Micros = 5_000_000;
+/// A connection is read from for this long after its answer: closing it with unread bytes would send a reset,
+/// which may destroy the answer.
 const LINGER: Micros = 1_000_000;
-/// Callers taken in one turn at the most. Guards clients against a flood of them.
-const A_TURN: usize = 64;
+/// Maximum number of connections accepted, and of reads from one, in one event-loop iteration, so that a
+/// flood of calls does not delay clients.
+const MAX_CALLS_PER_ITERATION: usize = 64;
 
-struct Caller {
+struct ManagementClient {
     socket: Socket,
     input: Vec<u8>,
-    /// What is not read came after this; none where nothing is known to have come.
+    /// The unread data arrived after this time; none if none is known to have arrived.
     came_after: Option<Micros>,
     answered: bool,
-    /// What is still to be sent of its answer.
+    /// The unsent part of its answer.
     output: Vec<u8>,
-    /// When this is over.
-    until: Micros,
+    /// The time at which the connection is closed, or its call counts as incomplete.
+    deadline: Micros,
 }
 
-/// The listener and who has called.
+/// The listener and its connections.
 pub struct Management {
-    door: Callers,
-    /// By number: the first has been here for longest.
-    callers: BTreeMap<u64, Caller>,
-    /// Callers whose line is whole, or is none, and since when that can have come.
-    whole: Vec<(u64, Micros)>,
-    /// What this turn finds came after this.
-    looked: Micros,
-    /// Who waits to be accepted came after this, where that failed before.
-    waiting_since: Option<Micros>,
+    listener: ControlListener,
+    /// By number: the first is the oldest.
+    clients: BTreeMap<u64, ManagementClient>,
+    /// Connections whose call is complete or invalid, with the time after which it arrived.
+    complete: Vec<(u64, Micros)>,
+    /// Everything that this event-loop iteration finds arrived after this time.
+    came_after: Micros,
+    /// The connections that wait to be accepted arrived after this time, if accepting one has failed.
+    backlog_after: Option<Micros>,
 }
 
-/// A call, and since when it can have come.
-pub struct Said {
-    pub caller: u64,
+/// A management call, and the time after which it arrived.
+pub struct ReceivedCall {
+    pub client: u64,
     pub line: Vec<u8>,
     pub came_after: Micros,
 }
 
 impl Management {
     pub fn new(at: SocketAddr, handle: &Handle, now: Micros) -> io::Result<Management> {
-        let door = Callers::new(at, Owner::Management, handle)?;
-        let (callers, whole) = (BTreeMap::new(), Vec::new());
-        Ok(Management { door, callers, whole, looked: now, waiting_since: None })
+        let listener = ControlListener::new(at, Owner::Management, handle)?;
+        let (clients, complete) = (BTreeMap::new(), Vec::new());
+        Ok(Management { listener, clients, complete, came_after: now, backlog_after: None })
     }
 
-    /// The loop has looked at the sockets: what it found came after this.
-    pub fn looked(&mut self, came_after: Micros) {
-        self.looked = came_after;
+    /// Begins an event-loop iteration: everything found on the sockets arrived after `came_after`.
+    pub fn begin_iteration(&mut self, came_after: Micros) {
+        self.came_after = came_after;
     }
 
     pub fn address(&self) -> io::Result<SocketAddr> {
-        self.door.address()
+        self.listener.address()
     }
 
-    /// Something is to be come back to by [`Management::retry`].
-    pub fn is_behind(&self) -> bool {
-        self.door.is_behind()
+    /// Whether [`Management::retry`] has to be called.
+    pub fn needs_retry(&self) -> bool {
+        self.listener.needs_retry()
     }
 
-    /// Comes back to what failed for a moment.
+    /// Retries the calls that failed with a transient error.
     pub fn retry(&mut self) {
-        self.door.behind().into_iter().for_each(|id| self.on_ready(id));
+        self.listener.take_retries().into_iter().for_each(|id| self.on_ready(id));
     }
 
-    /// What the loop would have told of any caller may have been lost.
-    pub fn look_at_all(&mut self) {
-        self.callers.keys().for_each(|id| self.door.come_back_to(*id));
+    /// Rechecks all connections after the event loop has failed, since it may have lost their events.
+    pub fn recheck_all(&mut self) {
+        self.clients.keys().for_each(|id| self.listener.schedule_retry(*id));
     }
 
-    /// Takes those who have come.
+    /// Accepts the waiting connections.
     pub fn accept(&mut self, now: Micros, deadlines: &mut Deadlines) {
-        for _ in 0..A_TURN {
-            let (id, socket) = match self.door.accept(Owner::Caller) {
-                Arrival::Came(id, socket) => (id, socket),
-                Arrival::Missed => {
-                    self.waiting_since.get_or_insert(self.looked);
+        for _ in 0..MAX_CALLS_PER_ITERATION {
+            let (id, socket) = match self.listener.accept(Owner::ManagementClient) {
+                AcceptOutcome::Connection(id, socket) => (id, socket),
+                AcceptOutcome::Failed => {
+                    self.backlog_after.get_or_insert(self.came_after);
                     continue;
                 }
-                Arrival::Nobody => {
-                    self.waiting_since = None;
+                AcceptOutcome::Empty => {
+                    self.backlog_after = None;
                     return;
                 }
             };
-            let came_after = Some(self.waiting_since.unwrap_or(self.looked));
-            let until = now + PATIENCE;
-            deadlines.add(until, Deadline::Caller(id));
+            let came_after = Some(self.backlog_after.unwrap_or(self.came_after));
+            let deadline = now + CALL_TIMEOUT;
+            deadlines.add(deadline, Deadline::ManagementClient(id));
             let (input, output) = (Vec::new(), Vec::new());
-            self.callers.insert(id, Caller { socket, input, came_after, answered: false, output, until });
-            // What a caller says comes with its connect: it is heard before another puts it out.
+            self.clients.insert(
+                id,
+                ManagementClient { socket, input, came_after, answered: false, output, deadline },
+            );
+            // A call usually arrives with its connection: it is read before a further connection closes this
+            // one.
             self.on_ready(id);
-            while self.callers.len() > CALLERS {
-                let answered = self.callers.iter().find(|(_, c)| c.answered).map(|(id, _)| *id);
-                let silent = || self.callers.keys().find(|id| !self.is_whole(**id)).copied();
+            while self.clients.len() > MAX_CLIENTS {
+                let answered = self.clients.iter().find(|(_, c)| c.answered).map(|(id, _)| *id);
+                let silent = || self.clients.keys().find(|id| !self.is_complete(**id)).copied();
                 let Some(id) = answered.or_else(silent) else { break };
-                self.callers.remove(&id);
+                self.clients.remove(&id);
             }
         }
     }
 
-    /// A caller has something to say, or has gone.
+    /// Reads a connection that is ready, or detects its end.
     pub fn on_ready(&mut self, id: u64) {
-        let mut whole = self.is_whole(id);
-        let Some(caller) = self.callers.get_mut(&id) else { return };
-        let came_after = *caller.came_after.get_or_insert(self.looked);
-        if !caller.socket.ensure() {
-            self.door.come_back_to(id);
+        let mut complete = self.is_complete(id);
+        let Some(client) = self.clients.get_mut(&id) else { return };
+        let came_after = *client.came_after.get_or_insert(self.came_after);
+        if !client.socket.ensure_enabled() {
+            self.listener.schedule_retry(id);
         }
         let mut buffer = [0; MAX_CALL];
-        for _ in 0..A_TURN {
-            match caller.socket.read(&mut buffer) {
+        for _ in 0..MAX_CALLS_PER_ITERATION {
+            match client.socket.read(&mut buffer) {
                 Read::NotReady => {
-                    caller.came_after = None;
+                    client.came_after = None;
                     return self.flush(id);
                 }
                 Read::Later(_) => {
-                    self.door.come_back_to(id);
+                    self.listener.schedule_retry(id);
                     return self.flush(id);
                 }
-                Read::End if caller.answered && !caller.output.is_empty() => return self.flush(id),
+                Read::End if client.answered && !client.output.is_empty() => return self.flush(id),
                 Read::End | Read::Broken(_) => {
-                    self.callers.remove(&id);
-                    self.whole.retain(|(other, _)| *other != id);
+                    self.clients.remove(&id);
+                    self.complete.retain(|(other, _)| *other != id);
                     return;
                 }
-                Read::Bytes(_) if caller.answered || whole => {}
+                Read::Bytes(_) if client.answered || complete => {}
                 Read::Bytes(n) => {
-                    let room = MAX_CALL.saturating_sub(caller.input.len());
-                    caller.input.extend_from_slice(&buffer[..n.min(room)]);
-                    if !matches!(parse(&caller.input), Ok(None)) {
-                        self.whole.push((id, came_after));
-                        whole = true;
+                    let space = MAX_CALL.saturating_sub(client.input.len());
+                    client.input.extend_from_slice(&buffer[..n.min(space)]);
+                    if !matches!(parse(&client.input), Ok(None)) {
+                        self.complete.push((id, came_after));
+                        complete = true;
                     }
                 }
             }
         }
-        // It sends without end, and has had its line.
-        if caller.answered {
-            self.callers.remove(&id);
+        // The client keeps sending after its call.
+        if client.answered {
+            self.clients.remove(&id);
         } else {
-            self.door.come_back_to(id);
+            self.listener.schedule_retry(id);
         }
     }
 
-    /// Sends what is left of an answer, and ends the sending behind it.
+    /// Sends the rest of an answer, and shuts the sending side after it.
     fn flush(&mut self, id: u64) {
-        let Some(caller) = self.callers.get_mut(&id).filter(|c| !c.output.is_empty()) else { return };
-        while !caller.output.is_empty() {
-            match caller.socket.write(&[IoSlice::new(&caller.output)]) {
-                // Danger: a short write cut the line.
-                Written::Bytes(n) => drop(caller.output.drain(..n)),
+        let Some(client) = self.clients.get_mut(&id).filter(|c| !c.output.is_empty()) else { return };
+        while !client.output.is_empty() {
+            match client.socket.write(&[IoSlice::new(&client.output)]) {
+                // A short write leaves a rest, which must not be lost.
+                Written::Bytes(n) => drop(client.output.drain(..n)),
                 Written::Full => return,
-                Written::Later(_) => return self.door.come_back_to(id),
-                Written::Broken(_) => return drop(self.callers.remove(&id)),
+                Written::Later(_) => return self.listener.schedule_retry(id),
+                Written::Broken(_) => return drop(self.clients.remove(&id)),
             }
         }
-        if caller.socket.finish().is_err() {
-            self.callers.remove(&id);
+        if client.socket.finish().is_err() {
+            self.clients.remove(&id);
         }
     }
 
-    /// The line of this caller is whole, or will not be.
-    fn is_whole(&self, id: u64) -> bool {
-        self.whole.iter().any(|(other, _)| *other == id)
+    /// Whether the call of this connection is complete or invalid.
+    fn is_complete(&self, id: u64) -> bool {
+        self.complete.iter().any(|(other, _)| *other == id)
     }
 
-    /// The next caller whose line is whole, or will not be, and what it said.
-    pub fn poll_call(&mut self) -> Option<Said> {
-        let (caller, came_after) = self.whole.pop()?;
-        let line = self.callers.get(&caller).map(|c| c.input.clone()).unwrap_or_default();
-        Some(Said { caller, line, came_after })
+    /// The next call that is complete or invalid.
+    pub fn poll_call(&mut self) -> Option<ReceivedCall> {
+        let (client, came_after) = self.complete.pop()?;
+        let line = self.clients.get(&client).map(|c| c.input.clone()).unwrap_or_default();
+        Some(ReceivedCall { client, line, came_after })
     }
 
-    /// The one line that a caller gets.
+    /// Answers a call with its one line.
     pub fn answer(&mut self, id: u64, line: &str, now: Micros, deadlines: &mut Deadlines) {
-        let Some(caller) = self.callers.get_mut(&id) else { return };
-        (caller.answered, caller.until) = (true, now + LINGER);
-        deadlines.add(caller.until, Deadline::Caller(id));
-        caller.output = line.into();
+        let Some(client) = self.clients.get_mut(&id) else { return };
+        (client.answered, client.deadline) = (true, now + LINGER);
+        deadlines.add(client.deadline, Deadline::ManagementClient(id));
+        client.output = line.into();
         self.flush(id);
     }
 
-    /// A caller's time may be over.
+    /// Handles the deadline of a connection.
     pub fn on_deadline(&mut self, id: u64, now: Micros) {
-        let Some(caller) = self.callers.get(&id).filter(|c| c.until <= now) else { return };
-        if caller.answered {
-            self.callers.remove(&id);
-        } else if !self.is_whole(id) {
-            self.whole.push((id, now));
+        let Some(client) = self.clients.get(&id).filter(|c| c.deadline <= now) else { return };
+        if client.answered {
+            self.clients.remove(&id);
+        } else if !self.is_complete(id) {
+            self.complete.push((id, now));
         }
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,8 +1,8 @@
-//! The node on real sockets: one thread, one loop.
+//! The node on real sockets: one thread that runs one event loop.
 
-mod callers;
 mod classes;
 mod client;
+mod control_listener;
 mod deadlines;
 mod fleet;
 mod management;
@@ -15,10 +15,10 @@
 use calloop::{EventLoop, LoopHandle};
 use lapisrudder_config::{self as config, Config, Platform, Sources};
 use lapisrudder_engine::Conn;
-use lapisrudder_host::Noted;
-use lapisrudder_io::{Operation, is_momentary, keep_trying};
+use lapisrudder_host::ReadinessHandler;
+use lapisrudder_io::{Operation, is_momentary, retry_with_backoff};
 use lapisrudder_log::{self as log, Log};
-use node::{Node, START_PATIENCE};
+use node::{Node, START_TIMEOUT};
 use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -26,31 +26,33 @@
 use thiserror::Error;
 use tracing::{Level, error, info, warn};
 
-/// Descriptors that are neither a client's nor a member's: standard streams, loop, listener, discovery, the spare.
-pub const OWN_SOCKETS: usize = 24;
-/// Clients hold at most this part of the descriptors that the platform gives a node: a third.
-pub const CLIENTS_SHARE: usize = 3;
+/// Descriptors that belong to no client and no member: standard streams, event loop, listener, discovery, and
+/// the spare descriptor.
+pub const OWN_DESCRIPTORS: usize = 24;
+/// Clients hold at most one part in this many of the descriptors that the platform gives a node: a third.
+pub const CLIENT_SHARE_DIVISOR: usize = 3;
 
-/// Whose socket it is.
+/// The object that a socket belongs to.
 #[derive(Clone, Copy, Debug)]
 pub enum Owner {
     Listener,
     Client(u64),
     Member(Conn),
     Discovery,
-    /// The operators' address.
+    /// The listener for management calls.
     Management,
-    /// Somebody who calls there.
-    Caller(u64),
-    /// Where another process of this node may ask to take its place, the one that does, and the one before this.
-    Door,
+    /// A connection that makes a management call.
+    ManagementClient(u64),
+    /// The local listener on which another process of this node asks to take over, the connection to that
+    /// process, and the connection to the process that ran before this one.
+    TakeoverListener,
     Successor,
     Predecessor,
-    /// Datagrams of other nodes.
+    /// The socket for membership datagrams of other nodes.
     Fleet,
-    /// Where operators look at the fleet, and one that does.
-    Look,
-    Looker(u64),
+    /// The listener for `fleet look` calls, and a connection that makes one.
+    FleetView,
+    FleetViewClient(u64),
 }
 
 impl From<Conn> for Owner {
@@ -59,14 +61,14 @@
     }
 }
 
-/// What one dispatch of the loop has told of.
+/// Sockets and signals that one dispatch of the event loop has reported.
 #[derive(Default)]
 pub struct Ready {
     sockets: Vec<Owner>,
     signals: Vec<Signal>,
 }
 
-impl Noted for Ready {
+impl ReadinessHandler for Ready {
     type Owner = Owner;
 
     fn ready(&mut self, owner: Owner) {
@@ -80,7 +82,7 @@
 /// Why the node could not start, or had to end.
 #[derive(Debug, Error)]
 pub enum Error {
-    #[error("cannot start the loop: {0}")]
+    #[error("cannot start the event loop: {0}")]
     Start(#[source] calloop::Error),
     #[error("cannot listen for signals: {0}")]
     Signals(#[source] calloop::Error),
@@ -96,54 +98,58 @@
     Fleet(#[from] fleet::Error),
 }
 
-/// A configuration that could not be read is read again so soon, and for so long after SIGHUP at the most.
-const RELOAD_AGAIN: Duration = Duration::from_millis(20);
-const RELOADS_FOR: Duration = Duration::from_secs(3);
-/// After the loop has failed it is tried again so soon.
-const LOOP_AGAIN: Duration = Duration::from_millis(1);
+/// Interval at which a configuration that could not be read is read again, and the time after SIGHUP for
+/// which it is tried.
+const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+const RELOAD_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause after a failed dispatch of the event loop.
+const LOOP_RETRY_DELAY: Duration = Duration::from_millis(1);
 
-/// Runs the node until it is told to stop and has answered all that it took. On SIGHUP the sources are read again.
+/// Runs the node until a stop signal has arrived and every request that was taken is answered. SIGHUP reloads
+/// the configuration.
 pub fn serve(sources: Sources, config: Config) -> Result<(), Error> {
     let mut events: EventLoop<Ready> =
-        keep_trying(START_PATIENCE, EventLoop::try_new, may_pass).map_err(Error::Start)?;
-    let told = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP];
-    let signals = keep_trying(START_PATIENCE, || Signals::new(&told), may_pass).map_err(Error::Signals)?;
-    // Danger: threads begun before the signals are blocked would take them, and SIGTERM would kill the node.
+        retry_with_backoff(START_TIMEOUT, EventLoop::try_new, is_transient).map_err(Error::Start)?;
+    let handled = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP];
+    let signals =
+        retry_with_backoff(START_TIMEOUT, || Signals::new(&handled), is_transient).map_err(Error::Signals)?;
+    // The log's thread starts after the signals are blocked: a thread that does not block SIGTERM would
+    // receive it, and the default action would kill the process.
     let log = Log::start(log_settings(&config.operators.log), io::stderr())?;
     watch_signals(&events.handle(), signals)?;
-    let force = config.platform.clone();
+    let platform = config.platform.clone();
     let mut node = Node::new(config, &events.handle())?;
-    let mut reloads = Reloads { sources: &sources, force, log: &log, again: None };
+    let mut reloader = ConfigReloader { sources: &sources, platform, log: &log, retry: None };
     let mut ready = Ready::default();
     while !node.is_over() {
         let wait = node.begin_wait();
-        let wait = reloads.again.map_or(wait, |again| wait.min(again.left()));
-        let looked = events.dispatch(wait, &mut ready);
-        let found = looked.is_err() || !ready.sockets.is_empty() || !ready.signals.is_empty();
-        let came_after = node.end_wait(found);
-        if let Err(e) = looked {
-            // Danger: one failed call of the loop ended the process with all that it owed.
-            warn!("the loop failed, all is looked at: {e}");
-            node.look_at_all();
-            std::thread::sleep(LOOP_AGAIN);
+        let wait = reloader.retry.map_or(wait, |retry| wait.min(retry.left()));
+        let dispatched = events.dispatch(wait, &mut ready);
+        let has_events = dispatched.is_err() || !ready.sockets.is_empty() || !ready.signals.is_empty();
+        let came_after = node.end_wait(has_events);
+        if let Err(e) = dispatched {
+            // A failed dispatch must not end the process: the requests in progress would be lost.
+            warn!("event loop failed; rechecking all sockets: {e}");
+            node.recheck_all();
+            std::thread::sleep(LOOP_RETRY_DELAY);
         }
         for signal in ready.signals.drain(..) {
             match signal {
-                Signal::SIGHUP => reloads.begin(&mut node),
+                Signal::SIGHUP => reloader.begin(&mut node),
                 signal => {
-                    info!(?signal, "told to stop");
+                    info!(?signal, "received stop signal");
                     node.stop(came_after);
                 }
             }
         }
-        reloads.wake(&mut node);
-        node.turn(ready.sockets.drain(..), came_after);
+        reloader.retry_if_due(&mut node);
+        node.run_iteration(ready.sockets.drain(..), came_after);
     }
-    info!("ended");
+    info!("node ended");
     Ok(())
 }
 
-/// Puts the signals on the loop.
+/// Registers the signals in the event loop.
 fn watch_signals(handle: &Handle, signals: Signals) -> Result<(), Error> {
     let mut source = Some(signals);
     let insert = || {
@@ -154,72 +160,73 @@
             failed.error
         })
     };
-    keep_trying(START_PATIENCE, insert, may_pass).map_err(Error::Signals)
+    retry_with_backoff(START_TIMEOUT, insert, is_transient).map_err(Error::Signals)
 }
 
-/// A failure of the loop at the start that the next try may not meet.
-fn may_pass(error: &calloop::Error) -> bool {
+/// Whether an error at the start is transient, so that another try may succeed.
+fn is_transient(error: &calloop::Error) -> bool {
     matches!(error, calloop::Error::IoError(e) if is_momentary(Operation::Open, e))
 }
 
-/// When a configuration is read again that could not be read.
+/// When to retry reading a configuration that could not be read.
 #[derive(Clone, Copy)]
-struct Again {
+struct ReloadRetry {
     at: Instant,
-    /// It is given up then.
-    until: Instant,
+    /// After this time no further try is made.
+    give_up_at: Instant,
 }
 
-impl Again {
+impl ReloadRetry {
     fn left(&self) -> Duration {
         self.at.saturating_duration_since(Instant::now())
     }
 }
 
-/// Configuration that is read while the node runs.
-struct Reloads<'a> {
+/// Reloads the configuration while the node runs.
+struct ConfigReloader<'a> {
     sources: &'a Sources,
-    /// What the platform's file said last.
-    force: Platform,
+    /// The platform's part of the last valid configuration.
+    platform: Platform,
     log: &'a Log,
-    again: Option<Again>,
+    retry: Option<ReloadRetry>,
 }
 
-impl Reloads<'_> {
-    /// SIGHUP has come.
+impl ConfigReloader<'_> {
+    /// Starts a reload on SIGHUP.
     fn begin(&mut self, node: &mut Node) {
-        self.read(Instant::now() + RELOADS_FOR, node);
+        self.read(Instant::now() + RELOAD_RETRY_TIMEOUT, node);
     }
 
-    /// Reads again what could not be read, if it is time.
-    fn wake(&mut self, node: &mut Node) {
-        if let Some(again) = self.again.filter(|again| again.left().is_zero()) {
-            self.read(again.until, node);
+    /// Retries a failed read of the configuration when it is due.
+    fn retry_if_due(&mut self, node: &mut Node) {
+        if let Some(retry) = self.retry.filter(|retry| retry.left().is_zero()) {
+            self.read(retry.give_up_at, node);
         }
     }
 
-    /// Reads all configuration again. If anything is wrong with it, nothing of it is used. Danger: a new one was passed over
-    /// since a call had failed for a moment.
-    fn read(&mut self, until: Instant, node: &mut Node) {
-        self.again = None;
+    /// Reads the complete configuration. If any of it is invalid, none of it is applied. A read that failed
+    /// with a transient error is retried: otherwise a new configuration would be ignored because of one
+    /// failed system call.
+    fn read(&mut self, give_up_at: Instant, node: &mut Node) {
+        self.retry = None;
         let path = self.sources.environment.config.as_deref().unwrap_or(Path::new(""));
-        let sound = |config: Config| config.platform.has_all_of(&self.force, path).map(|()| config);
-        match self.sources.reload().and_then(sound) {
+        let check = |config: Config| config.platform.has_all_of(&self.platform, path).map(|()| config);
+        match self.sources.reload().and_then(check) {
             Ok(config) => {
-                self.force = config.platform.clone();
+                self.platform = config.platform.clone();
                 self.log.apply(log_settings(&config.operators.log));
                 node.reload(config);
             }
-            Err(problems) if problems.is_momentary() && Instant::now() < until => {
-                warn!("reload: it is read again shortly: {problems}");
-                self.again = Some(Again { at: Instant::now() + RELOAD_AGAIN, until });
+            Err(problems) if problems.is_momentary() && Instant::now() < give_up_at => {
+                warn!("reload: configuration could not be read, retrying: {problems}");
+                self.retry = Some(ReloadRetry { at: Instant::now() + RELOAD_RETRY_INTERVAL, give_up_at });
             }
             Err(problems) => error!("reload: the old configuration stays: {problems}"),
         }
     }
 }
 
-/// `[log]` in the log's own terms.
+/// Converts the `[log]` section to the settings of the log.
 fn log_settings(section: &config::Log) -> log::Settings {
     log::Settings {
         level: match section.level {
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -1,69 +1,72 @@
-//! The daemon as a host of the engine: sockets, clients and discovery on one side, the engine on the other.
+//! The daemon as a host of the engine: passes events of sockets, clients and discovery to the engine, and
+//! carries out the engine's orders.
 
-mod among;
-mod come_back;
 mod ending;
+mod fleet_membership;
 mod intake;
 mod operators;
 mod replacing;
 mod report;
+mod retry;
 
 use super::classes::Classes;
 use super::client::SCRATCH;
 use super::deadlines::{Deadline, Deadlines, Key as DeadlineKey};
 use super::fleet::{self, Fleet};
 use super::management::{self, Management};
-use super::requests::{Front, OpenRequests};
-use super::takeover::{self, Door, Link};
+use super::requests::{AnswerSink, OpenRequests};
+use super::takeover::{self, Link, TakeoverListener};
 use super::virtual_server::{Queue, VirtualServer};
-use super::{CLIENTS_SHARE, Handle, OWN_SOCKETS, Owner, Ready};
+use super::{CLIENT_SHARE_DIVISOR, Handle, OWN_DESCRIPTORS, Owner, Ready};
 use lapisrudder::wire::{Options, micros};
 use lapisrudder::{Micros, Scope};
 use lapisrudder_config::{Config, Platform, Target};
 use lapisrudder_engine::recorder::EndReason;
 use lapisrudder_engine::{Engine, Final, Limits, Member, Order};
-use lapisrudder_host::{Attention, Clock, Discovery, Members, News};
-use lapisrudder_io::{FailedCalls, Operation, is_momentary, keep_trying, read_text, write_line};
-use lapisrudder_limits::{Admission, Resources, Used};
-use lapisrudder_takeover::{DrainCall, Lender};
-use replacing::{list_of, of_gone};
-use report::Told;
+use lapisrudder_host::{Clock, Discovery, DiscoveryUpdate, Members, PollTracker};
+use lapisrudder_io::{FailedCalls, Operation, is_momentary, read_text, retry_with_backoff, write_line};
+use lapisrudder_limits::{Admission, Resources, Usage};
+use lapisrudder_takeover::{DescriptorSplit, DrainCall};
+use replacing::{inherited_list, removed_target};
+use report::ReportedViolations;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tracing::{debug, info, warn};
 
-/// The final answer of a request that came to nothing.
+/// The final answer of a request that could not be served.
 const FAILED: &[u8] = b"SERVER_ERROR failed\r\n";
-/// The longest deadline that the platform allows a stopping node for.
-const LONGEST_WAIT: Micros = 3_000_000;
-/// A process before this one that said nothing is gone this long after the start of this: 6 s until this one's yes,
-/// 3.7 s until its end.
-const ALONE_AFTER: Micros = 10_000_000;
-/// A stopping node tries again so soon to take those who wait, where it could not.
-const ACCEPT_AGAIN: Micros = 1_000;
-/// What a start needs of the system is tried to be had for this long.
-pub(super) const START_PATIENCE: Duration = Duration::from_secs(10);
-/// So long after the call to drain the log is told which connections are left.
-const DRAIN_REPORTS: [Micros; 2] = [2_000_000, 3_500_000];
-/// How often the process's memory is looked at.
-const MEMORY_EVERY: Micros = 1_000_000;
+/// The longest request deadline that the platform's time for a stop allows for. It also holds where no class
+/// states a deadline.
+const MAX_WAIT: Micros = 3_000_000;
+/// A predecessor that does not answer counts as gone this long after the start of this process: this process
+/// must be ready within 6 s, and the predecessor ends within 3.7 s after that.
+const PREDECESSOR_GONE_AFTER: Micros = 10_000_000;
+/// Retry interval of a stopping node that could not accept all waiting connections.
+const ACCEPT_RETRY_DELAY: Micros = 1_000;
+/// System calls that the start needs are retried for this long.
+pub(super) const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delays after the call to drain at which the remaining connections are logged.
+const DRAIN_REPORT_DELAYS: [Micros; 2] = [2_000_000, 3_500_000];
+/// How often the process's memory use is read.
+const MEMORY_CHECK_INTERVAL: Micros = 1_000_000;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
     Serving,
-    /// Told to stop, and serves on: clients have nobody else to ask on the connections that they have.
+    /// A stop signal has arrived. The node still serves: clients have no other node to ask on the connections
+    /// that they have.
     Stopping,
-    /// The same, but ends if no client is left.
+    /// The same, but the process ends as soon as no client is left.
     Leaving,
-    /// Ends once the last client has its answers.
+    /// The process ends once the last client has its answers.
     Draining,
-    /// The same, and refuses what still comes.
+    /// The same, and new requests are refused.
     Refusing,
     Over,
 }
 
 impl Phase {
-    /// As logs name it.
+    /// The name used in logs.
     fn name(self) -> &'static str {
         match self {
             Phase::Serving => "serving",
@@ -76,45 +79,47 @@
     }
 }
 
-/// The process that takes the place of this one.
+/// The process that takes over from this one.
 struct Successor {
     link: Link,
-    lender: Lender,
-    /// It serves.
+    split: DescriptorSplit,
+    /// It has reported that it serves.
     ready: bool,
-    /// Clients that this process may still hold. What is not theirs stays as it is, so that nothing is closed that
-    /// could go to the other one.
+    /// Limit of clients' connections in this process: those it holds and half of its spare descriptors, so
+    /// that none is closed that could be handed over.
     clients: usize,
 }
 
 pub struct Node {
     handle: Handle,
-    /// Where processes of this node meet, and the way in there.
-    place: Option<PathBuf>,
-    door: Option<Door>,
+    /// Path of the Unix socket on which processes of this node take over from each other, and this process's
+    /// listener there.
+    meeting_path: Option<PathBuf>,
+    takeover_listener: Option<TakeoverListener>,
     predecessor: Option<Link>,
-    /// One that has just come, and said nothing yet.
-    knocking: Option<Link>,
+    /// A process that has connected to the take-over socket and has not introduced itself yet.
+    pending_successor: Option<Link>,
     successor: Option<Successor>,
-    /// When clients go there again.
-    handing: Option<DeadlineKey>,
-    /// Clients' connections that the process before this one still has.
-    clients_elsewhere: usize,
+    /// When the next clients' connections are handed to the successor.
+    next_hand_over: Option<DeadlineKey>,
+    /// Clients' connections that the predecessor still holds.
+    clients_at_predecessor: usize,
     name: String,
     clock: Clock,
-    /// When what the sockets have brought can have come.
-    attention: Attention,
-    /// What was told of violations.
-    told: Told,
-    /// Failed calls that were told.
-    failed_calls_told: FailedCalls,
+    /// Determines the earliest time at which an event found by a poll can have arrived.
+    poll_tracker: PollTracker,
+    /// Violations that have been logged.
+    reported: ReportedViolations,
+    /// Failed system calls that have been logged.
+    reported_failed_calls: FailedCalls,
     scratch: Vec<u8>,
     deadlines: Deadlines,
     server: VirtualServer,
     management: Option<Management>,
-    /// The other nodes, if operators name any.
+    /// Membership among the other nodes, if the operators' file configures it.
     fleet: Option<Fleet>,
-    /// What they say of that. The process that others hear is the one with a `fleet`.
+    /// That section of the operators' file. Of two processes of one node, the other nodes hear the one that
+    /// has a `fleet`.
     fleet_section: Option<lapisrudder_config::Fleet>,
     members: Members<Ready>,
     discovery: Discovery<Ready>,
@@ -124,24 +129,24 @@
     classes: Classes,
     phase: Phase,
     longest_wait: Micros,
-    /// The shortest time within which a class wants its answers.
-    shortest_aim: Micros,
-    /// Descriptors that are neither a client's nor a member's.
+    /// The shortest latency target of all request classes.
+    min_latency_target: Micros,
+    /// Descriptors that belong to no client and no member.
     own: usize,
     /// Descriptors for clients and members together.
     sockets: usize,
-    /// Descriptors of the node, which two processes may share.
+    /// Descriptors of the node, which two processes may share during a take-over.
     all_descriptors: usize,
-    /// What operators last said about a drain, to this process or the other one.
+    /// The operators' last call to drain or to serve, to this process or to the other one.
     drain_call: Option<DrainCall>,
-    /// Transactions that may be held at a time, and bytes of their commands.
-    most_held: usize,
-    most_bytes: usize,
-    /// All memory in bytes.
+    /// Maximum number of transactions in flight, and maximum bytes of their commands.
+    max_in_flight: usize,
+    max_command_bytes: usize,
+    /// Memory limit in bytes.
     memory: u64,
-    /// What the process took of it when that was last looked at.
+    /// Time and result of the last reading of the process's memory use.
     resident: (Micros, u64),
-    /// Ephemeral ports that the machine has; 0 where it does not say.
+    /// Number of ephemeral ports of the machine; 0 where the system does not report it.
     ports: u64,
 }
 
@@ -154,15 +159,16 @@
         let settings = config.options.on_sockets();
         let bounds = &config.options.bounds;
         let manage = |at| {
-            let listens = keep_trying(START_PATIENCE, || Management::new(at, handle, now), may_pass);
+            let listens =
+                retry_with_backoff(START_TIMEOUT, || Management::new(at, handle, now), is_transient);
             listens.map_err(|source| super::Error::Management { at, source })
         };
         let management = config.management.map(manage).transpose()?;
-        let place = takeover::meeting_place(&config.name, config.listen);
-        let asked = place.as_ref().map(|place| takeover::ask(place, &config.name, handle));
-        let silent = matches!(asked, Some(Err(_)));
-        let before = asked.unwrap_or(Ok(None)).unwrap_or_else(|e| {
-            warn!("takeover: nothing of use from the process before: {e}");
+        let meeting_path = takeover::meeting_path(&config.name, config.listen);
+        let handover = meeting_path.as_ref().map(|path| takeover::request_state(path, &config.name, handle));
+        let predecessor_silent = matches!(handover, Some(Err(_)));
+        let before = handover.unwrap_or(Ok(None)).unwrap_or_else(|e| {
+            warn!("takeover: predecessor did not hand over its state: {e}");
             None
         });
         let (state, handed, predecessor) = match before {
@@ -170,7 +176,8 @@
             None => (None, None, None),
         };
         let mut handed = handed.filter(|l| l.address().is_ok_and(|at| at == config.listen));
-        let own = OWN_SOCKETS + takeover::SOCKETS + management.as_ref().map_or(0, |_| management::SOCKETS);
+        let own =
+            OWN_DESCRIPTORS + takeover::SOCKETS + management.as_ref().map_or(0, |_| management::SOCKETS);
         let own = own + operators.fleet.as_ref().map_or(0, |_| fleet::SOCKETS);
         let sockets = config.sockets.saturating_sub(own);
         let limits = limits(&config.options, settings.siblings, sockets);
@@ -179,37 +186,37 @@
             let server = VirtualServer::new(config.listen, handed.take(), admission, handle);
             server.map_err(|source| super::Error::Listen { at: config.listen, source })
         };
-        let may_listen =
-            |e: &super::Error| matches!(e, super::Error::Listen { source, .. } if may_pass(source));
-        let server = keep_trying(START_PATIENCE, listen, may_listen)?;
+        let is_transient_listen =
+            |e: &super::Error| matches!(e, super::Error::Listen { source, .. } if is_transient(source));
+        let server = retry_with_backoff(START_TIMEOUT, listen, is_transient_listen)?;
         let fleet_section = operators.fleet;
-        // A process before this one hands its place among the others over when clients go to this one.
-        let alone = fleet_section.clone().filter(|_| predecessor.is_none());
+        // A predecessor hands over its membership in the fleet when clients move to this process.
+        let new_fleet = fleet_section.clone().filter(|_| predecessor.is_none());
         let begin = |section: lapisrudder_config::Fleet| {
             let fleet = || Fleet::new(section.clone(), &config.name, None, handle, now);
-            keep_trying(START_PATIENCE, fleet, |e| e.source_io().is_some_and(may_pass))
+            retry_with_backoff(START_TIMEOUT, fleet, |e| e.source_io().is_some_and(is_transient))
         };
-        let fleet = alone.map(begin);
-        // The list of the process before is newer than what the platform remembers.
-        let told = state.as_ref().and_then(|state| list_of(state, config.discovery));
-        let theirs = told.is_some();
-        let (revision, known) = told.unwrap_or(remembered);
+        let fleet = new_fleet.map(begin);
+        // The predecessor's list of members is newer than the one that the platform remembers.
+        let inherited = state.as_ref().and_then(|state| inherited_list(state, config.discovery));
+        let has_inherited = inherited.is_some();
+        let (revision, known) = inherited.unwrap_or(remembered);
         let mut node = Node {
             handle: handle.clone(),
-            place,
-            door: None,
+            meeting_path,
+            takeover_listener: None,
             predecessor,
-            knocking: None,
+            pending_successor: None,
             successor: None,
-            handing: None,
-            clients_elsewhere: 0,
+            next_hand_over: None,
+            clients_at_predecessor: 0,
             name: config.name.clone(),
             own,
             all_descriptors: config.sockets,
             clock,
-            attention: Attention::new(now),
-            told: Told::default(),
-            failed_calls_told: FailedCalls::default(),
+            poll_tracker: PollTracker::new(now),
+            reported: ReportedViolations::default(),
+            reported_failed_calls: FailedCalls::default(),
             scratch: vec![0; SCRATCH],
             deadlines: Deadlines::default(),
             server,
@@ -222,58 +229,61 @@
             engine: Engine::new(lapisrudder_engine::Config { settings, seed: config.seed, limits }, now),
             phase: Phase::Serving,
             sockets,
-            shortest_aim: shortest_aim(&config.options),
+            min_latency_target: min_latency_target(&config.options),
             longest_wait: longest_wait(&config.options),
             classes: Classes::new(&config.options),
             drain_call: None,
-            most_held: bounds.most_held.max(1),
-            // The rest is for what is read and sent.
-            most_bytes: (config.memory_mb as usize) << 18,
+            max_in_flight: bounds.most_held.max(1),
+            // A quarter of the memory: the rest is for data that is read and sent.
+            max_command_bytes: (config.memory_mb as usize) << 18,
             memory: config.memory_mb << 20,
             resident: (now, 0),
             ports: ephemeral_ports(),
             options: config.options,
         };
-        // A third of the memory is for large values on their way to servers, a quarter for other commands. What clients
-        // have not read may take an eighth: it is held in room up to twice as large.
+        // A third of the memory is for large values on their way to servers, a quarter for other commands.
+        // Answers that clients have not read may take an eighth: their buffers can be twice as large as their
+        // content.
         node.server.set_budgets((node.memory / 3) as usize, (node.memory / 8) as usize);
-        // Danger: an old list, which binds nobody, would bring a member back that has left.
-        let gone = theirs.then_some(state.as_ref()).flatten().map(|state| state.gone.as_slice());
-        node.listed(Scope::Changes, gone.unwrap_or_default().iter().map(of_gone).collect());
-        node.listed(Scope::Remembered, known);
+        // Members that have left are recorded before the list: an outdated list that still names one of them
+        // would otherwise bring it back.
+        let gone = has_inherited.then_some(state.as_ref()).flatten().map(|state| state.gone.as_slice());
+        node.on_list(Scope::Changes, gone.unwrap_or_default().iter().map(removed_target).collect());
+        node.on_list(Scope::Remembered, known);
         match state {
-            Some(state) => node.begin_after(state),
-            None => node.open_door(),
+            Some(state) => node.adopt_state(state),
+            None => node.open_takeover_listener(),
         }
-        if silent {
-            node.hold_to(config.sockets / 2, now);
-            node.deadlines.add(now + ALONE_AFTER, Deadline::Alone);
+        if predecessor_silent {
+            node.set_descriptor_limit(config.sockets / 2, now);
+            node.deadlines.add(now + PREDECESSOR_GONE_AFTER, Deadline::PredecessorGone);
         }
-        node.share();
-        node.turn([], now);
-        let mut told =
+        node.apply_fleet_size();
+        node.run_iteration([], now);
+        let mut banner =
             format!("{} listens on {}\n", config.name, node.server.address().unwrap_or(config.listen));
         if let Some(at) = node.management.as_ref().and_then(|m| m.address().ok()) {
-            told += &format!("{} is managed at {at}\n", config.name);
+            banner += &format!("{} is managed at {at}\n", config.name);
         }
-        // Nobody need read it.
-        let _ = write_line(&mut std::io::stdout(), told.as_bytes());
+        // Standard output may be closed.
+        let _ = write_line(&mut std::io::stdout(), banner.as_bytes());
         Ok(node)
     }
 
-    /// How long the loop may wait from now on.
+    /// Starts a wait of the event loop, and returns how long it may last.
     pub fn begin_wait(&mut self) -> Duration {
         let next = self.until_next();
-        self.attention.begin(self.clock.now(), next)
+        self.poll_tracker.begin(self.clock.now(), next)
     }
 
-    /// The loop has waited, and found something or not. What it found came after the time that this gives.
+    /// Ends a wait of the event loop; `found` says whether there were events. All of them arrived after the
+    /// returned time.
     pub fn end_wait(&mut self, found: bool) -> Micros {
-        let look = self.attention.end(self.clock.now(), found);
-        if let Some(held_up) = look.held_up {
-            info!(ms = held_up / 1000, open = self.engine.open(), "held up");
+        let outcome = self.poll_tracker.end(self.clock.now(), found);
+        if let Some(stall) = outcome.stalled_for {
+            info!(ms = stall / 1000, open = self.engine.open_count(), "process was stalled");
         }
-        look.came_after
+        outcome.came_after
     }
 
     fn until_next_deadline(&self) -> Option<Duration> {
@@ -288,7 +298,7 @@
         self.phase == Phase::Over
     }
 
-    // ---- What the loop tells --------------------------------------------------------------------------
+    // ---- Events of the event loop -----------------------------------------------------------------------
 
     fn ready(&mut self, owner: Owner) {
         let now = self.clock.now();
@@ -296,26 +306,26 @@
             Owner::Listener => _ = self.accept(now),
             Owner::Client(id) => {
                 self.server.on_ready(id, &mut self.scratch, now, &mut self.deadlines);
-                self.client_news();
+                self.handle_client_events();
             }
             Owner::Member(conn) => {
                 let Node { members, scratch, engine, server, requests, .. } = self;
-                members.on_ready(conn, scratch, engine, &mut Front { server, requests, now }, now);
+                members.on_ready(conn, scratch, engine, &mut AnswerSink { server, requests, now }, now);
             }
             Owner::Management => {
                 let (management, deadlines) = (self.management.iter_mut(), &mut self.deadlines);
                 management.for_each(|m| m.accept(now, deadlines));
             }
-            Owner::Caller(id) => self.management.iter_mut().for_each(|m| m.on_ready(id)),
+            Owner::ManagementClient(id) => self.management.iter_mut().for_each(|m| m.on_ready(id)),
             Owner::Fleet => self.fleet.iter_mut().for_each(|f| f.on_ready(now)),
-            Owner::Look => self.fleet.iter_mut().for_each(Fleet::on_look),
-            Owner::Looker(id) => self.fleet.iter_mut().for_each(|f| f.on_looker(id)),
-            Owner::Door => self.somebody_knocks(),
-            Owner::Successor => self.hear_successor(now),
-            Owner::Predecessor => self.hear_predecessor(now),
+            Owner::FleetView => self.fleet.iter_mut().for_each(Fleet::accept_view_clients),
+            Owner::FleetViewClient(id) => self.fleet.iter_mut().for_each(|f| f.on_view_client(id)),
+            Owner::TakeoverListener => self.on_takeover_connection(),
+            Owner::Successor => self.read_successor(now),
+            Owner::Predecessor => self.read_predecessor(now),
             Owner::Discovery => {
                 self.discovery.on_ready(&mut self.scratch, &self.options, now);
-                self.discovery_news();
+                self.handle_discovery_updates();
             }
         }
     }
@@ -324,14 +334,15 @@
         self.server.accept(now, &mut self.deadlines)
     }
 
-    /// The configuration may have changed. Limits, settings and discovery's address hold from here on; what else the
-    /// platform's file says, from the next start on.
+    /// Applies a configuration. Limits, settings and the address of discovery hold at once; everything else
+    /// in the platform's file holds from the next start.
     pub fn reload(&mut self, config: Config) {
         let now = self.clock.now();
-        // Danger: what the old discovery has written counts as told, and would go unread with its connection.
+        // Pending answers of the old discovery server are read first: it counts them as delivered once they
+        // are written, and they would be lost with the connection.
         self.ready(Owner::Discovery);
         if let Err(what) = self.server.reload(now, config.operators.limits) {
-            // Checked when the file was read; the old ones stay.
+            // The file was validated when it was read; the old limits stay.
             warn!("reload: {what}");
         }
         let Platform { mut options, discovery, .. } = config.platform;
@@ -339,59 +350,62 @@
         let settings = options.on_sockets();
         let limits = limits(&options, settings.siblings, self.sockets);
         let places = self.engine.reconfigure(settings, limits);
-        self.classes.next(&options, &places, now);
-        // Requests that are open may wait for as long as they did.
+        self.classes.update(&options, &places, now);
+        // Open requests keep their deadlines, so the value never falls.
         self.longest_wait = self.longest_wait.max(longest_wait(&options));
-        self.shortest_aim = shortest_aim(&options);
-        self.most_held = options.bounds.most_held.max(1);
-        let renamed = options.zones != self.options.zones || options.host_types != self.options.host_types;
+        self.min_latency_target = min_latency_target(&options);
+        self.max_in_flight = options.bounds.most_held.max(1);
+        let names_changed =
+            options.zones != self.options.zones || options.host_types != self.options.host_types;
         self.options = options;
-        info!(classes = %self.classes, "reload: settings taken");
-        if discovery == self.discovery.address() && !renamed {
-            return info!("reload: discovery stays where it is");
+        info!(classes = %self.classes, "reload: settings applied");
+        if discovery == self.discovery.address() && !names_changed {
+            return info!("reload: address of discovery is unchanged");
         }
         info!("reload: discovery is now at {discovery}");
         self.discovery.move_to(discovery, now);
-        self.discovery_news();
+        self.handle_discovery_updates();
     }
 
-    // ---- What happens goes to the engine --------------------------------------------------------------
+    // ---- Events passed to the engine ------------------------------------------------------------------
 
-    fn discovery_news(&mut self) {
-        while let Some(news) = self.discovery.poll_news() {
-            match news {
-                News::List { scope, targets } => self.listed(scope, targets),
-                News::Failed => self.engine.list_failed(),
+    fn handle_discovery_updates(&mut self) {
+        while let Some(update) = self.discovery.poll_update() {
+            match update {
+                DiscoveryUpdate::List { scope, targets } => self.on_list(scope, targets),
+                DiscoveryUpdate::Failed => self.engine.list_failed(),
             }
         }
     }
 
-    fn listed(&mut self, scope: Scope, targets: Vec<Target>) {
-        debug!(?scope, members = targets.len(), "list of members");
+    fn on_list(&mut self, scope: Scope, targets: Vec<Target>) {
+        debug!(?scope, members = targets.len(), "received a list of members");
         let member = |t: Target| Member { listed: t.listed, endpoint: t.endpoint };
         self.engine.listed(scope, targets.into_iter().map(member).collect());
     }
 
-    /// The sweep: each deadline that has come, in order.
+    /// Handles each deadline that is due, in order.
     fn sweep(&mut self) {
         let now = self.clock.now();
         while let Some(deadline) = self.deadlines.pop_due(now) {
             match deadline {
                 Deadline::Client(id) => self.server.on_deadline(id, now, &mut self.deadlines),
-                Deadline::Caller(id) => self.management.iter_mut().for_each(|m| m.on_deadline(id, now)),
-                Deadline::LetGo => self.server.let_go(now, &mut self.deadlines),
-                Deadline::EmptyQueue => self.server.empty_queue(now, &mut self.deadlines),
-                Deadline::DrainReport if self.server.is_standby() => self.tell_connections("drain"),
+                Deadline::ManagementClient(id) => {
+                    self.management.iter_mut().for_each(|m| m.on_deadline(id, now))
+                }
+                Deadline::ReleaseDue => self.server.release_due(now, &mut self.deadlines),
+                Deadline::DrainAcceptQueue => self.server.drain_accept_queue(now, &mut self.deadlines),
+                Deadline::DrainReport if self.server.is_standby() => self.log_connections("drain"),
                 Deadline::DrainReport => {}
-                Deadline::Accept => {
+                Deadline::ResumeAccepting => {
                     self.server.resume(&mut self.deadlines);
                     self.accept(now);
                 }
                 Deadline::HandOver => self.hand_over(now),
-                Deadline::Alone if self.predecessor.is_none() && self.successor.is_none() => {
-                    self.hold_to(self.all_descriptors, now);
+                Deadline::PredecessorGone if self.predecessor.is_none() && self.successor.is_none() => {
+                    self.set_descriptor_limit(self.all_descriptors, now);
                 }
-                Deadline::Alone => {}
+                Deadline::PredecessorGone => {}
                 Deadline::Leave => self.enter(Phase::Leaving),
                 Deadline::StopAccepting => {
                     if matches!(self.phase, Phase::Stopping | Phase::Leaving) {
@@ -399,92 +413,99 @@
                     }
                     let last = self.phase == Phase::Refusing;
                     if !self.server.stop_accepting(last, now, &mut self.deadlines) {
-                        self.deadlines.add(now + ACCEPT_AGAIN, Deadline::StopAccepting);
+                        self.deadlines.add(now + ACCEPT_RETRY_DELAY, Deadline::StopAccepting);
                     }
                 }
-                Deadline::OpenDoor if self.door.is_none() && !self.is_replaced() => self.open_door(),
-                Deadline::OpenDoor => {}
-                Deadline::Lend if self.successor.is_none() => self.lend(now),
-                Deadline::Lend => {}
+                Deadline::ReopenTakeover if self.takeover_listener.is_none() && !self.is_replaced() => {
+                    self.open_takeover_listener()
+                }
+                Deadline::ReopenTakeover => {}
+                Deadline::BeginHandOver if self.successor.is_none() => self.begin_hand_over(now),
+                Deadline::BeginHandOver => {}
                 Deadline::LastCall => self.last_call(),
                 Deadline::End => self.enter(Phase::Over),
             }
         }
         self.discovery.wake(now);
-        self.discovery_news();
-        self.server.look_again(now);
+        self.handle_discovery_updates();
+        self.server.recheck_blocked(now);
         self.engine.wake(now);
     }
 
-    /// Tells the limits what there is, and does what they say.
-    fn keep_limits(&mut self) {
+    /// Reports the available resources to the limits, and carries out their orders.
+    fn enforce_limits(&mut self) {
         let now = self.clock.now();
-        if now - self.resident.0 >= MEMORY_EVERY {
-            // Danger: a reading that failed passed for a process that holds nothing.
+        if now - self.resident.0 >= MEMORY_CHECK_INTERVAL {
+            // A failed reading keeps the previous value: zero would make the process look as if it used no
+            // memory.
             self.resident = (now, resident_bytes().unwrap_or(self.resident.1));
-            self.tell_failed_calls();
+            self.log_failed_calls();
         }
         let resources = Resources {
             connections: match &self.successor {
                 Some(successor) => successor.clients,
                 None => self.sockets.saturating_sub(self.engine.reserve()),
             },
-            clients_room: (self.all_descriptors / CLIENTS_SHARE).saturating_sub(self.clients_elsewhere),
-            in_flight: self.most_held,
-            aim: self.shortest_aim,
-            buffer_bytes: self.most_bytes,
-            // What clients may hold leaves the others theirs; EMFILE tells if something else took them.
-            descriptors: Used::default(),
-            memory: Used { used: self.resident.1, limit: self.memory },
-            // As if all went to the busiest member: no fewer are used than are told.
-            ports: Used { used: self.engine.connections() as u64, limit: self.ports },
+            clients_room: (self.all_descriptors / CLIENT_SHARE_DIVISOR)
+                .saturating_sub(self.clients_at_predecessor),
+            in_flight: self.max_in_flight,
+            latency_target: self.min_latency_target,
+            buffer_bytes: self.max_command_bytes,
+            // Not reported: the limit for clients' connections leaves enough for members, and EMFILE reports
+            // if something else used the descriptors.
+            descriptors: Usage::default(),
+            memory: Usage { used: self.resident.1, limit: self.memory },
+            // Counts all connections as if they led to one member: no destination uses more ports than this.
+            ports: Usage { used: self.engine.connections() as u64, limit: self.ports },
         };
         self.server.resources(now, &resources);
-        if let Some(own) = self.members.took_shortage() {
-            self.server.short(own, now);
+        if let Some(own) = self.members.take_descriptor_shortage() {
+            self.server.on_connect_shortage(own, now);
         }
-        self.server.keep_limits(now, &mut self.deadlines);
+        self.server.enforce_limits(now, &mut self.deadlines);
     }
 
-    // ---- What the engine orders -----------------------------------------------------------------------
+    // ---- Orders of the engine -------------------------------------------------------------------------
 
-    /// One turn: reads all that has come, sweeps deadlines, and carries out what the engine says of it all.
-    pub fn turn(&mut self, ready: impl IntoIterator<Item = Owner>, came_after: Micros) {
-        self.server.looked(came_after);
-        self.management.iter_mut().for_each(|m| m.looked(came_after));
-        self.come_back();
+    /// One event-loop iteration: reads the sockets that are ready, handles deadlines that are due, and
+    /// carries out the engine's orders.
+    pub fn run_iteration(&mut self, ready: impl IntoIterator<Item = Owner>, came_after: Micros) {
+        self.server.begin_iteration(came_after);
+        self.management.iter_mut().for_each(|m| m.begin_iteration(came_after));
+        self.retry_failed_calls();
         ready.into_iter().for_each(|owner| self.ready(owner));
         self.send_out();
         self.sweep();
-        self.among_others();
-        self.keep_limits();
-        self.server.read_on(&mut self.scratch, self.clock.now(), &mut self.deadlines);
+        self.update_fleet();
+        self.enforce_limits();
+        self.server.read_touched(&mut self.scratch, self.clock.now(), &mut self.deadlines);
         for transaction in std::mem::take(&mut self.server.resumed) {
             if let Some(conn) = self.engine.resume(transaction) {
                 self.ready(Owner::Member(conn));
             }
         }
         loop {
-            self.client_news();
+            self.handle_client_events();
             let now = self.clock.now();
             match self.engine.poll_order(now) {
                 Some(order) => self.carry_out(order, now),
-                None if self.server.news.is_empty() => break,
+                None if self.server.events.is_empty() => break,
                 None => {}
             }
         }
         self.compare_records();
         if !self.server.ready && self.engine.any_open() {
-            self.server.now_ready(self.clock.now());
-            self.take_over();
+            self.server.set_ready(self.clock.now());
+            self.announce_ready();
         }
-        self.calls();
+        self.answer_management_calls();
         self.send_out();
-        self.tell_violations();
+        self.log_violations();
         let handed = self.successor.as_ref().is_none_or(|s| s.link.is_flushed());
         let may_end = matches!(self.phase, Phase::Leaving | Phase::Draining | Phase::Refusing);
         if may_end && self.server.is_empty() && handed {
-            // Guards who has come since the loop told of the others: what waits to be accepted would be reset.
+            // Connections may have arrived since the event loop reported the others: closing the listener
+            // would reset those that wait to be accepted.
             let queue = self.accept(self.clock.now());
             if queue == Queue::Empty && self.server.is_empty() {
                 self.enter(Phase::Over);
@@ -492,11 +513,11 @@
         }
     }
 
-    /// Tells how many calls of the system have failed for a moment, if there are more.
-    fn tell_failed_calls(&mut self) {
+    /// Logs the number of system calls that failed with a transient error, if it has grown.
+    fn log_failed_calls(&mut self) {
         let failed = FailedCalls::so_far();
-        if failed != std::mem::replace(&mut self.failed_calls_told, failed) {
-            info!(calls = %failed, "calls of the system failed for a moment, since the start");
+        if failed != std::mem::replace(&mut self.reported_failed_calls, failed) {
+            info!(calls = %failed, "system calls failed with transient errors since the start");
         }
     }
 
@@ -507,9 +528,9 @@
     fn carry_out(&mut self, order: Order, now: Micros) {
         match order {
             Order::Connect { conn, to } => self.members.connect(conn, to, &mut self.engine, now),
-            Order::Write { conn, look } => {
+            Order::Write { conn, probe } => {
                 let Node { members, engine, requests, .. } = self;
-                members.write(conn, look, engine, |id| requests.is_open(id), now);
+                members.write(conn, probe, engine, |id| requests.is_open(id), now);
             }
             Order::Close { conn } => self.members.close(conn),
             Order::Answer { transaction, answer } => match answer {
@@ -526,14 +547,14 @@
             Order::Break { transaction } => self.end(transaction, b"", EndReason::BrokenOff),
             Order::Watch => {
                 self.discovery.watch(now);
-                self.discovery_news();
+                self.handle_discovery_updates();
             }
         }
     }
 }
 
-/// A failure at the start that the next try may not meet.
-fn may_pass(error: &std::io::Error) -> bool {
+/// Whether an error at the start is transient, so that another try may succeed.
+fn is_transient(error: &std::io::Error) -> bool {
     is_momentary(Operation::Open, error)
 }
 
@@ -545,27 +566,27 @@
 
 fn longest_wait(options: &Options) -> Micros {
     let longest = options.request_classes.iter().map(|c| micros(c.give_up_s)).max();
-    longest.unwrap_or(LONGEST_WAIT).min(LONGEST_WAIT)
+    longest.unwrap_or(MAX_WAIT).min(MAX_WAIT)
 }
 
-/// The shortest time within which a class wants its answers.
-fn shortest_aim(options: &Options) -> Micros {
+/// The shortest latency target of all request classes.
+fn min_latency_target(options: &Options) -> Micros {
     options.request_classes.iter().map(|c| micros(c.slo_s)).min().unwrap_or(0)
 }
 
-/// Ephemeral ports that the machine has; 0 where the system does not say.
+/// Number of ephemeral ports of the machine; 0 where the system does not report it.
 fn ephemeral_ports() -> u64 {
-    let told = read_text(Path::new("/proc/sys/net/ipv4/ip_local_port_range")).unwrap_or_default();
-    let mut ends = told.split_whitespace().map(str::parse::<u64>);
+    let text = read_text(Path::new("/proc/sys/net/ipv4/ip_local_port_range")).unwrap_or_default();
+    let mut ends = text.split_whitespace().map(str::parse::<u64>);
     match (ends.next(), ends.next()) {
         (Some(Ok(first)), Some(Ok(last))) => (last + 1).saturating_sub(first),
         _ => 0,
     }
 }
 
-/// Memory that the process holds now; none where the system does not say.
+/// Resident memory of the process in bytes; none where the system does not report it.
 fn resident_bytes() -> Option<u64> {
-    let told = read_text(Path::new("/proc/self/status")).ok()?;
-    let line = told.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
+    let text = read_text(Path::new("/proc/self/status")).ok()?;
+    let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
     Some(line.trim().trim_end_matches(" kB").parse::<u64>().ok()? << 10)
 }
--- a/src/net/node/intake.rs
+++ b/src/net/node/intake.rs
@@ -1,30 +1,30 @@
-//! Requests come in: what clients ask is checked and taken, refused or rejected.
+//! Intake of requests: each command of a client is checked, and then taken, refused or rejected.
 
 use super::{FAILED, Node, Phase};
 use crate::net::requests::{Ending, OpenRequest};
-use crate::net::virtual_server::News;
+use crate::net::virtual_server::ClientEvent;
 use lapisrudder::time_limits::RequestTime;
 use lapisrudder::wire::digest;
 use lapisrudder::{Micros, RequestId};
 use lapisrudder_codec::memcache::{MAX_WHOLE, OwnedRequest};
 use lapisrudder_engine::recorder::EndReason;
-use lapisrudder_engine::{LONGEST_HELD, Request, TakeError};
-use lapisrudder_limits::{Facts, Intake};
+use lapisrudder_engine::{MAX_TRANSACTION_TIME, Request, TakeError};
+use lapisrudder_limits::{Intake, RequestInfo};
 use tracing::debug;
 
 impl Node {
-    /// Sees to what the clients' side tells.
-    pub(super) fn client_news(&mut self) {
-        while let Some(news) = self.server.news.pop_front() {
-            match news {
-                News::Command { client, request, command, came_after } => {
-                    self.take(client, request, command, came_after);
+    /// Handles the events of the clients' side.
+    pub(super) fn handle_client_events(&mut self) {
+        while let Some(event) = self.server.events.pop_front() {
+            match event {
+                ClientEvent::Command { client, request, command, came_after } => {
+                    self.take_request(client, request, command, came_after);
                 }
-                News::Left { request } => self.close(request, Ending::ClientLeft),
-                News::DrainOver { request } => self.end(request, FAILED, EndReason::DrainOver),
-                News::Recall { ticket, retry_ms } => {
+                ClientEvent::ClientLeft { request } => self.close(request, Ending::ClientLeft),
+                ClientEvent::DrainOver { request } => self.end(request, FAILED, EndReason::DrainOver),
+                ClientEvent::Recall { ticket, retry_ms } => {
                     let Some(request) = self.requests.of_ticket(ticket) else { continue };
-                    // What has begun to be passed on is not taken back.
+                    // A value whose transfer to the client has begun is not recalled.
                     if self.requests.get(request).is_none_or(|open| open.streams) {
                         continue;
                     }
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Takes a transaction: from here on it is owed one final answer.
-    fn take(&mut self, client: u64, id: RequestId, command: OwnedRequest, came_after: Micros) {
+    /// Takes a transaction, which gets exactly one final answer from here on.
+    fn take_request(&mut self, client: u64, id: RequestId, command: OwnedRequest, came_after: Micros) {
         let now = self.clock.now();
         if self.phase == Phase::Refusing || self.server.refuses(now) {
             return self.server.answer(client, id, &[b"SERVER_ERROR busy\r\n"], now);
@@ -46,15 +46,19 @@
         let Some(class) = self.classes.find(name, now) else {
             return self.server.reject(client, id, "unknown class", now);
         };
-        let (worth, recallable, class) = (class.worth, class.recallable, class.place);
+        let (worth, recallable, class) = (class.worth, class.recallable, class.index);
         let Some(wait) = request.wait_ms() else {
             return self.server.reject(client, id, "bad time to wait", now);
         };
-        if self.engine.is_named(request.id) {
+        if self.engine.is_id_in_use(request.id) {
             return self.server.reject(client, id, TakeError::IdInUse, now);
         }
-        // Danger: a time that counted from when a request was read was over before its answer came.
-        let time = RequestTime::new(came_after, (wait as Micros).saturating_mul(1000).clamp(0, LONGEST_HELD));
+        // The client's time counts from the earliest moment at which the request can have arrived: counted
+        // from when it was read, the answer could come after the client has given up.
+        let time = RequestTime::new(
+            came_after,
+            (wait as Micros).saturating_mul(1000).clamp(0, MAX_TRANSACTION_TIME),
+        );
         let due = time.answer_by.max(now);
         debug!(
             request = %String::from_utf8_lossy(request.id),
@@ -63,15 +67,15 @@
             class = %String::from_utf8_lossy(name),
             wait_ms = wait,
             waited_us = now - came_after,
-            "taken"
+            "request taken"
         );
-        // Large values have a budget of their own.
+        // Large values have a budget of their own, so their bytes count here up to this size only.
         let bytes = command.bytes().min(MAX_WHOLE);
-        let facts = Facts { worth, left: due - now, bytes, class, recallable };
+        let facts = RequestInfo { worth, left: due - now, bytes, class, recallable };
         let ticket = match self.server.intake(client, &facts, now) {
             Intake::Take { ticket } => ticket,
             Intake::Refuse { retry_ms, .. } => {
-                debug!(request = %String::from_utf8_lossy(request.id), retry_ms, "refused by the limits");
+                debug!(request = %String::from_utf8_lossy(request.id), retry_ms, "request refused by the limits");
                 let line = format!("SERVER_ERROR busy {}\r\n", retry_ms.max(1));
                 return self.server.answer(client, id, &[line.as_bytes()], now);
             }
@@ -83,7 +87,7 @@
         match self.engine.take(now, id, request) {
             Ok(()) => self.requests.add(id, OpenRequest { client, ticket, streams: false, time }),
             Err(what) => {
-                self.server.over(ticket, false, now);
+                self.server.request_ended(ticket, false, now);
                 self.server.reject(client, id, what, now);
             }
         }
--- a/src/net/node/replacing.rs
+++ b/src/net/node/replacing.rs
@@ -1,40 +1,42 @@
-//! One process of a node takes the place of another: what each side tells, hands over and holds meanwhile.
+//! Take-over between two processes of one node: the messages that each side sends, what it hands over, and
+//! how many descriptors it holds meanwhile.
 
 use super::{Node, Phase, Successor};
 use crate::net::deadlines::Deadline;
-use crate::net::takeover::{Door, Link};
+use crate::net::takeover::{Link, TakeoverListener};
 use lapisrudder::maintenance::Ban;
 use lapisrudder::{Listed, Micros, ServerId, Stage};
 use lapisrudder_config::Target;
 use lapisrudder_io::held_descriptors;
-use lapisrudder_takeover::{self as talk, DrainCall, Grant, Lender, Message, State};
+use lapisrudder_takeover::{self as messages, DescriptorSplit, DrainCall, Grant, Message, State};
 use std::net::SocketAddr;
 use tracing::info;
 
-/// So many clients' connections go to the next process at a time, and so often. Guards the limit on descriptors: what
-/// it may hold grows with what this one has closed.
-const A_HAND: usize = 16;
-const HAND_EVERY: Micros = 5_000;
-/// Members that have left, of which the next process is told. A release replaces a few hundred at a time.
-const GONE: usize = 4096;
-/// A way in that could not be opened for the next process is tried again so soon.
-const OPEN_AGAIN: Micros = 100_000;
+/// Number of clients' connections that are handed to the successor at a time, and the interval. The pace
+/// follows the limit on descriptors: the successor's share grows with what this process has closed.
+const HAND_OVER_BATCH: usize = 16;
+const HAND_OVER_INTERVAL: Micros = 5_000;
+/// Maximum number of members that have left of which the successor is notified. A release replaces a few
+/// hundred at a time.
+const MAX_REMOVED_MEMBERS: usize = 4096;
+/// Delay before the take-over listener is opened again where that has failed.
+const REOPEN_DELAY: Micros = 100_000;
 
 impl Node {
-    /// Holds so many descriptors from now on; the rest are another process's.
-    pub(super) fn hold_to(&mut self, descriptors: usize, now: Micros) {
+    /// Limits this process to `descriptors` from now on; the other process may use the rest.
+    pub(super) fn set_descriptor_limit(&mut self, descriptors: usize, now: Micros) {
         self.sockets = descriptors.saturating_sub(self.own);
-        self.engine.hold_connections(self.sockets / 2, now);
+        self.engine.limit_connections(self.sockets / 2, now);
     }
 
-    pub(super) fn open_door(&mut self) {
-        let Some(place) = &self.place else { return };
-        match Door::open(place, &self.handle) {
-            Ok(door) => self.door = Some(door),
-            // Another process of this node could still listen beside this one.
+    pub(super) fn open_takeover_listener(&mut self) {
+        let Some(path) = &self.meeting_path else { return };
+        match TakeoverListener::open(path, &self.handle) {
+            Ok(listener) => self.takeover_listener = Some(listener),
+            // A failure is not fatal: another process of this node that starts now serves beside this one.
             Err(e) => {
-                info!("takeover: no other process can ask for now: {e}");
-                self.deadlines.add(self.clock.now() + OPEN_AGAIN, Deadline::OpenDoor);
+                info!("takeover: cannot open the listener, retrying: {e}");
+                self.deadlines.add(self.clock.now() + REOPEN_DELAY, Deadline::ReopenTakeover);
             }
         }
     }
@@ -43,204 +45,216 @@
         self.successor.as_ref().is_some_and(|s| s.ready)
     }
 
-    /// Begins with what the process before this one has, but for its list.
-    pub(super) fn begin_after(&mut self, state: State) {
+    /// Applies the state of the predecessor, except for its list of members.
+    pub(super) fn adopt_state(&mut self, state: State) {
         let now = self.clock.now();
         for ban in state.bans {
             self.engine.adopt_ban(ServerId(ban.id), Ban { name: ban.name, since: ban.since });
         }
         if state.standby || state.drain.is_some() {
-            self.take_drain_call(state.drain.unwrap_or(DrainCall::untimed(state.standby)), now);
+            self.apply_drain_call(state.drain.unwrap_or(DrainCall::untimed(state.standby)), now);
         }
-        self.granted(state.grant, now);
-        info!(descriptors = state.grant.descriptors, "takeover: beside the process before");
+        self.apply_grant(state.grant, now);
+        info!(descriptors = state.grant.descriptors, "takeover: started beside the predecessor");
     }
 
-    pub(super) fn granted(&mut self, grant: Grant, now: Micros) {
-        self.clients_elsewhere = grant.clients_kept;
-        self.hold_to(grant.descriptors, now);
+    pub(super) fn apply_grant(&mut self, grant: Grant, now: Micros) {
+        self.clients_at_predecessor = grant.clients_kept;
+        self.set_descriptor_limit(grant.descriptors, now);
     }
 
-    /// This process serves: new connections are its own, and whoever comes next asks here.
-    pub(super) fn take_over(&mut self) {
+    /// Reports to the predecessor that this process serves, which makes new connections its own.
+    pub(super) fn announce_ready(&mut self) {
         if let Some(link) = &mut self.predecessor {
-            link.say(&Message::Ready, None);
-            self.take_clients();
+            link.send(&Message::Ready, None);
+            self.begin_accepting_clients();
         }
     }
 
-    /// Clients come here from now on, and so does the next process.
-    pub(super) fn take_clients(&mut self) {
+    /// Accepts clients from now on, and opens the listener for the next take-over.
+    pub(super) fn begin_accepting_clients(&mut self) {
         self.server.begin_accepting();
-        if self.door.is_none() {
-            self.open_door();
+        if self.takeover_listener.is_none() {
+            self.open_takeover_listener();
         }
     }
 
-    /// Tells the other process, if there is one.
-    pub(super) fn tell(&mut self, message: &Message) {
-        self.predecessor.iter_mut().for_each(|link| link.say(message, None));
-        self.successor.iter_mut().for_each(|s| s.link.say(message, None));
+    /// Sends a message to the other process, if there is one.
+    pub(super) fn notify_peers(&mut self, message: &Message) {
+        self.predecessor.iter_mut().for_each(|link| link.send(message, None));
+        self.successor.iter_mut().for_each(|s| s.link.send(message, None));
     }
 
-    pub(super) fn somebody_knocks(&mut self) {
-        let Some(link) = self.door.as_ref().and_then(|door| door.accept(&self.handle)) else { return };
-        // One at a time: another finds its talk ended, and begins without.
+    pub(super) fn on_takeover_connection(&mut self) {
+        let Some(link) = self.takeover_listener.as_ref().and_then(|listener| listener.accept(&self.handle))
+        else {
+            return;
+        };
+        // Only one take-over runs at a time: a further connection is dropped, and its process starts without
+        // a take-over.
         if self.successor.is_none() && self.phase == Phase::Serving {
-            self.knocking = Some(link);
+            self.pending_successor = Some(link);
         }
     }
 
-    pub(super) fn hear_predecessor(&mut self, now: Micros) {
-        let Some((heard, over)) = self.predecessor.as_mut().map(Link::hear) else { return };
-        for (message, along) in heard {
+    pub(super) fn read_predecessor(&mut self, now: Micros) {
+        let Some((received, over)) = self.predecessor.as_mut().map(Link::read_messages) else { return };
+        for (message, fd) in received {
             match message {
-                Message::Grant(grant) => self.granted(grant, now),
+                Message::Grant(grant) => self.apply_grant(grant, now),
                 Message::Client { input } => {
-                    if let Some(along) = along {
-                        self.server.adopt(along, input, now, &mut self.deadlines);
+                    if let Some(fd) = fd {
+                        self.server.adopt(fd, input, now, &mut self.deadlines);
                     }
                 }
-                Message::Fleet(inherited) => self.begin_fleet(along.map(|fd| (inherited, fd)), now),
-                other => self.agree(other, now),
+                Message::Fleet(inherited) => self.join_fleet(fd.map(|fd| (inherited, fd)), now),
+                other => self.apply_operator_message(other, now),
             }
         }
         if let Some(why) = over {
-            info!("takeover: alone from here on: {why}");
+            info!("takeover: connection to the predecessor ended: {why}");
             self.predecessor = None;
-            self.begin_fleet(None, now);
-            self.clients_elsewhere = 0;
-            self.hold_to(self.all_descriptors, now);
-            // Danger: a process that was not ready yet never accepted, since there was nobody to take clients over from.
-            self.take_clients();
+            self.join_fleet(None, now);
+            self.clients_at_predecessor = 0;
+            self.set_descriptor_limit(self.all_descriptors, now);
+            // A process that was not ready when its predecessor ended must accept, too: there will be no
+            // take-over that makes it accept.
+            self.begin_accepting_clients();
         }
     }
 
-    pub(super) fn hear_successor(&mut self, now: Micros) {
-        let asks = self.successor.is_none();
-        let link = self.successor.as_mut().map(|s| &mut s.link).or(self.knocking.as_mut());
-        let Some((heard, over)) = link.map(Link::hear) else { return };
-        for (message, _) in heard {
+    pub(super) fn read_successor(&mut self, now: Micros) {
+        let is_new = self.successor.is_none();
+        let link = self.successor.as_mut().map(|s| &mut s.link).or(self.pending_successor.as_mut());
+        let Some((received, over)) = link.map(Link::read_messages) else { return };
+        for (message, _) in received {
             match message {
-                Message::Hello { name } if asks && name == self.name => self.lend(now),
-                Message::Ready if self.is_lending() => self.yield_to(now),
-                other => self.agree(other, now),
+                Message::Hello { name } if is_new && name == self.name => self.begin_hand_over(now),
+                Message::Ready if self.has_starting_successor() => self.yield_to_successor(now),
+                other => self.apply_operator_message(other, now),
             }
         }
         let Some(why) = over else { return };
-        self.knocking = None;
+        self.pending_successor = None;
         let Some(mut successor) = self.successor.take() else { return };
-        info!("takeover: the other process is gone, going on: {why}");
-        self.hold_to(self.all_descriptors, now);
+        info!("takeover: the successor is gone, this process continues: {why}");
+        self.set_descriptor_limit(self.all_descriptors, now);
         if successor.ready {
             if self.phase == Phase::Serving {
-                self.begin_fleet(None, now);
+                self.join_fleet(None, now);
             }
-            self.server.take_clients_back();
+            self.server.reclaim_clients();
             for (stream, input) in successor.link.unsent() {
                 self.server.adopt(stream, input, now, &mut self.deadlines);
             }
-            self.open_door();
+            self.open_takeover_listener();
         }
     }
 
-    pub(super) fn is_lending(&self) -> bool {
+    pub(super) fn has_starting_successor(&self) -> bool {
         self.successor.as_ref().is_some_and(|s| !s.ready)
     }
 
-    /// Another process wants to take the place of this one: it gets what is worth having, and room beside this one.
-    pub(super) fn lend(&mut self, now: Micros) {
+    /// Another process wants to take over: sends it the state of this process, and a share of the
+    /// descriptors.
+    pub(super) fn begin_hand_over(&mut self, now: Micros) {
         let listener = match self.server.listener() {
             Ok(Some(listener)) => listener,
-            Ok(None) => return self.knocking = None,
-            // Danger: the other process took its talk for ended, and began alone beside this one.
+            Ok(None) => return self.pending_successor = None,
+            // Retried later: if the connection were dropped, the other process would start alone beside this
+            // one.
             Err(e) => {
-                info!("takeover: nothing can be handed over for now: {e}");
-                self.deadlines.add(now + HAND_EVERY, Deadline::Lend);
+                info!("takeover: cannot copy the listener, retrying: {e}");
+                self.deadlines.add(now + HAND_OVER_INTERVAL, Deadline::BeginHandOver);
                 return;
             }
         };
-        let Some(mut link) = self.knocking.take() else { return };
-        let lender = Lender::new(self.all_descriptors, self.descriptors());
+        let Some(mut link) = self.pending_successor.take() else { return };
+        let split = DescriptorSplit::new(self.all_descriptors, self.descriptors());
         let maintenance = self.engine.maintenance();
         let state = State {
             standby: self.server.is_standby(),
             drain: self.drain_call,
-            bans: maintenance.bans().map(|(id, ban)| of_ban(id, ban)).collect(),
+            bans: maintenance.bans().map(|(id, ban)| to_wire_ban(id, ban)).collect(),
             discovery: self.discovery.address().to_string(),
             revision: self.discovery.revision(),
-            members: maintenance.told().map(|(listed, at)| of_member(listed, *at)).collect(),
-            gone: maintenance.gone().take(GONE).map(|(id, since)| talk::Gone { id: id.0, since }).collect(),
-            grant: lender.grant(self.server.count()),
+            members: maintenance.known_servers().map(|(listed, at)| to_wire_member(listed, *at)).collect(),
+            gone: maintenance
+                .unlisted_servers()
+                .take(MAX_REMOVED_MEMBERS)
+                .map(|(id, since)| messages::Gone { id: id.0, since })
+                .collect(),
+            grant: split.grant(self.server.count()),
         };
-        link.say(&Message::State(state), Some(listener));
-        self.successor = Some(Successor { link, lender, ready: false, clients: 0 });
-        info!("takeover: another process begins beside this one");
+        link.send(&Message::State(state), Some(listener));
+        self.successor = Some(Successor { link, split, ready: false, clients: 0 });
+        info!("takeover: a successor has started beside this process");
         self.hand_over(now);
     }
 
-    /// The other process serves.
-    pub(super) fn yield_to(&mut self, now: Micros) {
+    /// The successor serves: it gets the new connections and, in steps, those there are.
+    pub(super) fn yield_to_successor(&mut self, now: Micros) {
         self.successor.iter_mut().for_each(|s| s.ready = true);
         self.server.yield_clients(&mut self.deadlines);
-        self.door = None;
+        self.takeover_listener = None;
         if self.phase == Phase::Stopping {
             self.enter(Phase::Leaving);
         }
-        info!("takeover: another process serves, clients go to it");
-        self.yield_fleet(now);
+        info!("takeover: the successor serves, handing over clients");
+        self.hand_over_fleet(now);
         self.hand_over(now);
     }
 
-    /// Descriptors that the process holds now; where the system does not say, all that it may. Guards the limit: what it does
-    /// not know of it would lend.
+    /// Number of descriptors that the process holds; if the system does not report it, the maximum that it
+    /// may hold. The successor would otherwise be granted descriptors that are in use.
     pub(super) fn descriptors(&self) -> usize {
         held_descriptors().unwrap_or(self.all_descriptors)
     }
 
-    /// Hands clients' connections over on which nothing is owed, and says how much the other may hold by now.
+    /// Hands over clients' connections on which no answer is pending, and reports how many descriptors the
+    /// successor may hold.
     pub(super) fn hand_over(&mut self, now: Micros) {
         let Some(successor) = &mut self.successor else { return };
         if successor.ready {
-            for (stream, input) in self.server.leavers(A_HAND, now, &mut self.deadlines) {
-                successor.link.say(&Message::Client { input }, Some(stream));
+            for (stream, input) in self.server.take_transferable(HAND_OVER_BATCH, now, &mut self.deadlines) {
+                successor.link.send(&Message::Client { input }, Some(stream));
             }
         }
         let (held, clients) = (self.descriptors(), self.server.count());
         let Some(successor) = &mut self.successor else { return };
-        // What is left of its own is both sides'.
-        let room = successor.lender.kept().saturating_sub(held) / 2;
-        successor.clients = clients + room;
-        // Until the other serves, this process goes on with as many connections to members as it has.
-        let members = if successor.ready { 0 } else { self.engine.connections() + room };
-        self.engine.hold_connections(members, now);
-        if let Some(grant) = successor.lender.holds(held, clients) {
-            successor.link.say(&Message::Grant(grant), None);
+        // The spare descriptors of this process are split between clients and members.
+        let spare = successor.split.kept().saturating_sub(held) / 2;
+        successor.clients = clients + spare;
+        // Until the successor serves, this process keeps as many connections to members as it has.
+        let members = if successor.ready { 0 } else { self.engine.connections() + spare };
+        self.engine.limit_connections(members, now);
+        if let Some(grant) = successor.split.update(held, clients) {
+            successor.link.send(&Message::Grant(grant), None);
         }
-        self.deadlines.remove(self.handing.take());
-        self.handing = Some(self.deadlines.add(now + HAND_EVERY, Deadline::HandOver));
+        self.deadlines.remove(self.next_hand_over.take());
+        self.next_hand_over = Some(self.deadlines.add(now + HAND_OVER_INTERVAL, Deadline::HandOver));
     }
 
-    /// What operators have told the other process holds here, too.
-    pub(super) fn agree(&mut self, message: Message, now: Micros) {
+    /// Applies a management call that was made to the other process.
+    pub(super) fn apply_operator_message(&mut self, message: Message, now: Micros) {
         match message {
             Message::Out(ban) => {
                 self.engine.adopt_ban(ServerId(ban.id), Ban { name: ban.name, since: ban.since });
             }
-            // It was listed there, and so it was here or will be.
+            // The other process has that member in its list, so this one has it or will have it.
             Message::Back { id } => _ = self.engine.put_back(now, ServerId(id)),
-            Message::Standby(call) => self.take_drain_call(call, now),
+            Message::Standby(call) => self.apply_drain_call(call, now),
             _ => {}
         }
     }
 }
 
-pub(super) fn of_ban(id: ServerId, ban: &Ban) -> talk::Ban {
-    talk::Ban { id: id.0, name: ban.name.clone(), since: ban.since }
+pub(super) fn to_wire_ban(id: ServerId, ban: &Ban) -> messages::Ban {
+    messages::Ban { id: id.0, name: ban.name.clone(), since: ban.since }
 }
 
-fn of_member(listed: &Listed, endpoint: SocketAddr) -> talk::Member {
-    talk::Member {
+fn to_wire_member(listed: &Listed, endpoint: SocketAddr) -> messages::Member {
+    messages::Member {
         id: listed.server.0,
         zone: listed.zone,
         kind: listed.kind,
@@ -252,8 +266,8 @@
     }
 }
 
-/// The list that another process has, if it is of that discovery, and its version.
-pub(super) fn list_of(state: &State, discovery: SocketAddr) -> Option<(Option<u64>, Vec<Target>)> {
+/// The member list of another process and its version, if it comes from the same discovery server.
+pub(super) fn inherited_list(state: &State, discovery: SocketAddr) -> Option<(Option<u64>, Vec<Target>)> {
     if state.revision.is_none() || state.discovery != discovery.to_string() {
         return None;
     }
@@ -261,13 +275,13 @@
     Some((state.revision, targets))
 }
 
-/// A member that has left, as it was before: the list that follows does not name it.
-pub(super) fn of_gone(gone: &talk::Gone) -> Target {
+/// A member that has left, in the form of a listed one; the list that follows does not name it.
+pub(super) fn removed_target(gone: &messages::Gone) -> Target {
     let listed = Listed { server: ServerId(gone.id), since: gone.since, ..Listed::default() };
     Target { listed, endpoint: ([0, 0, 0, 0], 0).into() }
 }
 
-fn to_target(m: &talk::Member) -> Option<Target> {
+fn to_target(m: &messages::Member) -> Option<Target> {
     let listed = Listed {
         server: ServerId(m.id),
         zone: m.zone,
--- a/src/net/node/report.rs
+++ b/src/net/node/report.rs
@@ -1,5 +1,5 @@
-//! What the node tells of its state at the default level of the log: at each phase of its end, of a drain, and when a rule is
-//! broken. All of it is bounded.
+//! State of the node in the log at the default level: at each phase of its end, in a drain, and when a rule
+//! is violated. The volume is bounded.
 
 use super::{Node, Phase};
 use lapisrudder::permit::Violations;
@@ -9,32 +9,32 @@
 use std::fmt::Write;
 use tracing::{info, warn};
 
-/// Requests or connections that one line tells of, and lines at the most.
-const A_LINE: usize = 8;
-const LINES: usize = 10;
-/// Entries of the history that one line tells.
-const ENTRIES: usize = 64;
-/// The history is written out by itself no more often than this.
-const HISTORY_EVERY: Micros = 10_000_000;
+/// Maximum number of requests or connections in one line, and of lines.
+const ITEMS_PER_LINE: usize = 8;
+const MAX_LINES: usize = 10;
+/// Maximum number of entries of the history in one line.
+const ENTRIES_PER_LINE: usize = 64;
+/// Minimum interval between two automatic logs of the history.
+const HISTORY_INTERVAL: Micros = 10_000_000;
 
-/// What was told of violations so far.
+/// Violations that have been logged.
 #[derive(Default)]
-pub(super) struct Told {
+pub(super) struct ReportedViolations {
     violations: u64,
-    /// When the history was last written out by itself.
+    /// When the history was last logged automatically.
     history: Option<Micros>,
 }
 
-/// Requests that are owed an answer, by how far they are.
+/// Number of open requests by their progress.
 #[derive(Default)]
 struct RequestStates {
-    /// No attempt is out.
+    /// No attempt is in flight.
     without_attempt: usize,
-    /// Attempts are out, and none has been written whole.
+    /// Attempts are in flight, and none of them is completely written.
     unsent: usize,
-    /// An attempt has been written whole.
+    /// An attempt is completely written.
     sent: usize,
-    /// The value is being passed on.
+    /// The value is being streamed to the client.
     streaming: usize,
 }
 
@@ -46,11 +46,11 @@
 }
 
 impl Node {
-    /// How many requests and connections are open, in which state.
-    pub(super) fn tell_state(&self, moment: &str) {
+    /// Logs the number of open requests and connections by state.
+    pub(super) fn log_state(&self, moment: &str) {
         let mut requests = RequestStates::default();
         for (id, open) in self.requests.iter() {
-            let attempts = self.engine.attempts_out(*id);
+            let attempts = self.engine.open_attempts(*id);
             let count = match () {
                 () if open.streams => &mut requests.streaming,
                 () if attempts.is_empty() => &mut requests.without_attempt,
@@ -63,12 +63,12 @@
         info!(about = %moment, %requests, %connections, attempts = self.engine.flows(), "open");
     }
 
-    /// Each request that is owed an answer: its id, class, time left, and the servers of its attempts.
-    pub(super) fn tell_requests(&self, moment: &str) {
+    /// Logs each open request: its id, class, time left, and the servers of its attempts.
+    pub(super) fn log_requests(&self, moment: &str) {
         let now = self.clock.now();
         let mut open: Vec<RequestId> = self.requests.iter().map(|(id, _)| *id).collect();
         open.sort_unstable();
-        tell_parts(moment, "open requests", open.iter().map(|id| self.describe(*id, now)));
+        log_in_chunks(moment, "open requests", open.iter().map(|id| self.describe(*id, now)));
     }
 
     pub(super) fn describe(&self, id: RequestId, now: Micros) -> String {
@@ -79,7 +79,7 @@
             let name = String::from_utf8_lossy(command.id);
             let _ = write!(text, " id={name} class={class} left_ms={}", (request.due - now) / 1000);
         }
-        for attempt in self.engine.attempts_out(id) {
+        for attempt in self.engine.open_attempts(id) {
             let state = if attempt.sent { "sent" } else { "unsent" };
             match attempt.endpoint {
                 Some(at) => _ = write!(text, " {state}@{at}"),
@@ -89,52 +89,52 @@
         text
     }
 
-    /// Clients' connections that are left in a drain, each with its state.
-    pub(super) fn tell_connections(&self, moment: &str) {
-        tell_parts(moment, "open connections", self.server.describe_all(self.clock.now()).into_iter());
+    /// Logs each client connection with its state.
+    pub(super) fn log_connections(&self, moment: &str) {
+        log_in_chunks(moment, "open connections", self.server.describe_all(self.clock.now()).into_iter());
     }
 
-    /// Tells what was done although it was not allowed, if something new was, with the steps that led there.
-    pub(super) fn tell_violations(&mut self) {
+    /// Logs the actions that violated a rule, if there are new ones, with the steps that led to them.
+    pub(super) fn log_violations(&mut self) {
         let (engine, clients): (&Violations, _) = (self.engine.violations(), &self.server.violations);
         let total = engine.total() + clients.total();
-        if total <= std::mem::replace(&mut self.told.violations, total) {
+        if total <= std::mem::replace(&mut self.reported.violations, total) {
             return;
         }
-        warn!(attempts = %engine, clients = %clients, "not allowed, and done all the same");
+        warn!(attempts = %engine, clients = %clients, "rules were violated");
         let now = self.clock.now();
-        if self.told.history.is_none_or(|last| now - last >= HISTORY_EVERY) {
-            self.told.history = Some(now);
-            self.tell_history();
+        if self.reported.history.is_none_or(|last| now - last >= HISTORY_INTERVAL) {
+            self.reported.history = Some(now);
+            self.log_history();
         }
     }
 
-    /// Writes out the last steps of requests; gives how many.
-    pub(super) fn tell_history(&self) -> usize {
+    /// Logs the last steps of requests; returns the number of steps.
+    pub(super) fn log_history(&self) -> usize {
         let recorders = [self.engine.recorder(), self.requests.recorder()];
         let mut entries: Vec<&Entry> = recorders.into_iter().flat_map(Recorder::entries).collect();
         entries.sort_by_key(|entry| entry.at);
-        for (part, some) in entries.chunks(ENTRIES).enumerate() {
+        for (part, some) in entries.chunks(ENTRIES_PER_LINE).enumerate() {
             let steps = joined(some.iter());
             info!(about = %part, now = self.clock.now(), %steps, "history");
         }
         entries.len()
     }
 
-    /// The stopping node goes on to another phase.
+    /// Enters another phase of the stop.
     pub(super) fn enter(&mut self, phase: Phase) {
         if self.phase != phase {
             self.phase = phase;
-            self.tell_state(phase.name());
+            self.log_state(phase.name());
         }
     }
 }
 
-/// Tells of many things, a few in a line, and of how many more there are.
-fn tell_parts(moment: &str, what: &str, parts: impl ExactSizeIterator<Item = String>) {
+/// Logs many items, a few in a line, and how many there are in all.
+fn log_in_chunks(moment: &str, what: &str, parts: impl ExactSizeIterator<Item = String>) {
     let all = parts.len();
-    let parts: Vec<String> = parts.take(A_LINE * LINES).collect();
-    for (line, some) in parts.chunks(A_LINE).enumerate() {
+    let parts: Vec<String> = parts.take(ITEMS_PER_LINE * MAX_LINES).collect();
+    for (line, some) in parts.chunks(ITEMS_PER_LINE).enumerate() {
         info!(about = %format_args!("{moment} {line}"), what, all, each = %some.join("; "), "left");
     }
 }
--- a/src/net/takeover.rs
+++ b/src/net/takeover.rs
@@ -1,9 +1,12 @@
-//! The talk between two processes of one node, on a Unix socket in `$TMPDIR`, and the sockets that go along. What is
-//! said is [`lapisrudder_takeover`]'s matter; what follows from it, the node's.
+//! The connection between two processes of one node during a take-over, on a Unix socket in `$TMPDIR`, and
+//! the sockets that are passed over it. The messages are defined in [`lapisrudder_takeover`]; the node acts
+//! on them.
 
 use super::{Handle, Owner, Ready};
-use lapisrudder_host::Watched;
-use lapisrudder_io::{Knock, Listener, LocalListener, LocalStream, Message as Heard, Sent, Sibling, knock};
+use lapisrudder_host::RegisteredSource;
+use lapisrudder_io::{
+    Listener, LocalAccepted, LocalListener, LocalStream, Message as Received, PeerProbe, Sent, probe_peer,
+};
 use lapisrudder_takeover::{BadFrame, Message, State, decode, encode};
 use std::collections::VecDeque;
 use std::io;
@@ -14,94 +17,97 @@
 use thiserror::Error;
 use tracing::info;
 
-/// The old process has this long to say what it has. Its turns take milliseconds; one that hangs is not waited for.
-const ANSWERS_IN: Duration = Duration::from_millis(1000);
-/// Descriptors that the talk takes: the listener, a peer, and one that goes along.
+/// The old process must send its state within this time. Its event-loop iterations take milliseconds; one
+/// that hangs is not waited for.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Descriptors that the take-over needs: the listener, a connection, and a socket that is being passed.
 pub const SOCKETS: usize = 4;
-/// Whether there is an old process is tried to be found out for this long.
-const ASKS_FOR: Duration = Duration::from_millis(1000);
-/// Bytes read at a time.
-const CHUNK: usize = 64 << 10;
+/// Connecting to the old process is retried for this long.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Size of the read buffer.
+const READ_SIZE: usize = 64 << 10;
 
-/// Why there is no talk.
+/// Why the connection to the other process failed or ended.
 #[derive(Debug, Error)]
 pub enum Error {
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error(transparent)]
     Frame(#[from] BadFrame),
-    #[error("it ended the talk")]
+    #[error("the other process closed the connection")]
     Ended,
-    #[error("it said something else than what it has")]
+    #[error("the other process sent an unexpected message")]
     Unexpected,
-    #[error("it sent no socket along")]
+    #[error("the other process sent a message without its socket")]
     NoSocket,
 }
 
-/// Where the processes of one node meet; nowhere without `$TMPDIR`, or where the address is not fixed.
-pub fn meeting_place(name: &str, listen: SocketAddr) -> Option<PathBuf> {
+/// Path of the Unix socket on which processes of one node take over from each other; none without `$TMPDIR`,
+/// or if the port is not fixed.
+pub fn meeting_path(name: &str, listen: SocketAddr) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|dir| !dir.is_empty())?;
     let id = lapisrudder::wire::digest(&format!("{name} {listen}"));
     (listen.port() != 0).then(|| Path::new(&folder).join(format!("lapisrudder-{id:016x}")))
 }
 
-/// A message on its way, and the socket that goes along.
+/// A message that is being sent, and the socket that is passed with it.
 struct Outgoing {
     frame: Vec<u8>,
     sent: usize,
-    along: Option<OwnedFd>,
+    fd: Option<OwnedFd>,
 }
 
-/// One end of the talk.
+/// The connection to the other process.
 pub struct Link {
-    stream: Watched<Ready, LocalStream>,
+    stream: RegisteredSource<Ready, LocalStream>,
     outgoing: VecDeque<Outgoing>,
     input: Vec<u8>,
-    /// Sockets that came along, in order.
-    came: VecDeque<OwnedFd>,
-    /// A call failed for a moment, and no readiness will tell: it is to be heard again.
-    again: bool,
+    /// Sockets that were received, in order.
+    received: VecDeque<OwnedFd>,
+    /// A call failed with a transient error, and no readiness will be reported: the connection has to be read
+    /// again.
+    needs_retry: bool,
 }
 
-/// What a read brought.
+/// Outcome of a read.
 #[derive(PartialEq)]
-enum More {
-    Came,
+enum ReadOutcome {
+    Data,
     Nothing,
 }
 
 impl Link {
     fn new(stream: LocalStream, handle: &Handle, owner: Owner) -> Link {
-        let (outgoing, input, came) = (VecDeque::new(), Vec::new(), VecDeque::new());
-        let stream = Watched::edge(stream, handle, owner);
-        Link { stream, outgoing, input, came, again: false }
+        let (outgoing, input, received) = (VecDeque::new(), Vec::new(), VecDeque::new());
+        let stream = RegisteredSource::edge(stream, handle, owner);
+        Link { stream, outgoing, input, received, needs_retry: false }
     }
 
-    /// Puts it on the loop.
-    fn watch(&mut self) -> io::Result<()> {
-        self.stream.never_block()?;
-        self.again = true;
+    /// Makes the socket non-blocking, and has it registered in the event loop at the next read.
+    fn make_nonblocking(&mut self) -> io::Result<()> {
+        self.stream.set_nonblocking()?;
+        self.needs_retry = true;
         Ok(())
     }
 
-    /// It is to be heard again shortly.
-    pub fn is_behind(&self) -> bool {
-        self.again
+    /// Whether the connection has to be read again shortly.
+    pub fn needs_retry(&self) -> bool {
+        self.needs_retry
     }
 
-    /// What the loop would have told of it may have been lost.
-    pub fn look_again(&mut self) {
-        self.again = true;
+    /// Has the connection read again after the event loop has failed, since it may have lost its events.
+    pub fn recheck(&mut self) {
+        self.needs_retry = true;
     }
 
-    /// Says something, as far as the peer takes it by now; a socket may go along. An error comes back when the peer is
-    /// heard.
-    pub fn say(&mut self, message: &Message, along: Option<OwnedFd>) {
-        self.outgoing.push_back(Outgoing { frame: encode(message), sent: 0, along });
+    /// Sends a message, as far as the peer takes it by now; a socket may be passed with it. An error is
+    /// reported by the next read.
+    pub fn send(&mut self, message: &Message, fd: Option<OwnedFd>) {
+        self.outgoing.push_back(Outgoing { frame: encode(message), sent: 0, fd });
         let _ = self.flush();
     }
 
-    /// All that was said has been sent.
+    /// Whether all messages have been sent.
     pub fn is_flushed(&self) -> bool {
         self.outgoing.is_empty()
     }
@@ -110,16 +116,16 @@
     fn flush(&mut self) -> Result<(), Error> {
         while let Some(next) = self.outgoing.front_mut() {
             let rest = next.frame.get(next.sent..).unwrap_or_default();
-            match self.stream.send(rest, next.along.as_ref().map(AsFd::as_fd))? {
+            match self.stream.send(rest, next.fd.as_ref().map(AsFd::as_fd))? {
                 Sent::Bytes(n) => {
-                    (next.sent, next.along) = (next.sent + n, None);
+                    (next.sent, next.fd) = (next.sent + n, None);
                     if next.sent >= next.frame.len() {
                         self.outgoing.pop_front();
                     }
                 }
                 Sent::Full => return Ok(()),
                 Sent::Later => {
-                    self.again = true;
+                    self.needs_retry = true;
                     return Ok(());
                 }
             }
@@ -128,128 +134,133 @@
     }
 
     /// Reads once.
-    fn read(&mut self) -> Result<More, Error> {
-        let mut buffer = vec![0; CHUNK];
+    fn read(&mut self) -> Result<ReadOutcome, Error> {
+        let mut buffer = vec![0; READ_SIZE];
         match self.stream.receive(&mut buffer)? {
-            Heard::Bytes(bytes, along) => {
-                self.came.extend(along);
+            Received::Bytes(bytes, fd) => {
+                self.received.extend(fd);
                 self.input.extend_from_slice(buffer.get(..bytes).unwrap_or_default());
-                Ok(More::Came)
+                Ok(ReadOutcome::Data)
             }
-            Heard::End => Err(Error::Ended),
-            Heard::NotReady => Ok(More::Nothing),
-            Heard::Later => {
-                self.again = true;
-                Ok(More::Nothing)
+            Received::End => Err(Error::Ended),
+            Received::NotReady => Ok(ReadOutcome::Nothing),
+            Received::Later => {
+                self.needs_retry = true;
+                Ok(ReadOutcome::Nothing)
             }
         }
     }
 
-    /// The next message, if it is whole, and the socket that came along where one must.
+    /// The next complete message, with the socket that must come with it.
     fn take(&mut self) -> Result<Option<(Message, Option<OwnedFd>)>, Error> {
         let Some((message, used)) = decode(&self.input)? else { return Ok(None) };
         self.input.drain(..used);
-        let along = match message {
+        let fd = match message {
             Message::State(_) | Message::Client { .. } | Message::Fleet(_) => {
-                Some(self.came.pop_front().ok_or(Error::NoSocket)?)
+                Some(self.received.pop_front().ok_or(Error::NoSocket)?)
             }
             _ => None,
         };
-        Ok(Some((message, along)))
+        Ok(Some((message, fd)))
     }
 
-    /// What has come, and what ended the talk, if that is so.
-    pub fn hear(&mut self) -> (Vec<(Message, Option<OwnedFd>)>, Option<Error>) {
-        let mut heard = Vec::new();
+    /// Returns the messages that have arrived, and the error that ended the connection, if any.
+    pub fn read_messages(&mut self) -> (Vec<(Message, Option<OwnedFd>)>, Option<Error>) {
+        let mut messages = Vec::new();
         let mut over = None;
-        self.again = !self.stream.ensure();
+        self.needs_retry = !self.stream.ensure_enabled();
         loop {
             let more = self.read();
             loop {
                 match self.take() {
-                    Ok(Some(message)) => heard.push(message),
+                    Ok(Some(message)) => messages.push(message),
                     Ok(None) => break,
-                    Err(e) => return (heard, Some(e)),
+                    Err(e) => return (messages, Some(e)),
                 }
             }
             match more {
-                Ok(More::Came) => {}
-                Ok(More::Nothing) => break,
+                Ok(ReadOutcome::Data) => {}
+                Ok(ReadOutcome::Nothing) => break,
                 Err(e) => {
                     over = Some(e);
                     break;
                 }
             }
         }
-        (heard, over.or_else(|| self.flush().err()))
+        (messages, over.or_else(|| self.flush().err()))
     }
 
-    /// Clients' connections that were to go along, and did not, with what was read of their next commands.
+    /// Clients' connections that were to be passed and were not, with what was read of their next commands.
     pub fn unsent(&mut self) -> Vec<(OwnedFd, Vec<u8>)> {
-        let client = |o: Outgoing| match (decode(&o.frame), o.along) {
-            (Ok(Some((Message::Client { input }, _))), Some(along)) => Some((along, input)),
+        let client = |o: Outgoing| match (decode(&o.frame), o.fd) {
+            (Ok(Some((Message::Client { input }, _))), Some(fd)) => Some((fd, input)),
             _ => None,
         };
         self.outgoing.drain(..).filter_map(client).collect()
     }
 }
 
-/// Asks the process that serves at present for what it has. `None` where there is none; gives what it said, the
-/// clients' listener, and the talk, which goes on.
-pub fn ask(place: &Path, name: &str, handle: &Handle) -> Result<Option<(State, Listener, Link)>, Error> {
-    let Knock::Somebody(stream) = knock(place, ASKS_FOR)? else { return Ok(None) };
-    stream.block_for(ANSWERS_IN)?;
+/// Asks the process that serves at present for its state. Returns `None` if there is none; else its state,
+/// the clients' listener, and the connection, which stays open.
+pub fn request_state(
+    path: &Path,
+    name: &str,
+    handle: &Handle,
+) -> Result<Option<(State, Listener, Link)>, Error> {
+    let PeerProbe::Listening(stream) = probe_peer(path, PROBE_TIMEOUT)? else { return Ok(None) };
+    stream.set_io_timeout(REPLY_TIMEOUT)?;
     let mut link = Link::new(stream, handle, Owner::Predecessor);
-    link.say(&Message::Hello { name: name.into() }, None);
-    let until = Instant::now() + ANSWERS_IN;
+    link.send(&Message::Hello { name: name.into() }, None);
+    let until = Instant::now() + REPLY_TIMEOUT;
     loop {
         link.flush()?;
-        if let Some((message, along)) = link.take()? {
+        if let Some((message, fd)) = link.take()? {
             let Message::State(state) = message else { return Err(Error::Unexpected) };
-            let listener = Listener::adopt(along.ok_or(Error::NoSocket)?)?;
-            link.watch()?;
+            let listener = Listener::adopt(fd.ok_or(Error::NoSocket)?)?;
+            link.make_nonblocking()?;
             return Ok(Some((state, listener, link)));
         }
         let more = link.read()?;
-        if more == More::Nothing && Instant::now() >= until {
+        if more == ReadOutcome::Nothing && Instant::now() >= until {
             return Err(io::Error::from(io::ErrorKind::TimedOut).into());
         }
     }
 }
 
-/// Where the next process of this node can ask.
-pub struct Door {
-    listener: Watched<Ready, LocalListener>,
+/// The listener for the next process of this node.
+pub struct TakeoverListener {
+    listener: RegisteredSource<Ready, LocalListener>,
 }
 
-impl Door {
-    /// Opens it at that place, over whatever is there.
-    pub fn open(place: &Path, handle: &Handle) -> io::Result<Door> {
-        let beside = place.with_extension(std::process::id().to_string());
-        let listener = LocalListener::bind(place, &beside)?;
-        let mut listener = Watched::level(listener, handle, Owner::Door);
-        listener.ensure();
-        Ok(Door { listener })
+impl TakeoverListener {
+    /// Listens at `path`, and replaces any socket there.
+    pub fn open(path: &Path, handle: &Handle) -> io::Result<TakeoverListener> {
+        let temporary = path.with_extension(std::process::id().to_string());
+        let listener = LocalListener::bind(path, &temporary)?;
+        let mut listener = RegisteredSource::level(listener, handle, Owner::TakeoverListener);
+        listener.ensure_enabled();
+        Ok(TakeoverListener { listener })
     }
 
-    /// The loop tells of it.
-    pub fn is_telling(&self) -> bool {
-        self.listener.is_telling()
+    /// Whether the event loop reports connections.
+    pub fn is_enabled(&self) -> bool {
+        self.listener.is_enabled()
     }
 
-    /// Has the loop tell of it, if that can be by now.
-    pub fn ensure(&mut self) {
-        self.listener.ensure();
+    /// Registers the listener in the event loop, if that is possible by now.
+    pub fn ensure_enabled(&mut self) {
+        self.listener.ensure_enabled();
     }
 
-    /// Whoever has come. Who cannot be taken for now waits; the loop tells again.
+    /// Accepts a connection. One that cannot be accepted for now stays in the queue, and the event loop
+    /// reports it again.
     pub fn accept(&self, handle: &Handle) -> Option<Link> {
-        let Sibling::Came(stream) = self.listener.accept() else { return None };
+        let LocalAccepted::Connection(stream) = self.listener.accept() else { return None };
         let mut link = Link::new(stream, handle, Owner::Successor);
-        match link.watch() {
+        match link.make_nonblocking() {
             Ok(()) => Some(link),
             Err(e) => {
-                info!("takeover: a new process cannot be heard: {e}");
+                info!("takeover: cannot read from a new process: {e}");
                 None
             }
         }
