--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -140,7 +140,7 @@
     /// The time by which a drain closes the connection.
     pub close_by: Option<Micros>,
     /// When it arrived, if nothing has been read from it yet; else `Micros::MIN`.
-    pub since_arrival: Micros,
+    pub arrived_at: Micros,
     /// The unread data arrived after this time; none if none is known to have arrived.
     came_after: Option<Micros>,
     /// Everything that had arrived before this time is read.
@@ -172,7 +172,7 @@
             last_progress: now,
             last_taken: now,
             close_by: None,
-            since_arrival: now,
+            arrived_at: now,
             came_after: None,
             read_empty_at: Micros::MIN,
             deadline: None,
@@ -255,7 +255,7 @@
 
     /// Whether nothing has been read from it yet.
     pub fn is_fresh(&self) -> bool {
-        self.since_arrival != Micros::MIN
+        self.arrived_at != Micros::MIN
     }
 
     /// Whether the peer has closed, even if data before that is unread. If that is unknown, it is checked
@@ -369,7 +369,7 @@
                 // A short read does not prove that the socket is empty: the rest of a command would wait for
                 // an edge-triggered event that has already been reported.
                 self.unread = held + n == scratch.len() || self.socket.has_unread() != Probe::No;
-                self.since_arrival = Micros::MIN;
+                self.arrived_at = Micros::MIN;
                 n
             }
             Read::NotReady => {
--- a/src/net/node/intake.rs
+++ b/src/net/node/intake.rs
@@ -75,7 +75,11 @@
         let ticket = match self.server.intake(client, &facts, now) {
             Intake::Take { ticket } => ticket,
             Intake::Refuse { retry_ms, .. } => {
-                debug!(request = %String::from_utf8_lossy(request.id), retry_ms, "request refused by the limits");
+                debug!(
+                    request = %String::from_utf8_lossy(request.id),
+                    retry_ms,
+                    "request refused by the limits"
+                );
                 let line = format!("SERVER_ERROR busy {}\r\n", retry_ms.max(1));
                 return self.server.answer(client, id, &[line.as_bytes()], now);
             }
--- a/src/net/virtual_server.rs
+++ b/src/net/virtual_server.rs
@@ -542,7 +542,11 @@
             Some(due) if due <= now => {
                 let drained = client.is_past_drain(now);
                 if drained && !client.lingers() {
-                    warn!(about = %format_args!("connection {id}"), state = %client.describe(now), "held past a drain");
+                    warn!(
+                        about = %format_args!("connection {id}"),
+                        state = %client.describe(now),
+                        "held past a drain"
+                    );
                     self.violations.record(Err(Denial::OpenAfterDrain));
                 }
                 self.remove(
--- a/src/net/virtual_server/accepting.rs
+++ b/src/net/virtual_server/accepting.rs
@@ -140,8 +140,8 @@
         now: Micros,
         deadlines: &mut Deadlines,
     ) -> Option<u64> {
-        let speaks = stream.has_input();
-        let (conn, mut victim) = match self.admission.on_accepted(now, peer.ip(), speaks) {
+        let has_input = stream.has_input();
+        let (conn, mut victim) = match self.admission.on_accepted(now, peer.ip(), has_input) {
             Verdict::Keep { conn } => (conn, None),
             Verdict::KeepAndClose { conn, victim } => (conn, Some(victim)),
             Verdict::Refuse { retry_ms, .. } => {
@@ -166,7 +166,7 @@
         // A connection that cannot be registered at once is kept and retried: otherwise its requests would
         // never be read.
         client.ensure_registered();
-        if speaks || client.needs_retry {
+        if has_input || client.needs_retry {
             client.mark_readable(came_after);
             self.touched.push(id);
         }
--- a/src/net/virtual_server/release.rs
+++ b/src/net/virtual_server/release.rs
@@ -87,7 +87,7 @@
         let Some(id) = self.on_accepted(stream, peer, came_after, now, deadlines) else { return };
         if let Some(client) = self.clients.get_mut(&id) {
             client.mark_readable(came_after);
-            (client.input, client.since_arrival) = (input, Micros::MIN);
+            (client.input, client.arrived_at) = (input, Micros::MIN);
             self.admission.on_close_aborted(now, client.conn);
             self.touched.push(id);
         }
@@ -168,16 +168,16 @@
         if drains == [None, None] {
             return;
         }
-        let release = |(id, client): (&u64, &mut Client)| {
-            let phases = drains.iter().flatten().map(|drain| drain.phase(*id, client.since_arrival, now));
+        let action = |(id, client): (&u64, &mut Client)| {
+            let phases = drains.iter().flatten().map(|drain| drain.phase(*id, client.arrived_at, now));
             let phase = phases.max().unwrap_or(Phase::Before);
-            let release =
+            let action =
                 if phase == Phase::Before { DrainAction::Keep } else { phase.action(client.drain_state()) };
-            (release != DrainAction::Keep).then_some((*id, release))
+            (action != DrainAction::Keep).then_some((*id, action))
         };
-        let released: Vec<_> = self.clients.iter_mut().filter_map(release).collect();
-        for (id, release) in released {
-            match release {
+        let actions: Vec<_> = self.clients.iter_mut().filter_map(action).collect();
+        for (id, action) in actions {
+            match action {
                 DrainAction::Keep => {}
                 DrainAction::Read => self.touched.push(id),
                 DrainAction::Close => self.close_gracefully(id, now, deadlines),
@@ -194,13 +194,13 @@
     /// continues.
     fn fail_pending(&mut self, id: u64) {
         let Some(client) = self.clients.get_mut(&id) else { return };
-        let owed = client.slots.iter().filter_map(|slot| match slot {
+        let pending = client.slots.iter().filter_map(|slot| match slot {
             Slot::Waiting(request) if request.0 != READY_REQUEST => {
                 Some(ClientEvent::DrainOver { request: *request })
             }
             _ => None,
         });
-        self.events.extend(owed);
+        self.events.extend(pending);
         client.stop_taking();
     }
 }
