--- a/src/net/virtual_server/states.rs
+++ b/src/net/virtual_server/states.rs
@@ -1,22 +1,22 @@
-//! States of clients' connections, as logs tell of them.
+//! States of clients' connections for logs.
 
 use crate::net::client::Client;
 use lapisrudder_limits::Activity;
 use std::fmt;
 
-/// How many connections there are in each state.
+/// Number of connections in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionStates {
     idle: usize,
     unfinished: usize,
     owed: usize,
     over: usize,
-    /// Of these, so many go to another process.
+    /// How many of these are to be handed to another process.
     leaving: usize,
 }
 
 impl ConnectionStates {
-    /// Counts one more.
+    /// Counts one connection.
     pub fn count(&mut self, client: &Client) {
         let state = match client.activity() {
             Activity::Idle => &mut self.idle,
