--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -6,17 +6,17 @@
 #![forbid(unsafe_code)]
 
 mod audit;
-mod cold;
 mod health;
 pub mod interface;
 pub mod maintenance;
+mod origin_concurrency;
+mod overload;
 pub mod permit;
-mod pressure;
-mod room;
 pub mod rules;
+mod slow_start;
 mod state;
 pub mod time_limits;
-mod turns;
+mod token_bucket;
 
 pub use audit::Audit;
 pub use interface::*;
--- a/crates/decisions/src/rules.rs
+++ b/crates/decisions/src/rules.rs
@@ -3,13 +3,13 @@
 //! goes to the least-connection server; a key moves when its server is over the high mark while another is
 //! under the low one, or at twice the high mark. All else is an exception to that, in a section of its own.
 
-use crate::cold::{self, Peers, Sign};
 use crate::health::{self, Suspicion};
 use crate::interface::*;
 use crate::permit::Repeat;
+use crate::slow_start::{self, Peers, Sign};
 use crate::state::*;
-use crate::turns::{self, Turns};
-use crate::{pressure, room};
+use crate::token_bucket::{self, Turns};
+use crate::{origin_concurrency, overload};
 use lapisrudder_limits::follow::{End, Sent, Settings as Room};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
@@ -43,8 +43,7 @@
 /// balancers. Danger: twenty at each of hundreds, or one at each of thousands, were a jam by themselves.
 const RETRY_EARN: f64 = 0.15;
 const RETRY_SAVED: f64 = 60.0;
-/// A server that the list no longer has is forgotten this long after its last answer; a drained one (which an
-/// old list may bring back) after the other.
+/// Retention after the last answer: of unlisted servers, and of drained ones, which an old list may revive.
 const DOUBT_LASTS: Micros = 60_000_000;
 const DRAIN_LASTS: Micros = 3_600_000_000;
 /// Time over which the rate that warm servers carry is taken.
@@ -147,8 +146,10 @@
         self.forget_gone();
         self.servers.recount();
         if self.origin.follow.is_new() {
-            self.origin =
-                Origin::new(room::at_origin(&self.settings, self.servers.count, self.own), self.now);
+            self.origin = Origin::new(
+                origin_concurrency::at_origin(&self.settings, self.servers.count, self.own),
+                self.now,
+            );
         }
         (0..self.servers.kinds.len()).for_each(|kind| self.resize(kind));
         self.drain_queue(out);
@@ -454,7 +455,7 @@
 
     fn retries_saved(&self) -> f64 {
         let per_s = (self.learned.requests.count - 1.0).max(0.0) / HOT_FADES * 1e6;
-        turns::retry_depth(RETRY_SAVED, self.settings.siblings, RETRY_EARN * per_s)
+        token_bucket::retry_depth(RETRY_SAVED, self.settings.siblings, RETRY_EARN * per_s)
     }
 
     /// The server for a further attempt: least-connection, not tried yet, allowed by the class.
@@ -530,7 +531,7 @@
             Outcome::TimedOut | Outcome::Full | Outcome::ConnectFailed | Outcome::Broken => Sign::None,
             _ => Sign::Nothing,
         };
-        cold::heard(&mut self.servers.all, i, now, attempt.sent, sign, aim);
+        slow_start::heard(&mut self.servers.all, i, now, attempt.sent, sign, aim);
         let s = &mut self.servers.all[i];
         match end.outcome {
             Outcome::Served | Outcome::Miss => s.suspicion = Suspicion::default(),
@@ -583,7 +584,7 @@
         }
         // Danger: in a large fleet hardly a read's copy is known; without those time-outs no jam is seen.
         if served || end.outcome == Outcome::TimedOut {
-            self.learned.pressure.add(pressure::felt(end.took, served, reserve, aim), GAIN);
+            self.learned.pressure.add(overload::felt(end.took, served, reserve, aim), GAIN);
         }
     }
 
@@ -616,7 +617,7 @@
         }
         let late = |p: &Fading| p.mean(self.now, PACE_FADES, 0.0, KIND_SURE);
         let own = self.servers.paths.get(&self.settings.zone).map_or(0.0, late);
-        let worse = if self.learned.pressure.mean < pressure::BLIND { PATH_WORSE } else { f64::MAX };
+        let worse = if self.learned.pressure.mean < overload::BLIND { PATH_WORSE } else { f64::MAX };
         let bad = |(_, p): &(&u32, &Fading)| late(p) > own + worse;
         self.servers.bad_paths = self.servers.paths.iter().filter(bad).map(|(zone, _)| *zone).collect();
         self.servers.bad_paths.contains(&zone)
@@ -645,9 +646,9 @@
         let s = &self.servers.all[i];
         let (then, warm) = (self.warmth_at(i, s.turns.at()), self.warmth(i));
         let peers = Peers::new(&self.settings, &self.learned, self.servers.weight, self.now);
-        let due = |part| turns::COLD_DUE * s.listed.weight * s.ramp.due(part, &peers);
+        let due = |part| token_bucket::COLD_DUE * s.listed.weight * s.ramp.due(part, &peers);
         let earned = due((then + warm) / 2.0) * (self.now - s.turns.at()) as f64 / 1e6;
-        s.turns.earned(earned, turns::cold_depth(due(warm), self.settings.tip_window))
+        s.turns.earned(earned, token_bucket::cold_depth(due(warm), self.settings.tip_window))
     }
 
     // ---- Tenants and overload -------------------------------------------------------------------------
@@ -660,7 +661,7 @@
     }
 
     fn sheds(&mut self, surplus: bool) -> bool {
-        let part = pressure::shed(&self.settings, self.servers.count, self.learned.pressure.mean, surplus);
+        let part = overload::shed(&self.settings, self.servers.count, self.learned.pressure.mean, surplus);
         self.rng.random::<f64>() < part
     }
 
--- a/crates/decisions/src/cold.rs
+++ b/crates/decisions/src/slow_start.rs
@@ -10,7 +10,7 @@
 use crate::Micros;
 use crate::interface::Settings;
 use crate::state::{Learned, Server};
-use crate::turns::COLD_DUE;
+use crate::token_bucket::COLD_DUE;
 
 /// The ramp begins at this part of the promise. Danger: demand may be several times what the whole fleet bears, since
 /// clients have waited.
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -1,11 +1,11 @@
 //! Bookkeeping that [`crate::rules`] decides on: running means, attempts, the key table, the agenda.
 //! Nothing here chooses.
 
-use crate::cold::Ramp;
 use crate::health::Suspicion;
 use crate::interface::*;
+use crate::slow_start::Ramp;
 use crate::time_limits;
-use crate::turns::Turns;
+use crate::token_bucket::Turns;
 use lapisrudder_limits::follow::{self, Follow, Sent};
 use lapisrudder_limits::held::Held;
 use lru::LruCache;
