--- a/crates/client/tests/plug_in.rs
+++ b/crates/client/tests/plug_in.rs
@@ -68,7 +68,7 @@
     }
 
     fn builder(&self) -> Builder {
-        let read = Class { aim: 30_000_000, worth: 1.0, ..Class::default() };
+        let read = Class { latency_target: 30_000_000, worth: 1.0, ..Class::default() };
         let member = FixedMember::cache("s", self.peer.address());
         Client::builder().members([member]).class("read", read, WIDE).seed(1)
     }
@@ -281,7 +281,7 @@
     }
     assert_eq!(text(block_on(client.ask(Request::read("k")))), "k", "the only place is free again");
     let at = server.peer.address();
-    let read = || Client::builder().class("read", Class { aim: 1, ..Class::default() }, WIDE);
+    let read = || Client::builder().class("read", Class { latency_target: 1, ..Class::default() }, WIDE);
     let cases: [(Builder, &str); 7] = [
         (Client::builder().class("r", Class::default(), WIDE).discovery(at), "class \"r\" has no aim"),
         (Client::builder().discovery(at), "no request classes: give `settings` or `class`"),
--- a/crates/config/src/options.rs
+++ b/crates/config/src/options.rs
@@ -205,7 +205,7 @@
 impl From<&RequestClass> for Class {
     fn from(c: &RequestClass) -> Class {
         Class {
-            aim: micros(c.slo_s),
+            latency_target: micros(c.slo_s),
             worth: c.worth,
             effect: match c.effect.as_str() {
                 "free" => Effect::Safe,
--- a/crates/decisions/src/audit.rs
+++ b/crates/decisions/src/audit.rs
@@ -1,45 +1,45 @@
-//! What a balancer holds, for checks that nothing leaks and that its books agree with those of whoever drives it.
+//! Counts of a balancer's state, to check that nothing leaks and that its accounting agrees with that of its
+//! caller.
 
 use crate::{Balancer, ServerId};
 
-/// Counts of everything that grows. See [`Balancer::audit`].
+/// Sizes of all growing state. See [`Balancer::audit`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Audit {
-    /// Requests in hand, those included that are answered and have attempts out.
+    /// Requests in progress, and answered ones with attempts in flight.
     pub requests: usize,
-    /// Attempts out.
-    pub out: usize,
-    /// The same as the servers' books have it: load in flight, heavy requests counted 2.
+    /// Attempts in flight.
+    pub in_flight: usize,
+    /// The same by the servers' accounting: load in flight, heavy requests counted as 2.
     pub load: f64,
-    /// Attempts that work the origin.
-    pub origin_out: f64,
-    /// Requests held until the origin has room.
+    /// Attempts in flight that load the origin.
+    pub origin_in_flight: f64,
+    /// Requests held for the origin's concurrency limit.
     pub held: usize,
-    /// Requests that wait for another's fetch.
+    /// Reads that wait for the fetch of another request.
     pub joined: usize,
-    /// Things to be done later.
-    pub agenda: usize,
-    /// Servers that are remembered.
+    /// Scheduled tasks.
+    pub timers: usize,
+    /// Known servers.
     pub servers: usize,
 }
 
 impl Balancer {
-    /// What a server has in flight of ours as the marks count it, heavy requests counted 2; nothing for one that is not
-    /// remembered.
+    /// This balancer's load in flight on a server, heavy requests counted as 2; zero for an unknown server.
     pub fn in_flight(&self, server: ServerId) -> f64 {
         self.servers.find(server).map_or(0.0, |i| self.servers.all[i].load)
     }
 
-    /// Counts everything.
+    /// Collects the counts.
     pub fn audit(&self) -> Audit {
         Audit {
             requests: self.requests.0.len(),
-            out: self.requests.0.values().map(|r| r.out()).sum(),
+            in_flight: self.requests.0.values().map(|r| r.in_flight()).sum(),
             load: self.servers.all.iter().map(|s| s.load).sum(),
-            origin_out: self.origin.follow.out() as f64,
+            origin_in_flight: self.origin.limiter.out() as f64,
             held: self.origin.held.len(),
-            joined: self.origin.joined.values().map(Vec::len).sum(),
-            agenda: self.agenda.len(),
+            joined: self.origin.pending_fetches.values().map(Vec::len).sum(),
+            timers: self.timers.len(),
             servers: self.servers.all.len(),
         }
     }
--- a/crates/decisions/src/health.rs
+++ b/crates/decisions/src/health.rs
@@ -1,66 +1,71 @@
-//! For how long a server that gave no sign of life is left alone: outlier ejection from one balancer's own evidence. No
-//! I/O, no clock.
+//! Outlier ejection: how long a server that does not answer gets no requests, by this balancer's own traffic.
+//! No I/O, no clock.
 //!
-//! What little a failure says depends on how often a server is met. Where a balancer asks it ten times a second, a spell
-//! of 0.4 s spares it four requests, and three breaks in a row come within a moment. In a fleet of a hundred balancers and
-//! sixty servers each pair meets once in four seconds: such a spell spares nothing, and the third break comes after
-//! twelve. So spells are as long as it takes to meet the server again, from the second on, since one slow
-//! answer is no sign yet.
+//! What a failure shows depends on how often the balancer sends to the server. At ten requests per second, an
+//! ejection of 0.4 s avoids four requests, and three lost connections in a row happen within a moment. With a
+//! hundred balancers and sixty servers, each pair exchanges one request in four seconds: such an ejection
+//! avoids none, and the third lost connection comes after twelve seconds. So from the second ejection on, an
+//! ejection lasts at least until the balancer would send to the server again; the first one stays short,
+//! since one slow answer proves little.
 
 use crate::interface::Micros;
 
-/// First spell; it doubles this often at most.
-const FIRST: Micros = 400_000;
-const FIRST_DOUBTED: Micros = 4 * FIRST;
+/// Duration of the first ejection, also of a server that is gone from the list, and the limit on doublings.
+const FIRST_EJECTION: Micros = 400_000;
+const FIRST_EJECTION_UNLISTED: Micros = 4 * FIRST_EJECTION;
 const DOUBLINGS: u32 = 4;
-/// Longest time to the next meeting that a spell follows, and the longest spell. Danger: a zone that is back would be
-/// left alone for good by balancers that see next to nothing.
-const MET_MOST: Micros = 5_000_000;
-const SPELL_MOST: Micros = 10_000_000;
-/// Connections of a server that fail in a row, with no answer between, before it is suspect.
-const BREAKS: u32 = 3;
+/// Limit on the revisit time, and on the duration of an ejection. Without them balancers with little traffic
+/// would never use a zone again that has recovered.
+const MAX_REVISIT: Micros = 5_000_000;
+const MAX_EJECTION: Micros = 10_000_000;
+/// Connections that have to fail in a row, with no answer between, before a server is ejected.
+const MAX_CONN_FAILURES: u32 = 3;
 
-/// After how long a balancer that takes `per_s` requests a second asks one of so many servers again, on the mean.
-pub(crate) fn met(servers: f64, per_s: f64) -> Micros {
-    ((servers / per_s.max(0.1) * 1e6) as Micros).min(MET_MOST)
+/// Mean time until a balancer with `per_s` requests per second sends to one of `servers` servers again.
+pub(crate) fn revisit_time(servers: f64, per_s: f64) -> Micros {
+    ((servers / per_s.max(0.1) * 1e6) as Micros).min(MAX_REVISIT)
 }
 
-/// So many breaks in a row tell against a server: one does where the next would come much later.
-pub(crate) fn broken(breaks: u32, met: Micros) -> bool {
-    breaks >= BREAKS || met >= FIRST
+/// Whether this many failed connections in a row eject a server. One is enough if the next would come much
+/// later.
+pub(crate) fn enough_failures(conn_failures: u32, revisit_time: Micros) -> bool {
+    conn_failures >= MAX_CONN_FAILURES || revisit_time >= FIRST_EJECTION
 }
 
-/// Spells that double with each strike, until an answer clears them.
+/// Ejection of a server. Its duration doubles with each failure, until an answer resets it.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Suspicion {
-    strikes: u32,
-    spell: Micros,
+pub(crate) struct Ejection {
+    count: u32,
+    duration: Micros,
     until: Micros,
-    /// A trial has gone out in this spell.
-    tried: bool,
+    /// A trial request was sent during this ejection.
+    trial_sent: bool,
 }
 
-impl Suspicion {
-    pub(crate) fn over(&self, now: Micros) -> bool {
+impl Ejection {
+    pub(crate) fn is_over(&self, now: Micros) -> bool {
         self.until <= now
     }
 
-    /// Begins a spell, longer where the list speaks against the server too. One that runs goes on as it is, but for the
-    /// failure of its trial. Danger: without that no spell grew, since each trial began the next before it failed.
-    pub(crate) fn strike(&mut self, now: Micros, met: Micros, doubted: bool) {
-        if !self.over(now) && self.strikes > 0 && !self.tried {
+    /// Begins an ejection, a longer one if the server is gone from the list. An ejection in progress is not
+    /// changed, except by the failure of its trial: as each trial begins the next ejection, their duration
+    /// would never grow otherwise.
+    pub(crate) fn record_failure(&mut self, now: Micros, revisit_time: Micros, unlisted: bool) {
+        if !self.is_over(now) && self.count > 0 && !self.trial_sent {
             return;
         }
-        let first = if doubted { FIRST_DOUBTED } else { FIRST };
-        let again = if self.strikes > 0 { met } else { 0 };
-        self.spell = (first << self.strikes.min(DOUBLINGS)).min(first.max(SPELL_MOST)).max(again);
-        (self.strikes, self.until, self.tried) = (self.strikes + 1, now + self.spell, false);
+        let first = if unlisted { FIRST_EJECTION_UNLISTED } else { FIRST_EJECTION };
+        let again = if self.count > 0 { revisit_time } else { 0 };
+        self.duration = (first << self.count.min(DOUBLINGS)).min(first.max(MAX_EJECTION)).max(again);
+        (self.count, self.until, self.trial_sent) = (self.count + 1, now + self.duration, false);
     }
 
-    /// After a spell one trial may pass; the next waits for another spell, twice as long.
-    pub(crate) fn trial(&mut self, now: Micros) {
-        if self.over(now) && self.strikes > 0 {
-            (self.until, self.tried) = (now + (2 * self.spell).min(self.spell.max(SPELL_MOST)), true);
+    /// After an ejection one trial request may go out. It begins another ejection, twice as long, until its
+    /// result is known.
+    pub(crate) fn start_trial(&mut self, now: Micros) {
+        if self.is_over(now) && self.count > 0 {
+            (self.until, self.trial_sent) =
+                (now + (2 * self.duration).min(self.duration.max(MAX_EJECTION)), true);
         }
     }
 }
@@ -69,39 +74,42 @@
 mod tests {
     use super::*;
 
-    /// Requests lost in a minute at a server that never answers, by a balancer that meets it every `met`.
-    fn lost(met: Micros) -> usize {
-        let (mut suspicion, mut lost) = (Suspicion::default(), 0);
-        for n in 1..=60_000_000 / met {
-            let now = n * met;
-            if suspicion.over(now) {
-                suspicion.trial(now);
+    /// Requests lost in a minute at a server that never answers, if the balancer would send to it every
+    /// `revisit_time`.
+    fn lost(revisit_time: Micros) -> usize {
+        let (mut ejection, mut lost) = (Ejection::default(), 0);
+        for n in 1..=60_000_000 / revisit_time {
+            let now = n * revisit_time;
+            if ejection.is_over(now) {
+                ejection.start_trial(now);
                 lost += 1;
-                suspicion.strike(now + 300_000, met, false);
+                ejection.record_failure(now + 300_000, revisit_time, false);
             }
         }
         lost
     }
 
     #[test]
-    fn a_server_that_never_answers_is_left_alone_however_seldom_it_is_met() {
-        assert!(lost(100_000) <= 12, "met ten times a second: {} of 600", lost(100_000));
+    fn few_requests_are_lost_at_a_silent_server_at_any_request_rate() {
+        assert!(lost(100_000) <= 12, "ten requests per second: {} of 600", lost(100_000));
         assert!(lost(1_000_000) <= 12, "{} of 60", lost(1_000_000));
-        assert!(lost(4_000_000) <= 8, "met once in four seconds: {} of 15", lost(4_000_000));
+        assert!(lost(4_000_000) <= 8, "one request in four seconds: {} of 15", lost(4_000_000));
     }
 
     #[test]
-    fn one_strike_is_short_and_an_answer_ends_all() {
-        let mut suspicion = Suspicion::default();
-        suspicion.strike(0, 4_000_000, false);
-        assert!(suspicion.over(FIRST));
-        suspicion.strike(FIRST, 4_000_000, false);
-        assert!(!suspicion.over(FIRST + 3_999_999) && suspicion.over(FIRST + 4_000_000));
-        assert!(Suspicion::default().over(0));
+    fn the_first_ejection_is_short_and_an_answer_ends_it() {
+        let mut ejection = Ejection::default();
+        ejection.record_failure(0, 4_000_000, false);
+        assert!(ejection.is_over(FIRST_EJECTION));
+        ejection.record_failure(FIRST_EJECTION, 4_000_000, false);
+        assert!(
+            !ejection.is_over(FIRST_EJECTION + 3_999_999) && ejection.is_over(FIRST_EJECTION + 4_000_000)
+        );
+        assert!(Ejection::default().is_over(0));
     }
 
     #[test]
-    fn a_break_tells_of_a_server_that_is_met_seldom_and_three_of_any() {
-        assert!(!broken(2, 100_000) && broken(3, 100_000) && broken(1, 4_000_000));
+    fn one_lost_connection_ejects_a_rarely_used_server_and_three_any() {
+        assert!(!enough_failures(2, 100_000) && enough_failures(3, 100_000) && enough_failures(1, 4_000_000));
     }
 }
--- a/crates/decisions/src/interface.rs
+++ b/crates/decisions/src/interface.rs
@@ -1,34 +1,35 @@
-//! The types that go in and out of [`Balancer`](crate::Balancer). Nothing here decides.
+//! Input and output types of [`Balancer`](crate::Balancer). They hold data only; the decisions are in
+//! `rules.rs`.
 
-/// Microseconds, as a point on the caller's clock or as a length.
+/// Microseconds: a point in time on the caller's clock, or a duration.
 pub type Micros = i64;
 
-/// A server's name. It must be the same number at every balancer (a hash of the address will do),
-/// since balancers agree on a key's server by hashing the two.
+/// Identifies a server. Every balancer must use the same number for it, such as a hash of its address:
+/// balancers agree on the server of a key by hashing the key together with this number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct ServerId(pub u64);
 
-/// What a request is about: a hash of the cache key, the same at every balancer.
+/// Hash of a request's cache key, the same at every balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Key(pub u64);
 
-/// A client's try. Never used twice.
+/// Identifies one request of a client. A client's retry is a new request with an id of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Effect {
-    /// May be repeated freely.
+    /// May run any number of times.
     #[default]
     Safe,
-    /// Repeats are dropped by the servers of one group for `Class::repeat_window`.
+    /// Carries an idempotency key: the servers of one group drop repeats during `Class::repeat_window`.
     Keyed,
-    /// Must not run twice.
+    /// Must not run more than once.
     Unsafe,
 }
 
-/// The servers that share the memory of a keyed request.
+/// The set of servers that share their record of a keyed request, and so recognise a repeat of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Group {
     #[default]
@@ -38,8 +39,8 @@
 }
 
 impl Group {
-    /// Both servers are of one group.
-    pub fn holds(self, a: &Listed, b: &Listed) -> bool {
+    /// Whether both servers belong to one group.
+    pub fn contains_both(self, a: &Listed, b: &Listed) -> bool {
         match self {
             Group::All => true,
             Group::Zone => a.zone == b.zone,
@@ -51,36 +52,38 @@
 /// One class of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
-    /// Full worth is earned inside this time.
-    pub aim: Micros,
-    /// What one request is worth.
+    /// Latency target: an answer within this time earns the full worth.
+    pub latency_target: Micros,
+    /// Value of one request answered within the target, relative to other classes.
     pub worth: f64,
     pub effect: Effect,
     pub group: Group,
+    /// How long servers remember a keyed request and drop its repeats.
     pub repeat_window: Micros,
-    /// Attempts for one request, where this is not what all settings say: those have changed since it was taken.
+    /// Limit on attempts per request that replaces [`Settings::max_attempts`]. It is set for requests that
+    /// were accepted under earlier settings.
     pub max_attempts: Option<u32>,
 }
 
-/// One tenant and its share.
+/// A tenant and its quota.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Requests a second inside its share, over all balancers.
+    /// Requests per second, over all balancers, that count as inside the tenant's share.
     pub quota_per_s: f64,
 }
 
-/// Who fetches what a cache server lacks.
+/// Who fetches from the origin on a cache miss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Mode {
-    /// The cache server does, while the request waits there.
+    /// Read-through: the cache server fetches while the request waits there.
     #[default]
     Through,
-    /// The balancer does, from the listed server of kind `origin_kind`.
+    /// Cache-aside: the balancer fetches from the listed server whose kind is `origin_kind`.
     Aside,
 }
 
-/// A limit on attempts beyond each request's first: in any window of `span` at most `free` of them, plus
-/// `share` for each request taken in that window.
+/// Retry budget, for retries and hedged attempts: any window of `span` may contain at most `free` of them,
+/// plus `share` for each request accepted in that window.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Budget {
     pub free: f64,
@@ -88,49 +91,55 @@
     pub span: Micros,
 }
 
-/// What an instance is told at its start.
+/// Configuration of a [`Balancer`](crate::Balancer).
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     pub classes: Vec<Class>,
     pub tenants: Vec<Tenant>,
-    /// Share of its worth that a request over its tenant's share keeps.
+    /// Factor on the worth of a request that exceeds its tenant's share.
     pub over_share_worth: f64,
     pub mode: Mode,
-    /// The kind of the listed server that is the origin, in aside mode.
+    /// The kind that marks a listed server as the origin, in cache-aside mode.
     pub origin_kind: Option<u32>,
     /// This balancer's zone.
     pub zone: u32,
-    /// How many balancers serve together, this one included.
+    /// Number of balancers that serve the same fleet, including this one.
     pub siblings: u32,
-    /// The list of servers must be asked for.
+    /// The list of servers arrives only while a watch is open ([`Action::Watch`]).
     pub must_ask: bool,
-    /// An unsubscribed balancer must ask within this time.
+    /// A balancer whose watch was lost must open a new one within this time.
     pub ask_within: Micros,
+    /// Limit on attempts per request, the first included.
     pub max_attempts: u32,
-    /// Where stated, further attempts keep to it.
+    /// Budget of retries and hedged attempts, if one is configured.
     pub budget: Option<Budget>,
-    /// Only a server listed as draining is closed to new work; 'gone', or not listed, is advice.
+    /// Only a server listed as draining is closed to new requests. One that is listed as gone, or not listed,
+    /// keeps receiving requests while it answers.
     pub gone_is_advice: bool,
+    /// Attempts in flight may be cancelled.
     pub may_cancel: bool,
+    /// Hedged attempts are allowed: two attempts of one request may be in flight at the same time.
     pub second_copies: bool,
+    /// Retry delay that a rejected client is given.
     pub max_retry_after: Micros,
-    /// A server starts with at least this share of its capacity,
+    /// Slow start: a server has at least this share of its capacity when it starts.
     pub start_capacity: f64,
-    /// and has all of it after this time.
+    /// Slow start: a server has its full capacity this long after its start.
     pub cold: Micros,
-    /// A cold server falls over when sent this many times its present capacity,
+    /// Slow start: a server overloads when it receives this multiple of its current capacity
     pub tip_multiple: f64,
     /// for this long.
     pub tip_window: Micros,
 }
 
 impl Settings {
-    /// Attempts for one request of a class, the first included.
+    /// Limit on attempts for one request of a class, the first included.
     pub fn attempts(&self, class: usize) -> usize {
         self.classes.get(class).and_then(|c| c.max_attempts).unwrap_or(self.max_attempts) as usize
     }
 }
 
+/// Life-cycle stage of a listed server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Stage {
     #[default]
@@ -139,7 +148,7 @@
     Gone,
 }
 
-/// A server as the list has it.
+/// A server's entry in the list of servers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Listed {
     pub server: ServerId,
@@ -147,21 +156,23 @@
     pub kind: u32,
     pub cell: u32,
     pub stage: Stage,
-    /// Size against other servers.
+    /// Capacity relative to other servers.
     pub weight: f64,
-    /// When it last started, if that was lately.
+    /// Start time, if the server started recently.
     pub since: Option<Micros>,
 }
 
+/// What an update of the list of servers contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Only what changed.
+    /// Only the changed entries.
     Changes,
-    /// The whole list; a server not on it is gone.
+    /// The complete list; a server that is not on it is gone.
     Full,
-    /// A whole list that may be old: as this instance last had it, or older than one that came before.
+    /// A complete list that may be outdated: stored by this instance earlier, or older than one already
+    /// received.
     Remembered,
-    /// A call failed or the subscription broke; the list in hand still holds.
+    /// No list: a call failed or the watch broke. The current list remains valid.
     Lost,
 }
 
@@ -171,98 +182,107 @@
     Served,
     /// Answered with an error; it may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected before it ran, because the server was at its limit.
     Full,
     /// No answer in time; it may have run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection was established; it never ran.
     ConnectFailed,
     /// The connection broke; it may have run.
     Broken,
     Cancelled,
     /// Never sent.
     NeverSent,
-    /// The cache server lacks the key; it did not run.
+    /// Cache miss; it did not run.
     Miss,
 }
 
 impl Outcome {
-    /// Only these four prove that the attempt never ran.
+    /// Whether the outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent | Outcome::Miss)
     }
 }
 
-/// What the server said of its cache.
+/// How the cache server obtained the answer, as it reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheNote {
     Hit,
+    /// The server fetched the value from the origin.
     Fetched,
-    /// Another request's fetch for the key is out.
-    OthersFetch,
+    /// A fetch of the key for another request is in flight.
+    FetchInProgress,
 }
 
+/// Input of [`Balancer::handle`](crate::Balancer::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the list of servers.
+    /// An update of the list of servers.
     Servers { scope: Scope, list: Vec<Listed> },
-    /// A client's request: one final answer is owed by `due`.
+    /// A client's request. It gets exactly one final answer, by its `due` time.
     Request(NewRequest),
-    /// A streamed answer has begun; it has no deadline from here on.
+    /// A streamed answer has begun; the request has no deadline from now on.
     Started { request: RequestId, attempt: u32 },
     /// An attempt has ended.
     Ended(Ended),
-    /// The client left, or the request is over for another reason.
+    /// The client disconnected, or the request ended for another reason.
     ClientLeft { request: RequestId },
-    /// A wake-up asked for has come due.
+    /// The timer that [`Action::Wake`] asked for has expired.
     Wake,
 }
 
+/// A request as it arrives from a client.
 #[derive(Clone, Debug)]
 pub struct NewRequest {
     pub request: RequestId,
     pub key: Option<Key>,
     pub write: bool,
+    /// Index in [`Settings::classes`].
     pub class: usize,
+    /// Index in [`Settings::tenants`].
     pub tenant: usize,
-    /// Rough cost on a standard core.
+    /// Estimated cost: processing time on a standard core.
     pub hint: Option<Micros>,
-    /// The client marked it as a repeat.
+    /// The client marked it as a retry of its own.
     pub repeated: bool,
-    /// When its final answer is given at the latest.
+    /// Latest time for its final answer.
     pub due: Micros,
-    /// The client waits so much longer: what the host keeps back so that the answer is in time.
+    /// How much longer than `due` the client waits. The host keeps this time in reserve for stalls of the
+    /// process.
     pub reserve: Micros,
 }
 
+/// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct Ended {
     pub request: RequestId,
     pub attempt: u32,
     pub server: ServerId,
-    /// How long ago it was sent.
+    /// Time since the attempt was sent.
     pub took: Micros,
     pub outcome: Outcome,
     pub note: Option<CacheNote>,
-    /// The client has its final answer.
+    /// The client has received its final answer.
     pub finished: bool,
-    /// Load report values, in the order of the settings.
+    /// Values of the server's load report, in the order of the settings.
     pub report: Vec<f64>,
 }
 
+/// Output of [`Balancer::handle`](crate::Balancer::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt; a request's attempts count from 0 in the order of these. It may wait for a connection, but not
-    /// go out at `begin` or later: servers may have forgotten by then what it repeats.
+    /// Start an attempt. The attempts of a request are numbered from 0 in the order of these actions. An
+    /// attempt may wait for a connection, but must not be written at `begin` or later: servers may have
+    /// forgotten by then the request that it repeats. Its answer is awaited until `until`.
     Send { request: RequestId, server: ServerId, begin: Micros, until: Micros },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight.
     Cancel { request: RequestId, attempt: u32 },
-    /// Final answer: turned away, a repeat does no harm.
+    /// Final answer: rejected. A retry is safe, after `retry_in`.
     Refuse { request: RequestId, retry_in: Micros },
-    /// Final answer: failed, nothing promised.
+    /// Final answer: failed. The request may have run, so a retry may not be safe.
     Fail { request: RequestId },
     /// Send [`Event::Wake`] after this time.
     Wake { after: Micros },
-    /// Ask to be told of changes to the list from now on.
+    /// Open a watch on the list of servers.
     Watch,
 }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decides, for a load balancer node in front of a fleet of cache servers, which server each request goes to,
-//! whether it is tried again, and what is turned away.
+//! The decisions of a load balancer node in front of a fleet of cache servers: which server each request goes
+//! to, when an attempt is retried or hedged, and which requests are rejected under overload.
 //!
-//! No I/O and no clock: feed a [`Balancer`] with [`Event`]s and the time they happened at, and carry out the
-//! [`Action`]s that it answers with. All types that it speaks are in [`interface`].
+//! The crate does no I/O and reads no clock. The caller passes [`Event`]s with their time to a [`Balancer`]
+//! and carries out the [`Action`]s that it returns. All input and output types are in [`interface`].
 #![forbid(unsafe_code)]
 
 mod audit;
--- a/crates/decisions/src/origin_concurrency.rs
+++ b/crates/decisions/src/origin_concurrency.rs
@@ -1,29 +1,32 @@
-//! What a balancer may have in flight at the origin before it has learned anything of it. No I/O, no clock.
+//! Initial concurrency limit of a balancer at the origin, before it has measured anything. No I/O, no clock.
 
 use crate::interface::{Key, Mode, ServerId, Settings};
-use crate::state::chance;
+use crate::state::unit_hash;
 use lapisrudder_limits::follow;
 
-/// Attempts in flight to begin with: here, over all balancers, and for each server. Danger: the origin is built for the
-/// misses of the whole fleet. With a number that did not grow with it, 100 balancers of 60 servers held back one read in
-/// six of a calm start, and the origin had 25 in flight (docs/design/large-fleet.md).
-const START: f64 = 20.0;
-const ALL: f64 = 60.0;
-const EACH: f64 = 5.0;
-/// The least over all. Danger: six at each of hundreds of balancers, and never under one, push over what they guard.
-const LEAST: f64 = 4.0;
-/// What a balancer's own turn at the origin is drawn by.
-const TURN: ServerId = ServerId(1);
+/// Initial attempts in flight: the limit for one balancer, and the total for all balancers, constant or per
+/// server if that is more. The origin is sized for the misses of the whole fleet. With a total that did not
+/// grow with the fleet, 100 balancers of 60 servers held back one read in six at a normal start, while the
+/// origin had only 25 in flight (docs/design/large-fleet.md).
+const MAX_START_PER_NODE: f64 = 20.0;
+const START_TOTAL: f64 = 60.0;
+const START_PER_SERVER: f64 = 5.0;
+/// Minimum for all balancers together. Six at each of hundreds of balancers, or even one at each, overload
+/// the origin.
+const MIN_TOTAL: f64 = 4.0;
+/// Hashed with the balancer's id for its phase, which spreads attempts of balancers with a limit under one.
+const PHASE_SALT: ServerId = ServerId(1);
 
-/// Half of the shortest aim is for the origin; the other half is for the way and for what went before.
-pub(crate) fn at_origin(settings: &Settings, servers: f64, own: ServerId) -> follow::Settings {
+/// Half of the shortest latency target is for the origin; the other half is for the network and for the time
+/// before the fetch.
+pub(crate) fn initial_settings(settings: &Settings, servers: f64, own: ServerId) -> follow::Settings {
     let nodes = f64::from(settings.siblings.max(1));
-    let aim = settings.classes.iter().map(|c| c.aim).min().unwrap_or(1_000_000);
+    let target = settings.classes.iter().map(|c| c.latency_target).min().unwrap_or(1_000_000);
     follow::Settings {
-        start: START.min(ALL.max(EACH * servers) / nodes),
-        least: (LEAST / nodes).min(1.0),
-        patience: aim / 2,
-        phase: (settings.mode == Mode::Aside).then(|| chance(Key(own.0), TURN)),
+        start: MAX_START_PER_NODE.min(START_TOTAL.max(START_PER_SERVER * servers) / nodes),
+        least: (MIN_TOTAL / nodes).min(1.0),
+        patience: target / 2,
+        phase: (settings.mode == Mode::Aside).then(|| unit_hash(Key(own.0), PHASE_SALT)),
         ..follow::Settings::default()
     }
 }
@@ -33,7 +36,7 @@
     use super::*;
 
     #[test]
-    fn the_room_at_the_origin_grows_with_the_servers_and_not_with_the_balancers() {
+    fn the_initial_limit_grows_with_servers_and_not_with_balancers() {
         for (siblings, servers, each) in [
             (1, 10.0, 20.0),
             (3, 10.0, 20.0),
@@ -43,7 +46,11 @@
             (300, 60.0, 1.0),
         ] {
             let settings = Settings { siblings, ..Settings::default() };
-            assert_eq!(at_origin(&settings, servers, ServerId(7)).start, each, "{siblings} and {servers}");
+            assert_eq!(
+                initial_settings(&settings, servers, ServerId(7)).start,
+                each,
+                "{siblings} and {servers}"
+            );
         }
     }
 }
--- a/crates/decisions/src/overload.rs
+++ b/crates/decisions/src/overload.rs
@@ -1,31 +1,36 @@
-//! How much of what comes is turned away while servers are short of room, by how long their answers take. No I/O, no
-//! clock, no draws.
+//! Overload control: the share of requests to shed, by the latency of answers. No I/O, no clock, no random
+//! numbers.
 
 use crate::interface::{Micros, Settings};
 
-/// Pressure (time of cache answers over their aim) from which surplus is shed, later by what it is worth, and
-/// from which all is; over the span shedding grows. Where balancers outnumber servers, and no surplus can go
-/// first, each learns of a jam too late to wait. Danger: surplus that is let in chokes servers on its own.
-const FROM: f64 = 0.08;
-const JAM: f64 = 0.9;
-pub(crate) const BLIND: f64 = 0.45;
-const SPAN: f64 = 0.3;
-/// In a shortage surplus goes, in a jam most of the rest; were it all, no answer would tell of its end.
-const MOST: f64 = 0.9;
+/// Ratio of the latency of cache answers to their target from which requests are shed: those over their
+/// tenant's share (plus what these are worth), all others, and all others early; and the range over which
+/// shedding grows. Requests over a share overload servers on their own if admitted. Shedding starts early if
+/// there are more balancers than servers and no tenants' shares: each balancer then detects an overload too
+/// late to wait.
+const OVER_SHARE_ONSET: f64 = 0.08;
+const ONSET: f64 = 0.9;
+pub(crate) const EARLY_ONSET: f64 = 0.45;
+const SHED_RAMP: f64 = 0.3;
+/// Limit on the share of requests inside their tenant's share: if all were shed, no answer would show the end
+/// of the overload.
+const MAX_SHED: f64 = 0.9;
 
-/// How much pressure an answer shows that took so long, or a time-out after so long. Danger: time-outs that came sooner by what is
-/// kept in reserve for hold-ups showed less of a jam, and less was shed.
-pub(crate) fn felt(took: Micros, served: bool, reserve: Micros, aim: Micros) -> f64 {
+/// Latency relative to the target, of an answer or a time-out after `took`. A time-out comes earlier by
+/// `reserve`, which is kept for stalls; without adding it, time-outs would count for less and too little
+/// would be shed.
+pub(crate) fn sample(took: Micros, served: bool, reserve: Micros, target: Micros) -> f64 {
     let waited = if served { took } else { took + reserve };
-    (waited as f64 / aim.max(1) as f64).min(2.0)
+    (waited as f64 / target.max(1) as f64).min(2.0)
 }
 
-/// The part of requests that goes under such pressure, over or within a tenant's share, where there are so many servers.
-pub(crate) fn shed(settings: &Settings, servers: f64, pressure: f64, surplus: bool) -> f64 {
-    let blind = f64::from(settings.siblings) > servers && settings.tenants.is_empty();
-    let jam = if blind { BLIND } else { JAM };
-    let (from, most) = if surplus { (FROM + settings.over_share_worth, 1.0) } else { (jam, MOST) };
-    ((pressure - from) / SPAN).clamp(0.0, most)
+/// The share of requests to shed, for requests over or inside their tenant's share.
+pub(crate) fn shed(settings: &Settings, servers: f64, latency_ratio: f64, over_share: bool) -> f64 {
+    let early = f64::from(settings.siblings) > servers && settings.tenants.is_empty();
+    let onset = if early { EARLY_ONSET } else { ONSET };
+    let (start, max) =
+        if over_share { (OVER_SHARE_ONSET + settings.over_share_worth, 1.0) } else { (onset, MAX_SHED) };
+    ((latency_ratio - start) / SHED_RAMP).clamp(0.0, max)
 }
 
 #[cfg(test)]
@@ -33,10 +38,10 @@
     use super::*;
 
     #[test]
-    fn surplus_goes_first_and_of_the_rest_a_part_always_stays() {
+    fn requests_over_a_share_are_shed_first_and_never_all_others() {
         let few = Settings { siblings: 3, over_share_worth: 0.1, ..Settings::default() };
         let many = Settings { siblings: 100, ..few.clone() };
-        for (settings, pressure, surplus, part) in [
+        for (settings, latency_ratio, over_share, part) in [
             (&few, 0.3, false, 0.0),
             (&few, 0.6, true, 1.0),
             (&few, 0.6, false, 0.0),
@@ -45,17 +50,17 @@
             (&many, 0.6, false, 0.5),
             (&many, 2.0, false, 0.9),
         ] {
-            let shed = shed(settings, 60.0, pressure, surplus);
-            assert!((shed - part).abs() < 1e-9, "{} at {pressure}: {shed}", settings.siblings);
+            let shed = shed(settings, 60.0, latency_ratio, over_share);
+            assert!((shed - part).abs() < 1e-9, "{} at {latency_ratio}: {shed}", settings.siblings);
         }
     }
 
-    /// Danger: three in four requests of a fleet with next to nothing in flight were turned away, since its answers take as
-    /// much of their aim as those of a jammed one elsewhere.
+    /// An almost idle fleet shed three in four requests, since its answers usually take as large a part of
+    /// their tight latency target as those of an overloaded fleet with a wider one.
     #[test]
     #[ignore = "expected to fail (docs/design/rare-moments.md, R23)"]
-    fn what_answers_usually_take_is_no_jam_where_aims_are_tight() {
+    fn usual_latency_is_no_overload_with_tight_latency_targets() {
         let many = Settings { siblings: 32, over_share_worth: 0.1, ..Settings::default() };
-        assert_eq!(shed(&many, 12.0, 0.68, false), 0.0, "what was seen of an idle fleet with aims of 0.3 s");
+        assert_eq!(shed(&many, 12.0, 0.68, false), 0.0, "measured in an idle fleet with targets of 0.3 s");
     }
 }
--- a/crates/decisions/src/permit.rs
+++ b/crates/decisions/src/permit.rs
@@ -1,68 +1,68 @@
-//! Whether something may be sent, repeated or closed now: the one place that decides it, and the count of what was done
-//! all the same.
+//! The rules for whether an attempt may be sent, a request repeated or a connection closed now, and a count
+//! of actions that broke these rules.
 //!
-//! Whoever is about to act builds the facts as they are at that moment and asks. [`Violations`] counts what a check
-//! at the act itself finds against the same rules; it stays at zero in a program without faults.
+//! Before such an action the caller collects the current facts and calls `check`. [`Violations`] counts what
+//! a second check by the same rules finds at the action itself; it stays at zero unless there is a bug.
 
 use crate::interface::{Effect, Micros};
 use std::fmt;
 
-/// Why something may not be done now.
+/// Why an action is not allowed now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
     /// The request has its final answer, or its client has left.
-    NothingOwed,
-    /// Its time is over.
-    OutOfTime,
-    /// Servers may have forgotten what this would repeat.
-    Forgotten,
-    /// Its server drains or has left.
+    NoAnswerPending,
+    /// The request's deadline has passed.
+    DeadlinePassed,
+    /// Servers may have forgotten the request that the attempt would repeat.
+    RepeatWindowOver,
+    /// The server is draining or gone.
     ServerClosed,
-    /// It may have run, and must not run again.
+    /// The request may have run, and must not run again.
     MayHaveRun,
-    /// Answers are owed on the connection.
-    AnswersOwed,
-    /// Something has come on the connection that was not read.
+    /// Answers are pending on the connection.
+    AnswersPending,
+    /// The connection has unread input.
     Unread,
-    /// The answer's time is over.
+    /// The answer was given after its deadline.
     AnsweredLate,
-    /// The host owes the request no answer, though the engine does.
-    NotOpenAtHost,
-    /// Host and engine do not agree about which requests are owed an answer.
-    BooksDiffer,
-    /// A client's connection was held when the time of its drain was over.
-    HeldPastDrain,
+    /// The request's answer is pending in the engine but not in the host.
+    NotPendingAtHost,
+    /// Host and engine disagree about the requests whose answers are pending.
+    AccountingMismatch,
+    /// A client's connection was still open when its drain time was over.
+    OpenAfterDrain,
 }
 
 impl Denial {
     const ALL: [Denial; 11] = [
-        Denial::NothingOwed,
-        Denial::OutOfTime,
-        Denial::Forgotten,
+        Denial::NoAnswerPending,
+        Denial::DeadlinePassed,
+        Denial::RepeatWindowOver,
         Denial::ServerClosed,
         Denial::MayHaveRun,
-        Denial::AnswersOwed,
+        Denial::AnswersPending,
         Denial::Unread,
         Denial::AnsweredLate,
-        Denial::NotOpenAtHost,
-        Denial::BooksDiffer,
-        Denial::HeldPastDrain,
+        Denial::NotPendingAtHost,
+        Denial::AccountingMismatch,
+        Denial::OpenAfterDrain,
     ];
 
-    /// As logs name it.
+    /// The name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Denial::NothingOwed => "nothing-owed",
-            Denial::OutOfTime => "out-of-time",
-            Denial::Forgotten => "forgotten",
+            Denial::NoAnswerPending => "nothing-owed",
+            Denial::DeadlinePassed => "out-of-time",
+            Denial::RepeatWindowOver => "forgotten",
             Denial::ServerClosed => "server-closed",
             Denial::MayHaveRun => "may-have-run",
-            Denial::AnswersOwed => "answers-owed",
+            Denial::AnswersPending => "answers-owed",
             Denial::Unread => "unread",
             Denial::AnsweredLate => "answered-late",
-            Denial::NotOpenAtHost => "not-open-at-host",
-            Denial::BooksDiffer => "books-differ",
-            Denial::HeldPastDrain => "held-past-drain",
+            Denial::NotPendingAtHost => "not-open-at-host",
+            Denial::AccountingMismatch => "books-differ",
+            Denial::OpenAfterDrain => "held-past-drain",
         }
     }
 }
@@ -73,89 +73,89 @@
     }
 }
 
-/// An attempt whose first byte is about to be written.
+/// An attempt, before its first byte is written.
 #[derive(Clone, Copy, Debug)]
 pub struct Begin {
-    /// The time now.
+    /// The current time.
     pub now: Micros,
-    /// Its request is owed an answer.
+    /// The request's answer is pending.
     pub owed: bool,
-    /// Its answer is waited for until then.
+    /// The answer is awaited until this time.
     pub until: Micros,
-    /// It may begin until then: what it repeats is forgotten later.
+    /// The attempt must begin before this time: servers may forget the request that it repeats soon after.
     pub begin_by: Micros,
-    /// Its server is listed and does not drain.
+    /// The server is listed and not draining.
     pub server_open: bool,
 }
 
 impl Begin {
-    /// Whether it may.
+    /// Whether the attempt may begin.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why it may not.
     pub fn check(&self) -> Result<(), Denial> {
         if !self.owed {
-            return Err(Denial::NothingOwed);
+            return Err(Denial::NoAnswerPending);
         }
         if !self.server_open {
             return Err(Denial::ServerClosed);
         }
         if self.now >= self.begin_by {
-            return Err(Denial::Forgotten);
+            return Err(Denial::RepeatWindowOver);
         }
         if self.now >= self.until {
-            return Err(Denial::OutOfTime);
+            return Err(Denial::DeadlinePassed);
         }
         Ok(())
     }
 }
 
-/// A further attempt of a request of which an earlier one may have run.
+/// A retry or hedged attempt of a request, if an earlier attempt may have run.
 #[derive(Clone, Copy, Debug)]
 pub struct Repeat {
-    /// The time now.
+    /// The current time.
     pub now: Micros,
-    /// What running twice does.
+    /// Whether the request may run twice.
     pub effect: Effect,
-    /// Both servers remember the request together.
+    /// Both servers belong to a group that shares its record of keyed requests.
     pub same_group: bool,
-    /// They do so until then.
+    /// The repeat must begin before this time, while the servers remember the request.
     pub begin_by: Micros,
 }
 
 impl Repeat {
-    /// Whether it may be sent.
+    /// Whether the repeat may be sent.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why it may not.
     pub fn check(&self) -> Result<(), Denial> {
         match self.effect {
             Effect::Safe => Ok(()),
             Effect::Keyed if !self.same_group => Err(Denial::MayHaveRun),
-            Effect::Keyed if self.now >= self.begin_by => Err(Denial::Forgotten),
+            Effect::Keyed if self.now >= self.begin_by => Err(Denial::RepeatWindowOver),
             Effect::Keyed => Ok(()),
             Effect::Unsafe => Err(Denial::MayHaveRun),
         }
     }
 }
 
-/// A client's connection that is about to close between requests.
+/// A client's connection, before it is closed between requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Close {
-    /// Answers are owed on it, or not sent.
+    /// Answers are pending on it or not sent completely.
     pub owed: bool,
-    /// Something has come on it that was not read.
+    /// It has unread input.
     pub unread: bool,
 }
 
 impl Close {
-    /// Whether it may.
+    /// Whether the connection may be closed.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why it may not.
     pub fn check(&self) -> Result<(), Denial> {
         if self.owed {
-            return Err(Denial::AnswersOwed);
+            return Err(Denial::AnswersPending);
         }
         if self.unread {
             return Err(Denial::Unread);
@@ -164,24 +164,24 @@
     }
 }
 
-/// What was done although it was not allowed, by reason.
+/// Number of actions that were not allowed, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Violations([u64; Denial::ALL.len()]);
 
 impl Violations {
-    /// Counts what a check at the act itself has found.
-    pub fn note(&mut self, found: Result<(), Denial>) {
-        if let Err(denial) = found {
+    /// Counts the result of a check at the action itself.
+    pub fn record(&mut self, result: Result<(), Denial>) {
+        if let Err(denial) = result {
             self.0[denial as usize] += 1;
         }
     }
 
-    /// How many there were.
+    /// Number of violations.
     pub fn total(&self) -> u64 {
         self.0.iter().sum()
     }
 
-    /// Reasons that were found, with their numbers.
+    /// The reasons that occurred, with their counts.
     pub fn found(&self) -> impl Iterator<Item = (Denial, u64)> {
         Denial::ALL.into_iter().zip(self.0).filter(|(_, count)| *count > 0)
     }
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -1,11 +1,11 @@
-//! Bookkeeping that [`crate::rules`] decides on: running means, attempts, the key table, the agenda.
-//! Nothing here chooses.
+//! State that [`crate::rules`] bases its decisions on: moving averages, attempts, the key table, servers,
+//! timers. This module makes no decisions.
 
-use crate::health::Suspicion;
+use crate::health::Ejection;
 use crate::interface::*;
 use crate::slow_start::Ramp;
 use crate::time_limits;
-use crate::token_bucket::Turns;
+use crate::token_bucket::TokenBucket;
 use lapisrudder_limits::follow::{self, Follow, Sent};
 use lapisrudder_limits::held::Held;
 use lru::LruCache;
@@ -14,7 +14,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::num::NonZeroUsize;
 
-/// A running mean and mean deviation.
+/// Exponentially weighted moving average, with the mean deviation.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Mean {
     pub mean: f64,
@@ -23,7 +23,7 @@
 }
 
 impl Mean {
-    /// Adds a sample that weighs `gain`.
+    /// Adds a sample with the weight `gain`.
     pub fn add(&mut self, x: f64, gain: f64) {
         if !self.seen {
             *self = Mean { mean: x, dev: x / 2.0, seen: true };
@@ -37,28 +37,29 @@
     }
 }
 
-/// Spans after which next to nothing is left of a sample.
-const FADED: f64 = 8.0;
+/// Age, in decay times, from which samples are ignored.
+const MAX_AGE: f64 = 8.0;
 
-/// A mean whose samples fade with time, so that a rare one neither rules nor lingers.
+/// A mean whose samples decay with time, so that a single sample neither dominates nor lasts. `span` is the
+/// decay time in microseconds.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Fading {
+pub(crate) struct DecayingMean {
     sum: f64,
-    /// Samples, as of the last one.
+    /// Decayed number of samples at the time of the last one.
     pub count: f64,
     at: Micros,
 }
 
-impl Fading {
+impl DecayingMean {
     pub fn add(&mut self, now: Micros, x: f64, span: f64) {
         let kept = (-(now - self.at) as f64 / span).exp();
-        *self = Fading { sum: self.sum * kept + x, count: self.count * kept + 1.0, at: now };
+        *self = DecayingMean { sum: self.sum * kept + x, count: self.count * kept + 1.0, at: now };
     }
 
-    /// The mean, drawn towards `prior` as by that many samples.
+    /// The mean, with `prior` weighted as `samples` further samples.
     pub fn mean(&self, now: Micros, span: f64, prior: f64, samples: f64) -> f64 {
         let age = (now - self.at) as f64 / span;
-        if self.count == 0.0 || age > FADED {
+        if self.count == 0.0 || age > MAX_AGE {
             return prior;
         }
         let kept = (-age).exp();
@@ -66,9 +67,11 @@
     }
 }
 
+/// Whether an attempt ran, as far as is known.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum Fate {
-    Out,
+pub(crate) enum Exec {
+    /// The attempt is in flight.
+    Pending,
     NeverRan,
     MayHaveRun,
 }
@@ -77,42 +80,43 @@
 pub(crate) struct Attempt {
     pub server: ServerId,
     pub sent: Micros,
-    pub fate: Fate,
-    /// Its connection failed, which says little of its server.
-    pub broke: bool,
-    /// Counted as work for the origin.
+    pub exec: Exec,
+    /// Its connection failed or was lost, which says little about its server.
+    pub broken: bool,
+    /// Set if the attempt counts towards the origin's concurrency limit.
     pub fetch: Option<Sent>,
 }
 
 pub(crate) struct Request {
     pub new: NewRequest,
-    /// The request's key; one without a key stands for itself.
+    /// The request's key, or its id if it has none.
     pub key: Key,
     pub arrived: Micros,
-    /// The class's aim.
-    pub aim: Micros,
-    /// 2 if heavy, else 1.
+    /// Latency target of the class.
+    pub target: Micros,
+    /// Number of requests that it counts as: 2 if its cost hint is high, else 1.
     pub load: f64,
-    /// Over its tenant's share.
-    pub surplus: bool,
+    /// The request exceeds its tenant's share.
+    pub over_share: bool,
     pub attempts: Vec<Attempt>,
-    /// The client has its answer; kept only until the last attempt ends.
+    /// The client has its final answer; the entry is kept until the last attempt ends.
     pub done: bool,
     pub streaming: bool,
-    /// Misses whose one send outside the budget has not been made yet.
+    /// Misses that have not been followed by an attempt yet. Such an attempt does not count towards the
+    /// budget.
     pub misses: u32,
 }
 
 impl Request {
-    pub fn new(new: NewRequest, load: f64, aim: Micros, surplus: bool, arrived: Micros) -> Self {
+    pub fn new(new: NewRequest, load: f64, target: Micros, over_share: bool, arrived: Micros) -> Self {
         let key = new.key.unwrap_or(Key(new.request.0));
         Request {
             new,
             key,
             arrived,
-            aim,
+            target,
             load,
-            surplus,
+            over_share,
             attempts: Vec::new(),
             done: false,
             streaming: false,
@@ -120,146 +124,155 @@
         }
     }
 
-    pub fn out(&self) -> usize {
-        self.attempts.iter().filter(|a| a.fate == Fate::Out).count()
+    pub fn in_flight(&self) -> usize {
+        self.attempts.iter().filter(|a| a.exec == Exec::Pending).count()
     }
 
     pub fn never_ran(&self) -> bool {
-        self.attempts.iter().all(|a| a.fate == Fate::NeverRan)
+        self.attempts.iter().all(|a| a.exec == Exec::NeverRan)
     }
 
-    /// Until when an attempt that is sent now may begin: servers forget after the window, less the time for the way there. It
-    /// counts from the first of all while any may have run, also if the first has turned out not to: it may have been repeated
-    /// before that was known, and is what servers remember then (protocol, 'No repeated effect'). Where none has run it counts
-    /// from now: a copy may run while this one waits for a connection. None goes out beside an attempt at the origin.
-    pub fn begins_by(&self, class: Option<&Class>, now: Micros, origin: bool) -> Micros {
+    /// Latest time for an attempt that is sent now to begin: servers forget a keyed request after the window,
+    /// and the network delay counts too. The window starts at the request's first attempt if any attempt may
+    /// have run, even if the first one did not: another may have repeated it before that was known, and
+    /// servers then remember that one (protocol, 'No repeated effect'). If no attempt ran, the window starts
+    /// now: a hedged attempt may run while this one waits for a connection. No hedged attempt goes out beside
+    /// an attempt at the origin, which has no such limit.
+    pub fn begin_by(&self, class: Option<&Class>, now: Micros, origin: bool) -> Micros {
         let alone = self.never_ran();
         let keyed = class.filter(|c| c.effect == Effect::Keyed && !(alone && origin));
         let from = self.attempts.first().filter(|_| !alone).map_or(now, |first| first.sent);
         keyed.map_or(Micros::MAX, |c| time_limits::repeatable_until(from, c.repeat_window))
     }
 
-    /// This attempt, if it is the latest and still out, and an answer is owed.
-    pub fn waits_for(&self, attempt: u32) -> Option<Attempt> {
+    /// This attempt, if it is the latest one, still in flight, and the request's answer is pending.
+    pub fn latest_unanswered(&self, attempt: u32) -> Option<Attempt> {
         let a = self.attempts.last().filter(|_| attempt as usize + 1 == self.attempts.len())?;
-        (a.fate == Fate::Out && !self.done && !self.streaming).then_some(*a)
+        (a.exec == Exec::Pending && !self.done && !self.streaming).then_some(*a)
     }
 
-    /// Nothing out and an answer still owed.
-    pub fn held(&self) -> bool {
-        !self.done && self.out() == 0
+    /// The request has no attempt in flight and its answer is pending.
+    pub fn is_waiting(&self) -> bool {
+        !self.done && self.in_flight() == 0
     }
 }
 
-/// A key's server, and the one that was last seen to have a copy.
+/// An entry of the key table.
 #[derive(Clone, Copy)]
-pub(crate) struct Entry {
+pub(crate) struct KeyEntry {
+    /// The server that the key is assigned to.
     pub server: ServerId,
+    /// The server that last served the key, and so has a copy.
     pub holder: Option<ServerId>,
-    /// Requests for it.
-    pub uses: Fading,
-    /// Servers it is worth.
-    pub spread: u32,
+    /// Number of requests for the key.
+    pub uses: DecayingMean,
+    /// Number of servers that share the key's load over all balancers.
+    pub replicas: u32,
 }
 
-/// Keys that came more than once, and keys that came once, which never push out the others.
-const KNOWN: NonZeroUsize = NonZeroUsize::new(1 << 16).unwrap();
-const FRESH: NonZeroUsize = NonZeroUsize::new(1 << 13).unwrap();
+/// Capacities for keys that were requested repeatedly, and for keys requested once.
+const PROTECTED_CAPACITY: NonZeroUsize = NonZeroUsize::new(1 << 16).unwrap();
+const PROBATION_CAPACITY: NonZeroUsize = NonZeroUsize::new(1 << 13).unwrap();
 
-/// Keys to servers, least recently used out first. Keys seen once have a small room of their own.
+/// The servers of keys: a segmented LRU cache. Keys requested once are kept in a small segment of their own,
+/// so that they never evict the others.
 pub(crate) struct KeyTable {
-    known: LruCache<Key, Entry>,
-    fresh: LruCache<Key, Entry>,
+    protected: LruCache<Key, KeyEntry>,
+    probation: LruCache<Key, KeyEntry>,
 }
 
 impl Default for KeyTable {
     fn default() -> Self {
-        // Danger: a bounded cache reserves all its room at once, in each of hundreds of instances.
-        KeyTable { known: LruCache::unbounded(), fresh: LruCache::unbounded() }
+        // A bounded LruCache allocates its full capacity at once, in each of hundreds of instances.
+        KeyTable { protected: LruCache::unbounded(), probation: LruCache::unbounded() }
     }
 }
 
 impl KeyTable {
-    pub fn entry(&mut self, key: Key) -> Option<&mut Entry> {
-        if let Some(entry) = self.fresh.pop(&key) {
-            self.known.put(key, entry);
-            if self.known.len() > KNOWN.get() {
-                self.known.pop_lru();
+    /// The entry of a key that is requested again; it counts as used.
+    pub fn entry(&mut self, key: Key) -> Option<&mut KeyEntry> {
+        if let Some(entry) = self.probation.pop(&key) {
+            self.protected.put(key, entry);
+            if self.protected.len() > PROTECTED_CAPACITY.get() {
+                self.protected.pop_lru();
             }
         }
-        self.known.get_mut(&key)
+        self.protected.get_mut(&key)
     }
 
-    pub fn peek(&self, key: Key) -> Option<&Entry> {
-        self.known.peek(&key).or_else(|| self.fresh.peek(&key))
+    pub fn peek(&self, key: Key) -> Option<&KeyEntry> {
+        self.protected.peek(&key).or_else(|| self.probation.peek(&key))
     }
 
-    /// Notes a copy without counting as a use.
+    /// Records that a server has a copy, without counting as a use.
     pub fn set_holder(&mut self, key: Key, server: ServerId) {
-        let Self { known, fresh, .. } = self;
-        if let Some(entry) = known.peek_mut(&key).or_else(|| fresh.peek_mut(&key)) {
+        let Self { protected, probation, .. } = self;
+        if let Some(entry) = protected.peek_mut(&key).or_else(|| probation.peek_mut(&key)) {
             entry.holder = Some(server);
         }
     }
 
+    /// Assigns a key to a server.
     pub fn record(&mut self, key: Key, server: ServerId) {
-        match self.known.get_mut(&key) {
+        match self.protected.get_mut(&key) {
             Some(entry) => entry.server = server,
             None => {
-                self.fresh.put(key, Entry { server, holder: None, uses: Fading::default(), spread: 1 });
-                if self.fresh.len() > FRESH.get() {
-                    self.fresh.pop_lru();
+                self.probation
+                    .put(key, KeyEntry { server, holder: None, uses: DecayingMean::default(), replicas: 1 });
+                if self.probation.len() > PROBATION_CAPACITY.get() {
+                    self.probation.pop_lru();
                 }
             }
         }
     }
 }
 
+/// What to do when a timer expires.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Task {
-    /// Ask for the list of servers again.
-    Ask,
-    /// Let held requests go, if the origin has room.
+    /// Open a new watch on the list of servers.
+    Watch,
+    /// Release held requests, if the origin's limit allows it.
     Drain,
-    /// See whether an attempt's server gives signs of life.
+    /// Check whether an attempt's server has answered anything since.
     Check(RequestId, u32),
-    /// A request held here is out of time.
+    /// End a held request, whose time is over.
     GiveUp(RequestId),
 }
 
-/// What is to be done later. One wake-up is out for the earliest.
+/// Tasks by due time. The caller is asked for one wake-up, for the earliest.
 #[derive(Default)]
-pub(crate) struct Agenda {
-    /// Those that came in the order of their times, as nearly all do.
-    row: VecDeque<(Micros, u64, Task)>,
-    /// The others.
-    tasks: BinaryHeap<Reverse<(Micros, u64, Task)>>,
+pub(crate) struct TimerQueue {
+    /// Tasks that were added in the order of their due times, as nearly all are.
+    fifo: VecDeque<(Micros, u64, Task)>,
+    /// All other tasks.
+    heap: BinaryHeap<Reverse<(Micros, u64, Task)>>,
     count: u64,
     wake_at: Option<Micros>,
 }
 
-impl Agenda {
+impl TimerQueue {
     pub fn len(&self) -> usize {
-        self.tasks.len()
+        self.heap.len()
     }
 
-    /// Adds a task; gives the time to the wake-up to ask for, if a new one is needed.
+    /// Adds a task. Returns the time until the wake-up to ask for, if a new one is needed.
     pub fn add(&mut self, now: Micros, at: Micros, task: Task) -> Option<Micros> {
         let at = at.max(now + 1);
         self.count += 1;
-        match self.row.back() {
-            Some(last) if last.0 > at => self.tasks.push(Reverse((at, self.count, task))),
-            _ => self.row.push_back((at, self.count, task)),
+        match self.fifo.back() {
+            Some(last) if last.0 > at => self.heap.push(Reverse((at, self.count, task))),
+            _ => self.fifo.push_back((at, self.count, task)),
         }
         self.wake(now)
     }
 
-    /// The earliest, and whether it is the first of the row.
+    /// The earliest task, and whether it is the front of `fifo`.
     fn first(&self) -> Option<((Micros, u64, Task), bool)> {
-        let (row, task) = (self.row.front().copied(), self.tasks.peek().map(|t| t.0));
-        match (row, task) {
-            (Some(row), Some(task)) if task < row => Some((task, false)),
-            (Some(row), _) => Some((row, true)),
+        let (fifo, task) = (self.fifo.front().copied(), self.heap.peek().map(|t| t.0));
+        match (fifo, task) {
+            (Some(fifo), Some(task)) if task < fifo => Some((task, false)),
+            (Some(fifo), _) => Some((fifo, true)),
             (None, task) => task.map(|task| (task, false)),
         }
     }
@@ -269,19 +282,19 @@
         if self.wake_at.is_some_and(|w| w > now && w <= at) {
             return None;
         }
-        // A task may be overdue: the clock has jumped, and another was added before it was looked at.
+        // A task may be overdue, if the clock jumped and another task was added before the next check.
         self.wake_at = Some(at);
         Some((at - now).max(1))
     }
 
-    /// The next task that is due, or the time to the next wake-up.
+    /// Removes the next task that is due; else the time until the wake-up to ask for, if a new one is needed.
     pub fn due(&mut self, now: Micros) -> Result<Task, Option<Micros>> {
         match self.first() {
-            Some(((at, _, task), in_row)) if at <= now => {
-                if in_row {
-                    self.row.pop_front();
+            Some(((at, _, task), from_fifo)) if at <= now => {
+                if from_fifo {
+                    self.fifo.pop_front();
                 } else {
-                    self.tasks.pop();
+                    self.heap.pop();
                 }
                 Ok(task)
             }
@@ -290,45 +303,45 @@
     }
 }
 
-/// A number in (0, 1) from key and server alone, the same at every balancer.
-pub(crate) fn chance(key: Key, server: ServerId) -> f64 {
+/// Hash of key and server as a number in (0, 1), the same at every balancer.
+pub(crate) fn unit_hash(key: Key, server: ServerId) -> f64 {
     let mut x = key.0 ^ server.0.rotate_left(32).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     x = (x ^ (x >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
     (((x ^ (x >> 31)) >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-/// Something that fills at a rate up to a most, and is spent.
+/// Token bucket whose rate and capacity are passed with each call.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Bucket {
-    left: f64,
+pub(crate) struct QuotaBucket {
+    tokens: f64,
     at: Micros,
 }
 
-impl Bucket {
-    pub fn new(left: f64, at: Micros) -> Self {
-        Bucket { left, at }
+impl QuotaBucket {
+    pub fn new(tokens: f64, at: Micros) -> Self {
+        QuotaBucket { tokens, at }
     }
 
-    /// Takes one, if it is there.
-    pub fn take(&mut self, now: Micros, per_s: f64, most: f64) -> bool {
-        let left = self.left(now, per_s, most);
-        let some = left >= 1.0;
-        *self = Bucket::new(if some { left - 1.0 } else { left }, now);
-        some
+    /// Takes one token; false if there is none.
+    pub fn take(&mut self, now: Micros, per_s: f64, capacity: f64) -> bool {
+        let tokens = self.tokens(now, per_s, capacity);
+        let available = tokens >= 1.0;
+        *self = QuotaBucket::new(if available { tokens - 1.0 } else { tokens }, now);
+        available
     }
 
-    pub fn left(&self, now: Micros, per_s: f64, most: f64) -> f64 {
-        (self.left + per_s * (now - self.at) as f64 / 1e6).min(most)
+    pub fn tokens(&self, now: Micros, per_s: f64, capacity: f64) -> f64 {
+        (self.tokens + per_s * (now - self.at) as f64 / 1e6).min(capacity)
     }
 }
 
-/// Load a second, over a fading span, or since the first sample if that is less: a balancer that has just started
-/// would take itself for one that sees next to nothing.
+/// Load per second, decayed over a span, or since the first sample if that is less: otherwise a balancer that
+/// has just started would measure far too low a rate.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Rate {
-    /// As it was before the last sample. Danger: with it a balancer that sees little takes each sample for a
-    /// rate: those with a request in ten seconds added up to four times what they all send.
+    /// The rate before the last sample. Including that sample, a balancer with little traffic would take each
+    /// single request for a rate: balancers with one request in ten seconds added up to four times the total.
     pub per_s: f64,
     sum: f64,
     at: Micros,
@@ -345,115 +358,118 @@
         let since = *self.since.get_or_insert(now);
         let before = self.sum * (-(now - self.at) as f64 / span).exp();
         let seen = span * (1.0 - (-(now - since) as f64 / span).exp());
-        // Danger: two samples within a moment are no rate.
+        // At least one second counts as observed: two samples in quick succession are no rate.
         (self.per_s, self.sum, self.at) = (before * 1e6 / seen.max(1e6), before + load, now);
     }
 }
 
+/// What is known of a server.
 #[derive(Default)]
 pub(crate) struct Server {
     pub id: ServerId,
     pub listed: Listed,
-    /// The latest start that any list told of; an old list's earlier one is no news.
-    pub born: Option<Micros>,
-    /// Since when the list has left it out or called it gone, where that is advice.
-    pub doubted: Option<Micros>,
-    /// The last sign of life.
-    pub heard: Micros,
-    /// Size against the mean of the fleet, where the list tells sizes.
+    /// The latest start time in any list; an outdated list may contain an earlier one.
+    pub started_at: Option<Micros>,
+    /// Since when the server is gone or missing from the list.
+    pub unlisted_since: Option<Micros>,
+    /// Time of the last answer.
+    pub last_response: Micros,
+    /// Size relative to the fleet's mean, by the weights in the list.
     pub size: f64,
-    /// Where its kind stands among those of the fleet.
+    /// Index of its kind in [`Fleet::kinds`].
     pub kind: usize,
-    /// It is the origin, not a cache server.
+    /// The server is the origin, not a cache server.
     pub origin: bool,
-    /// Our requests in flight, heavy ones counted 2.
+    /// This balancer's requests in flight, heavy ones counted as 2.
     pub load: f64,
-    /// The first send since the last sign of life.
-    pub unheard: Option<Micros>,
-    pub suspicion: Suspicion,
-    /// Connections that failed since the last sign of life.
-    pub breaks: u32,
-    /// Time of its hits over what is usual for its kind.
-    pub pace: Fading,
-    /// Work a cold server may still be sent, and how much of its part that is.
-    pub turns: Turns,
+    /// When the first attempt since the last answer was sent.
+    pub oldest_unanswered: Option<Micros>,
+    pub ejection: Ejection,
+    /// Connections that failed or were lost since the last answer.
+    pub conn_failures: u32,
+    /// Latency of its hits relative to what is usual for its kind.
+    pub slowdown: DecayingMean,
+    /// Slow start: tokens for requests to the server.
+    pub tokens: TokenBucket,
+    /// Slow start: the server's ramp by the answers observed.
     pub ramp: Ramp,
 }
 
 impl Server {
     pub fn new(listed: Listed, now: Micros, own: ServerId) -> Self {
-        let turns = Turns::new(chance(Key(own.0), listed.server), now);
+        let tokens = TokenBucket::new(unit_hash(Key(own.0), listed.server), now);
         Server {
             id: listed.server,
-            born: listed.since,
+            started_at: listed.since,
             listed,
-            turns,
-            heard: now,
+            tokens,
+            last_response: now,
             size: 1.0,
             ..Server::default()
         }
     }
 
-    /// Begins anew after a restart; what is in flight still ends.
+    /// Resets the state after a restart, except the load: attempts in flight still end.
     pub fn restart(&mut self, listed: Listed, now: Micros, own: ServerId) {
         *self = Server { load: self.load, ..Server::new(listed, now, own) };
     }
 
-    /// May be a key's server.
+    /// Whether keys may be assigned to the server.
     pub fn ready(&self) -> bool {
         self.listed.stage == Stage::Live && !self.origin
     }
 
-    pub fn sent(&mut self, now: Micros, load: f64, turns: Turns) {
+    pub fn sent(&mut self, now: Micros, load: f64, tokens: TokenBucket) {
         self.load += load;
-        self.turns = turns;
-        self.unheard.get_or_insert(now);
+        self.tokens = tokens;
+        self.oldest_unanswered.get_or_insert(now);
     }
 
-    /// Since when a doubted server has neither been listed nor answered.
-    pub fn unseen_since(&self) -> Option<Micros> {
-        self.doubted.map(|since| since.max(self.heard))
+    /// Since when the server has neither been listed nor answered.
+    pub fn missing_since(&self) -> Option<Micros> {
+        self.unlisted_since.map(|since| since.max(self.last_response))
     }
 
-    /// No sign of life since something sent then, or earlier.
+    /// The server has answered nothing since an attempt that was sent at `sent` or earlier.
     pub fn silent_since(&self, sent: Micros) -> bool {
-        self.unheard.is_some_and(|u| u <= sent)
+        self.oldest_unanswered.is_some_and(|u| u <= sent)
     }
 
-    pub fn heard(&mut self, now: Micros) {
-        self.heard = now;
-        self.breaks = 0;
-        self.unheard = (self.load > 0.0).then_some(now);
+    pub fn record_response(&mut self, now: Micros) {
+        self.last_response = now;
+        self.conn_failures = 0;
+        self.oldest_unanswered = (self.load > 0.0).then_some(now);
     }
 }
 
-/// What is known of a kind of server.
+/// What is known of one kind of server (hardware type).
 #[derive(Clone, Copy)]
 pub(crate) struct Kind {
     pub name: u32,
-    /// Time of hits over the usual, as a logarithm.
-    pub pace: Fading,
-    /// What follows from that for the size of its servers.
+    /// Logarithm of the latency of hits relative to what is usual for the class.
+    pub slowdown: DecayingMean,
+    /// Size of its servers, estimated from the slowdown.
     pub size: f64,
 }
 
-/// The servers that may be candidates, by id.
+/// All known servers.
 pub(crate) struct Fleet {
+    /// Sorted by id.
     pub all: Vec<Server>,
-    /// What is known of the kinds there are, by name.
+    /// Sorted by name.
     pub kinds: Vec<Kind>,
-    /// Share of attempts late or lost, by zone.
-    pub paths: FxHashMap<u32, Fading>,
-    /// Zones that are badly reached for now.
-    pub bad_paths: Vec<u32>,
-    /// Asks of the list that failed in a row.
-    pub asks_failed: u32,
-    /// The list tells sizes.
-    pub sized: bool,
-    /// Weight of the ready servers, and their number.
+    /// Share of attempts that were late or lost, by zone.
+    pub paths: FxHashMap<u32, DecayingMean>,
+    /// Zones whose network path is bad at present.
+    pub bad_zones: Vec<u32>,
+    /// Number of watches on the list that were lost in a row.
+    pub lost_watches: u32,
+    /// The list contains different weights.
+    pub has_weights: bool,
+    /// Total weight of the ready servers, and their number.
     pub weight: f64,
     pub count: f64,
-    /// The kind whose servers are the origin.
+    /// The kind that marks the origin.
     pub origin_kind: Option<u32>,
 }
 
@@ -463,27 +479,27 @@
             all: Vec::new(),
             kinds: Vec::new(),
             paths: FxHashMap::default(),
-            bad_paths: Vec::new(),
-            asks_failed: 0,
-            sized: false,
+            bad_zones: Vec::new(),
+            lost_watches: 0,
+            has_weights: false,
             weight: 1.0,
             count: 1.0,
             origin_kind,
         }
     }
 
-    /// Where the servers stand that may be a key's.
+    /// Indexes of the servers that keys may be assigned to.
     pub fn ready(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.all.len()).filter(|&i| self.all[i].ready())
     }
 
-    /// Size of a server against the mean: listed, or else by its kind.
+    /// Size of a server relative to the mean: by the list's weights, or else by its kind.
     pub fn size(&self, i: usize) -> f64 {
         let s = &self.all[i];
-        if self.sized { s.size } else { self.kinds[s.kind].size }
+        if self.has_weights { s.size } else { self.kinds[s.kind].size }
     }
 
-    pub fn silent(&self, id: ServerId, sent: Micros) -> Option<usize> {
+    pub fn find_silent(&self, id: ServerId, sent: Micros) -> Option<usize> {
         self.find(id).filter(|&i| self.all[i].silent_since(sent))
     }
 
@@ -500,22 +516,22 @@
     }
 
     pub fn find(&self, id: ServerId) -> Option<usize> {
-        self.place(id).ok()
+        self.position_of(id).ok()
     }
 
-    /// Where a server stands, or where it belongs.
-    pub fn place(&self, id: ServerId) -> Result<usize, usize> {
+    /// The index of a server, or the index to insert it at.
+    pub fn position_of(&self, id: ServerId) -> Result<usize, usize> {
         self.all.binary_search_by_key(&id, |s| s.id)
     }
 
-    /// Where servers stand that a full list does not name.
-    pub fn missing(&self, list: &[Listed]) -> Vec<usize> {
+    /// Indexes of the servers that are not in a list.
+    pub fn not_in(&self, list: &[Listed]) -> Vec<usize> {
         let named = |s: &Server| list.iter().any(|l| l.server == s.id);
         (0..self.all.len()).filter(|&i| !named(&self.all[i])).collect()
     }
 
-    /// Counts anew what follows from the list.
-    pub fn recount(&mut self) {
+    /// Recomputes all fields that derive from the list.
+    pub fn recompute(&mut self) {
         self.all.iter_mut().for_each(|s| s.origin = self.origin_kind == Some(s.listed.kind));
         self.paths.retain(|zone, _| self.all.iter().any(|s| s.listed.zone == *zone));
         let mut names: Vec<u32> = self.all.iter().map(|s| s.listed.kind).collect();
@@ -523,10 +539,10 @@
         names.dedup();
         let old = std::mem::take(&mut self.kinds);
         let kept = |name| old.iter().find(|k| k.name == name).copied();
-        let new = |name| Kind { name, pace: Fading::default(), size: 1.0 };
+        let new = |name| Kind { name, slowdown: DecayingMean::default(), size: 1.0 };
         self.kinds = names.iter().map(|name| kept(*name).unwrap_or(new(*name))).collect();
         let weights: Vec<f64> = self.ready().map(|i| self.all[i].listed.weight).collect();
-        self.sized = weights.iter().any(|w| *w != weights[0]);
+        self.has_weights = weights.iter().any(|w| *w != weights[0]);
         self.count = weights.len().max(1) as f64;
         self.weight = weights.iter().sum::<f64>().max(0.01);
         let mean = self.mean_weight();
@@ -537,132 +553,133 @@
     }
 }
 
-/// Requests taken and further attempts made, each within a sliding window.
+/// Times of accepted requests, and of retries and hedged attempts, within a sliding window.
 #[derive(Default)]
-pub(crate) struct Window {
-    taken: VecDeque<Micros>,
-    extra: VecDeque<Micros>,
+pub(crate) struct BudgetWindow {
+    requests: VecDeque<Micros>,
+    retries: VecDeque<Micros>,
 }
 
-/// Times kept of each at most.
-const WINDOW_MOST: usize = 1 << 16;
+/// Limit on the times kept of each.
+const MAX_WINDOW_ENTRIES: usize = 1 << 16;
 
-impl Window {
-    pub fn take(&mut self, now: Micros, span: Micros) {
-        self.taken.push_back(now);
-        self.pass(now, span);
+impl BudgetWindow {
+    pub fn record_request(&mut self, now: Micros, span: Micros) {
+        self.requests.push_back(now);
+        self.expire(now, span);
     }
 
-    pub fn spend(&mut self, now: Micros, span: Micros) {
-        self.extra.push_back(now);
-        self.pass(now, span);
+    pub fn record_retry(&mut self, now: Micros, span: Micros) {
+        self.retries.push_back(now);
+        self.expire(now, span);
     }
 
-    /// Forgets what has left the window. Danger: a count that is off at an edge; what was taken leaves a
-    /// little too soon and what was spent a little too late.
-    fn pass(&mut self, now: Micros, span: Micros) {
+    /// Removes what has left the window. At its edge requests leave slightly early and retries slightly late,
+    /// so that the budget is never exceeded.
+    fn expire(&mut self, now: Micros, span: Micros) {
         let (taken, spent) = (now.saturating_sub(span), now.saturating_sub(span));
-        while self.taken.front().is_some_and(|t| *t <= taken) || self.taken.len() > WINDOW_MOST {
-            self.taken.pop_front();
+        while self.requests.front().is_some_and(|t| *t <= taken) || self.requests.len() > MAX_WINDOW_ENTRIES {
+            self.requests.pop_front();
         }
-        while self.extra.front().is_some_and(|t| *t < spent) {
-            self.extra.pop_front();
+        while self.retries.front().is_some_and(|t| *t < spent) {
+            self.retries.pop_front();
         }
     }
 
-    /// Taken, and spent, in the window up to now.
+    /// Requests, and retries and hedged attempts, in the window up to now.
     pub fn counts(&self, now: Micros, span: Micros) -> (usize, usize) {
         let from = now.saturating_sub(span);
-        let taken = self.taken.len() - self.taken.partition_point(|t| *t <= from);
-        (taken, self.extra.len() - self.extra.partition_point(|t| *t < from))
+        let taken = self.requests.len() - self.requests.partition_point(|t| *t <= from);
+        (taken, self.retries.len() - self.retries.partition_point(|t| *t < from))
     }
 
     pub fn full(&self) -> bool {
-        self.extra.len() >= WINDOW_MOST
+        self.retries.len() >= MAX_WINDOW_ENTRIES
     }
 }
 
-/// What a balancer has learned from its own traffic.
+/// What a balancer has measured in its own traffic.
 #[derive(Default)]
 pub(crate) struct Learned {
-    pub hints: Mean,
-    /// Requests by tenant still inside its share.
-    pub quota: Vec<Bucket>,
-    /// Requests taken, and how many a second.
-    pub requests: Fading,
+    pub cost_hints: Mean,
+    /// Tokens of each tenant for requests inside its share.
+    pub quota: Vec<QuotaBucket>,
+    /// Number of requests, and their rate.
+    pub requests: DecayingMean,
     pub request_rate: Rate,
-    /// Time to a served answer, by class.
-    pub took: Vec<Mean>,
-    /// Time of cache answers over their aim.
-    pub pressure: Mean,
-    /// Requests and further attempts, where a budget is stated.
-    pub window: Window,
-    /// Further attempts saved up, where none is.
-    pub retries: Turns,
-    /// What a warm server of weight 1 carries for us.
+    /// Latency of served answers, by class.
+    pub latency: Vec<Mean>,
+    /// Latency of cache answers relative to their target.
+    pub latency_ratio: Mean,
+    /// Requests and retries, for a configured budget.
+    pub window: BudgetWindow,
+    /// Tokens for retries and hedged attempts, if no budget is configured.
+    pub retries: TokenBucket,
+    /// Load per second that a warm server of weight 1 serves for this balancer.
     pub warm_rate: Rate,
 }
 
 impl Learned {
-    /// Of the balancer `own`, which may save up `retries` further attempts.
+    /// For the balancer `own`, which may save up to `retries` tokens for retries.
     pub fn new(settings: &Settings, now: Micros, own: u64, retries: f64) -> Self {
-        let part = chance(Key(own), ServerId(0)) + retries.min(1.0);
-        let took = vec![Mean::default(); settings.classes.len()];
-        let quota = settings.tenants.iter().map(|t| Bucket::new(t.quota_per_s, now)).collect();
-        Learned { took, quota, retries: Turns::new(part, now), ..Learned::default() }
+        let part = unit_hash(Key(own), ServerId(0)) + retries.min(1.0);
+        let latency = vec![Mean::default(); settings.classes.len()];
+        let quota = settings.tenants.iter().map(|t| QuotaBucket::new(t.quota_per_s, now)).collect();
+        Learned { latency, quota, retries: TokenBucket::new(part, now), ..Learned::default() }
     }
 
-    /// Makes room for other settings; what was learnt stays.
-    pub fn fit(&mut self, settings: &Settings, now: Micros) {
-        self.took.resize(settings.classes.len().max(self.took.len()), Mean::default());
+    /// Adds entries for new classes and tenants; measured values stay.
+    pub fn resize(&mut self, settings: &Settings, now: Micros) {
+        self.latency.resize(settings.classes.len().max(self.latency.len()), Mean::default());
         let new = settings.tenants.iter().skip(self.quota.len());
-        self.quota.extend(new.map(|t| Bucket::new(t.quota_per_s, now)));
+        self.quota.extend(new.map(|t| QuotaBucket::new(t.quota_per_s, now)));
     }
 }
 
-/// What a held request waits for: reads of a key for the same fetch, a write for its own.
+/// Key of a held request in the queue for the origin: reads of one key wait for the same fetch, a write for
+/// its own.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-pub(crate) enum Wanted {
+pub(crate) enum QueueKey {
     Read(Key),
     Write(RequestId),
 }
 
-/// Requests held at most; one more puts out the one least likely to be served.
-const HELD_MOST: usize = 1 << 14;
+/// Limit on held requests; one more evicts the request that is least likely to be served.
+const MAX_HELD: usize = 1 << 14;
 
-/// What is known of the origin, and what waits for it.
+/// What is known of the origin, and the requests that wait for it.
 pub(crate) struct Origin {
-    /// How many attempts of ours may work it.
-    pub follow: Follow,
-    /// Answers tell fetches from hits.
-    pub told: bool,
-    /// Fetches out by key, with the requests that wait for them.
-    pub joined: FxHashMap<Key, Vec<RequestId>>,
-    /// Requests that wait for room.
-    pub held: Held<Wanted, RequestId>,
-    /// The last look at those that was asked for.
+    /// Limit on this balancer's attempts in flight that load the origin.
+    pub limiter: Follow,
+    /// Answers distinguish fetches from hits.
+    pub reports_fetches: bool,
+    /// Fetches in flight by key, with the requests that wait for them.
+    pub pending_fetches: FxHashMap<Key, Vec<RequestId>>,
+    /// Requests that wait for the limit.
+    pub held: Held<QueueKey, RequestId>,
+    /// Due time of the last scheduled [`Task::Drain`].
     pub drain_at: Micros,
 }
 
 impl Origin {
     pub fn new(settings: follow::Settings, now: Micros) -> Self {
         Origin {
-            follow: Follow::new(settings, now),
-            told: false,
-            joined: FxHashMap::default(),
-            held: Held::new(HELD_MOST),
+            limiter: Follow::new(settings, now),
+            reports_fetches: false,
+            pending_fetches: FxHashMap::default(),
+            held: Held::new(MAX_HELD),
             drain_at: Micros::MIN,
         }
     }
 
-    /// Books an attempt. Reads of `key` may join it.
+    /// Records an attempt. Reads of `key` may wait for it.
     pub fn sent(&mut self, now: Micros, key: Option<Key>) -> Sent {
-        key.iter().for_each(|key| _ = self.joined.entry(*key).or_default());
-        self.follow.sent(now)
+        key.iter().for_each(|key| _ = self.pending_fetches.entry(*key).or_default());
+        self.limiter.sent(now)
     }
 }
 
-/// The requests in hand, and those answered that still have attempts out.
+/// Requests in progress, and answered ones that still have attempts in flight.
 #[derive(Default)]
 pub(crate) struct Requests(pub FxHashMap<RequestId, Request>);
 
@@ -671,17 +688,17 @@
         self.0.get(&id)
     }
 
-    /// Books the end of an attempt that was out; gives it.
+    /// Records the end of an attempt in flight, and returns it.
     pub fn ended(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Option<Attempt> {
         let r = self.0.get_mut(&id)?;
-        let a = r.attempts.get_mut(attempt as usize).filter(|a| a.fate == Fate::Out)?;
+        let a = r.attempts.get_mut(attempt as usize).filter(|a| a.exec == Exec::Pending)?;
         r.misses += u32::from(outcome == Outcome::Miss);
-        a.fate = if outcome.never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
-        a.broke = matches!(outcome, Outcome::Broken | Outcome::ConnectFailed);
+        a.exec = if outcome.never_ran() { Exec::NeverRan } else { Exec::MayHaveRun };
+        a.broken = matches!(outcome, Outcome::Broken | Outcome::ConnectFailed);
         Some(*a)
     }
 
-    /// Books an attempt; true if a miss pays for it.
+    /// Records an attempt. True if it follows a miss, so that it doesn't count towards the budget.
     pub fn sent(&mut self, id: RequestId, attempt: Attempt) -> bool {
         let Some(r) = self.0.get_mut(&id) else { return false };
         r.attempts.push(attempt);
@@ -690,24 +707,24 @@
         paid
     }
 
-    /// Its answer streams: it belongs to the client now.
+    /// Marks a request whose answer is being streamed to the client.
     pub fn streaming(&mut self, id: RequestId) {
         self.0.entry(id).and_modify(|r| r.streaming = true);
     }
 
-    /// Marks a request as over; gives the attempts still out, if it was not over before.
+    /// Marks a request as ended. Returns its attempts in flight, unless it had ended before.
     pub fn finish(&mut self, id: RequestId) -> Option<Vec<u32>> {
         let r = self.0.get_mut(&id).filter(|r| !r.done)?;
         r.done = true;
-        let out = |(n, a): (usize, &Attempt)| (a.fate == Fate::Out).then_some(n as u32);
+        let out = |(n, a): (usize, &Attempt)| (a.exec == Exec::Pending).then_some(n as u32);
         let live: Vec<u32> = r.attempts.iter().enumerate().filter_map(out).collect();
         self.forget(id);
         Some(live)
     }
 
-    /// Frees a request that is over once nothing of it is out.
+    /// Removes a request that has ended and has no attempt in flight.
     pub fn forget(&mut self, id: RequestId) {
-        if self.0.get(&id).is_some_and(|r| r.done && r.out() == 0) {
+        if self.0.get(&id).is_some_and(|r| r.done && r.in_flight() == 0) {
             self.0.remove(&id);
         }
     }
@@ -717,15 +734,15 @@
 mod tests {
     use super::*;
 
-    /// Guards hosts, whose clocks stand still and jump: a negative wake-up is none that can be asked for.
+    /// A stalled host's clock jumps past due times; the time until a wake-up must stay positive.
     #[test]
-    fn no_wake_up_is_negative_though_the_clock_has_jumped_past_what_is_due() {
-        let mut agenda = Agenda::default();
-        assert_eq!(agenda.add(0, 10, Task::Ask), Some(10));
-        assert_eq!(agenda.add(1_000, 2_000, Task::Drain), Some(1), "the first is overdue");
-        assert!(matches!(agenda.due(1_000), Ok(Task::Ask)));
-        assert!(matches!(agenda.due(1_000), Err(Some(1_000))));
-        assert!(matches!(agenda.due(2_000), Ok(Task::Drain)));
-        assert!(matches!(agenda.due(2_000), Err(None)));
+    fn wake_ups_stay_positive_after_a_clock_jump() {
+        let mut timers = TimerQueue::default();
+        assert_eq!(timers.add(0, 10, Task::Watch), Some(10));
+        assert_eq!(timers.add(1_000, 2_000, Task::Drain), Some(1), "the first is overdue");
+        assert!(matches!(timers.due(1_000), Ok(Task::Watch)));
+        assert!(matches!(timers.due(1_000), Err(Some(1_000))));
+        assert!(matches!(timers.due(2_000), Ok(Task::Drain)));
+        assert!(matches!(timers.due(2_000), Err(None)));
     }
 }
--- a/crates/decisions/src/token_bucket.rs
+++ b/crates/decisions/src/token_bucket.rs
@@ -1,132 +1,144 @@
-//! Turns at something that many copies share and none can see the others of: a cold server, further attempts.
+//! Token bucket with a fractional depth, for a limit that many balancers share without coordination: the load
+//! on a cold server, retries.
 //!
-//! A [`Turns`] is a token bucket (Turner, IEEE Communications Magazine 1986) that also holds where a copy's share
-//! of the burst is under one. A usual bucket needs a depth of one at least, or nothing ever goes; so a thousand
-//! copies save up a thousand. Here only whole tokens count, they run out by whole tokens, and what is left of a
-//! token stays. With a depth of 0.1 a token is at hand for a tenth of the time, and as each copy begins at another
-//! part of a token, a tenth of the copies have one at any moment. So the sum over copies is the sum of their
-//! depths, as it is where depths are large. No clock and no draws.
+//! A usual token bucket (Turner, IEEE Communications Magazine 1986) needs a depth of at least one, or it
+//! never allows anything; so a thousand balancers together save up a thousand tokens. A [`TokenBucket`] also
+//! works with a depth under one: only whole tokens are spent, they expire by whole tokens, and a remaining
+//! fraction stays. With a depth of 0.1 a token is available for a tenth of the time, and since each balancer
+//! starts with another fraction, a tenth of the balancers have one at any moment. So the sum over balancers
+//! is the sum of their depths, as with large depths. No clock and no random numbers.
 
 use crate::Micros;
 
-/// Work for a cold server is saved up for this part of the time in which it would tip over,
-const SAVED: f64 = 0.5;
-/// or until there are so many, since so many come together by chance,
-const CHANCE: f64 = 2.0;
-/// but never longer than this many times that time. Over that time and what was saved up before it, the copies
-/// together send three times the work that is due, if none of them was asked before and all are at once: a cold server
-/// bears three times what it can do, and peers that are asked as usual carry half of that.
-const SAVED_MOST: f64 = 2.0;
-/// What is due to a cold server over the warm part of what a peer carries: a fleet has more than it needs.
-pub(crate) const COLD_DUE: f64 = 1.3;
-/// A copy may keep one further attempt for a bad moment if its requests earn it in this time, in seconds.
-const RETRY_SPAN: f64 = 2.0;
-
-/// Tokens of one copy. The unit is the load of one request.
+/// Depth for a cold server: the load due to it in this share of the time in which it would overload,
+const BURST_WINDOWS: f64 = 0.5;
+/// or this many tokens if that is more, since as many requests arrive together by chance,
+const MIN_BURST: f64 = 2.0;
+/// but at most the load due in this multiple of that time. If all balancers were idle before and then get
+/// requests at once, they send the saved load and the load due in that time, together three times the load
+/// due. A cold server withstands three times its capacity for that time, and peers with usual traffic carry
+/// half of that.
+const MAX_BURST_WINDOWS: f64 = 2.0;
+/// Factor on the load due to a cold server, relative to its share of a warm peer's load: a fleet has spare
+/// capacity.
+pub(crate) const SLOW_START_HEADROOM: f64 = 1.3;
+/// A balancer may save a token for a retry if its requests earn that token within this time, in seconds.
+const RETRY_EARN_S: f64 = 2.0;
+
+/// The tokens of one balancer. A token is the load of one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Turns {
+pub(crate) struct TokenBucket {
     level: f64,
     depth: f64,
     at: Micros,
 }
 
-impl Turns {
-    /// Begins with a part of a token, in [0, 1). It should differ between copies, or they take turns together.
+impl TokenBucket {
+    /// Starts with a fraction of a token, in [0, 1). It should differ between balancers, which otherwise get
+    /// their tokens at the same time.
     pub(crate) fn new(part: f64, now: Micros) -> Self {
-        Turns { level: part, depth: 0.0, at: now }
+        TokenBucket { level: part, depth: 0.0, at: now }
     }
 
-    /// When something was last spent.
+    /// Time when tokens were last spent.
     pub(crate) fn at(self) -> Micros {
         self.at
     }
 
-    /// After `earned` more, of which `depth` may be kept. Whole tokens beyond that have run out.
-    pub(crate) fn earned(self, earned: f64, depth: f64) -> Self {
+    /// The bucket with `earned` more tokens. Whole tokens beyond `depth` expire.
+    pub(crate) fn refilled(self, earned: f64, depth: f64) -> Self {
         let level = self.level + earned;
-        Turns { level: level - (level - depth).floor().max(0.0), depth, ..self }
+        TokenBucket { level: level - (level - depth).floor().max(0.0), depth, ..self }
     }
 
-    /// A request may go. Where the depth is under its load it goes with one token, and the rest is owed; else
-    /// heavy ones would never go.
-    pub(crate) fn allow(self, load: f64) -> bool {
+    /// Whether a request may be sent. If the depth is under its load one token is enough and the level
+    /// becomes negative; otherwise heavy requests would never be sent.
+    pub(crate) fn allows(self, load: f64) -> bool {
         self.level >= load.min(self.depth.max(1.0))
     }
 
-    /// After a request has gone.
+    /// The bucket after a request was sent.
     pub(crate) fn spent(self, load: f64, now: Micros) -> Self {
-        Turns { level: self.level - load, at: now, ..self }
+        TokenBucket { level: self.level - load, at: now, ..self }
     }
 }
 
-/// What a copy may save up for a cold server that is due `per_s` from it, and tips over in `window`.
-pub(crate) fn cold_depth(per_s: f64, window: Micros) -> f64 {
+/// Depth of a balancer's bucket for a cold server that it may send `per_s` to, and that overloads within
+/// `window`.
+pub(crate) fn slow_start_depth(per_s: f64, window: Micros) -> f64 {
     let due = (per_s * window as f64 / 1e6).max(0.0);
-    CHANCE.clamp(SAVED * due, SAVED_MOST * due)
+    MIN_BURST.clamp(BURST_WINDOWS * due, MAX_BURST_WINDOWS * due)
 }
 
-/// Further attempts that a copy may save up: its part of what all may, and one if its own requests earn as much
-/// soon. So all copies together keep to `all` and a share of the requests of [`RETRY_SPAN`], however many they are.
-pub(crate) fn retry_depth(all: f64, copies: u32, earned_per_s: f64) -> f64 {
-    (all / f64::from(copies.max(1))).max((earned_per_s * RETRY_SPAN).min(1.0))
+/// Depth of a balancer's bucket for retries: its share of `all`, or up to one if its own requests earn that
+/// much within [`RETRY_EARN_S`]. So all balancers together keep to `all` plus a share of the requests of that
+/// time, whatever their number.
+pub(crate) fn retry_depth(all: f64, balancers: u32, earned_per_s: f64) -> f64 {
+    (all / f64::from(balancers.max(1))).max((earned_per_s * RETRY_EARN_S).min(1.0))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    /// Copies that may go at a moment, of `copies` that earn `all` a second together and were idle for `idle` s.
-    fn ready(copies: u32, all: f64, idle: f64, rule: impl Fn(Turns, f64) -> bool) -> usize {
-        let each = all / f64::from(copies);
+    /// Number of balancers that may send at a moment, of `balancers` that together earn `all` per second and
+    /// were idle for `idle` seconds.
+    fn ready(balancers: u32, all: f64, idle: f64, rule: impl Fn(TokenBucket, f64) -> bool) -> usize {
+        let each = all / f64::from(balancers);
         let part = |n: u32| (f64::from(n) * 0.618_034).fract();
-        (0..copies)
-            .filter(|&n| rule(Turns::new(part(n), 0).earned(each * idle, cold_depth(each, 2_000_000)), each))
+        (0..balancers)
+            .filter(|&n| {
+                rule(
+                    TokenBucket::new(part(n), 0).refilled(each * idle, slow_start_depth(each, 2_000_000)),
+                    each,
+                )
+            })
             .count()
     }
 
     #[test]
-    fn what_all_have_saved_up_does_not_grow_with_their_number() {
-        for (copies, least) in [(30, 20), (100, 60), (300, 60), (1_000, 60), (10_000, 60)] {
+    fn saved_tokens_of_all_balancers_do_not_grow_with_their_number() {
+        for (balancers, min) in [(30, 20), (100, 60), (300, 60), (1_000, 60), (10_000, 60)] {
             for idle in [10.0, 60.0, 3_600.0] {
-                // 20 a second: 80 in four seconds.
-                let now = ready(copies, 20.0, idle, |turns, _| turns.allow(1.0));
-                assert!((least..=85).contains(&now), "{copies} copies, {idle} s: {now}");
+                // 20 per second: 80 in four seconds.
+                let now = ready(balancers, 20.0, idle, |tokens, _| tokens.allows(1.0));
+                assert!((min..=85).contains(&now), "{balancers} balancers, {idle} s: {now}");
             }
         }
-        // The rule before this one, as the control: two at each.
+        // The control: buckets that always hold up to two tokens.
         let before = ready(300, 20.0, 3_600.0, |_, each| (each * 3_600.0).min(each.max(2.0)) >= 1.0);
         assert_eq!(before, 300);
     }
 
     #[test]
-    fn over_time_a_copy_gets_all_that_it_is_due() {
+    fn a_balancer_gets_its_full_rate_over_time() {
         for per_s in [0.05, 0.7, 5.0, 80.0] {
-            let mut turns = Turns::new(0.3, 0);
-            let mut gone = 0;
+            let mut tokens = TokenBucket::new(0.3, 0);
+            let mut sent = 0;
             for tick in 1..=100_000 {
-                let next = turns.earned(per_s * 0.01, cold_depth(per_s, 2_000_000));
-                let go = next.allow(1.0);
-                gone += u32::from(go);
-                turns = if go { next.spent(1.0, tick) } else { next };
+                let next = tokens.refilled(per_s * 0.01, slow_start_depth(per_s, 2_000_000));
+                let go = next.allows(1.0);
+                sent += u32::from(go);
+                tokens = if go { next.spent(1.0, tick) } else { next };
             }
-            assert!((f64::from(gone) - 1_000.0 * per_s).abs() <= 2.0, "{per_s}: {gone}");
+            assert!((f64::from(sent) - 1_000.0 * per_s).abs() <= 2.0, "{per_s}: {sent}");
         }
     }
 
     #[test]
-    fn a_heavy_request_goes_on_one_token_only_where_two_never_come() {
-        let small = Turns::new(0.9, 0).earned(0.2, 0.4);
-        assert!(small.allow(2.0));
-        assert!(!small.spent(2.0, 1).earned(0.9, 0.4).allow(1.0), "the rest is owed");
-        assert!(!Turns::new(0.9, 0).earned(0.2, 3.0).allow(2.0));
+    fn one_token_is_enough_for_a_heavy_request_only_with_a_depth_under_its_load() {
+        let small = TokenBucket::new(0.9, 0).refilled(0.2, 0.4);
+        assert!(small.allows(2.0));
+        assert!(!small.spent(2.0, 1).refilled(0.9, 0.4).allows(1.0), "the level is negative");
+        assert!(!TokenBucket::new(0.9, 0).refilled(0.2, 3.0).allows(2.0));
     }
 
     #[test]
-    fn one_further_attempt_is_kept_only_where_requests_earn_it_soon() {
-        for (copies, earned, depth) in
+    fn a_retry_token_is_saved_only_if_requests_earn_it_soon() {
+        for (balancers, earned, depth) in
             [(1, 0.0, 60.0), (3, 100.0, 20.0), (300, 0.0, 0.2), (300, 0.25, 0.5), (300, 9.0, 1.0)]
         {
-            assert_eq!(retry_depth(60.0, copies, earned), depth);
+            assert_eq!(retry_depth(60.0, balancers, earned), depth);
         }
     }
 }
--- a/crates/decisions/tests/all_cold/world.rs
+++ b/crates/decisions/tests/all_cold/world.rs
@@ -97,7 +97,7 @@
 impl Plan {
     fn settings(&self) -> Settings {
         Settings {
-            classes: vec![Class { aim: AIM, worth: 1.0, ..Class::default() }],
+            classes: vec![Class { latency_target: AIM, worth: 1.0, ..Class::default() }],
             over_share_worth: 1.0,
             mode: Mode::Aside,
             origin_kind: Some(1),
--- a/crates/decisions/tests/copies/world.rs
+++ b/crates/decisions/tests/copies/world.rs
@@ -43,7 +43,7 @@
 
 pub fn settings(told: u32, mode: Mode) -> Settings {
     Settings {
-        classes: vec![Class { aim: 500 * MS, worth: 1.0, ..Class::default() }],
+        classes: vec![Class { latency_target: 500 * MS, worth: 1.0, ..Class::default() }],
         over_share_worth: 1.0,
         mode,
         origin_kind: Some(1),
--- a/crates/decisions/tests/time_limits.rs
+++ b/crates/decisions/tests/time_limits.rs
@@ -1,7 +1,7 @@
 //! Time limits and permits.
 
 use lapisrudder_decisions::permit::{Begin, Close, Denial, Repeat, Violations};
-use lapisrudder_decisions::time_limits::{HOLD_UP, RESERVE, RequestTime, SOCKET_SLACK, repeatable_until};
+use lapisrudder_decisions::time_limits::{MAX_STALL, RESERVE, RequestTime, SOCKET_SLACK, repeatable_until};
 use lapisrudder_decisions::{Effect, Micros};
 
 const MS: Micros = 1_000;
@@ -11,7 +11,7 @@
     for wait in [500 * MS, 600 * MS, 2_500 * MS, 3_600_000 * MS] {
         let time = RequestTime::new(7, wait);
         assert_eq!(time.due, 7 + wait);
-        assert!(!time.is_missed(time.answer_by + HOLD_UP), "{wait}");
+        assert!(!time.is_missed(time.answer_by + MAX_STALL), "{wait}");
         assert!(time.is_missed(time.due + SOCKET_SLACK + 1));
     }
 }
@@ -27,7 +27,7 @@
 #[test]
 fn a_repeat_that_begins_after_a_hold_up_is_still_remembered() {
     for window in [300 * MS, 1_000 * MS, 10_000 * MS] {
-        assert!(repeatable_until(0, window) + HOLD_UP + SOCKET_SLACK <= window, "{window}");
+        assert!(repeatable_until(0, window) + MAX_STALL + SOCKET_SLACK <= window, "{window}");
     }
     assert_eq!(repeatable_until(5, 100 * MS), 5, "a window as short as a hold-up allows no repeat");
 }
@@ -37,17 +37,17 @@
     let may = Begin { now: 10, owed: true, until: 20, begin_by: 20, server_open: true };
     assert_eq!(may.check(), Ok(()));
     let cases = [
-        (Begin { owed: false, ..may }, Denial::NothingOwed),
+        (Begin { owed: false, ..may }, Denial::NoAnswerPending),
         (Begin { server_open: false, ..may }, Denial::ServerClosed),
-        (Begin { begin_by: 10, ..may }, Denial::Forgotten),
-        (Begin { until: 10, ..may }, Denial::OutOfTime),
+        (Begin { begin_by: 10, ..may }, Denial::RepeatWindowOver),
+        (Begin { until: 10, ..may }, Denial::DeadlinePassed),
     ];
     let mut violations = Violations::default();
     for (attempt, why) in cases {
         assert_eq!(attempt.check(), Err(why));
-        violations.note(attempt.check());
+        violations.record(attempt.check());
     }
-    violations.note(may.check());
+    violations.record(may.check());
     assert_eq!(violations.total(), 4);
     assert_eq!(violations.to_string(), "nothing-owed 1, out-of-time 1, forgotten 1, server-closed 1");
 }
@@ -56,7 +56,7 @@
 fn what_may_have_run_is_repeated_as_its_class_allows() {
     let keyed = Repeat { now: 10, effect: Effect::Keyed, same_group: true, begin_by: 11 };
     assert_eq!(keyed.check(), Ok(()));
-    assert_eq!(Repeat { begin_by: 10, ..keyed }.check(), Err(Denial::Forgotten));
+    assert_eq!(Repeat { begin_by: 10, ..keyed }.check(), Err(Denial::RepeatWindowOver));
     assert_eq!(Repeat { same_group: false, ..keyed }.check(), Err(Denial::MayHaveRun));
     assert_eq!(Repeat { effect: Effect::Unsafe, ..keyed }.check(), Err(Denial::MayHaveRun));
     assert_eq!(Repeat { effect: Effect::Safe, same_group: false, begin_by: 0, ..keyed }.check(), Ok(()));
@@ -65,6 +65,6 @@
 #[test]
 fn a_connection_closes_between_requests_only() {
     assert_eq!(Close { owed: false, unread: false }.check(), Ok(()));
-    assert_eq!(Close { owed: true, unread: false }.check(), Err(Denial::AnswersOwed));
+    assert_eq!(Close { owed: true, unread: false }.check(), Err(Denial::AnswersPending));
     assert_eq!(Close { owed: false, unread: true }.check(), Err(Denial::Unread));
 }
--- a/crates/engine/src/audit.rs
+++ b/crates/engine/src/audit.rs
@@ -41,7 +41,7 @@
     }
 
     /// Counts everything. For the end of a turn, when [`Engine::poll_order`] has given none: then `flows` is
-    /// `carried` and `waiting` together, and `decisions.out`.
+    /// `carried` and `waiting` together, and `decisions.in_flight`.
     pub fn audit(&self) -> Audit {
         let (connections, members, carried, waiting, places, bytes) = self.pool.audit();
         Audit {
--- a/crates/engine/src/connection.rs
+++ b/crates/engine/src/connection.rs
@@ -292,7 +292,7 @@
             let taken = bytes.min(place.bytes.len() - place.written);
             if place.written == 0 && taken > 0 {
                 let permitted = place.permit(checks.now, checks.server_open);
-                checks.violations.note(permitted);
+                checks.violations.record(permitted);
                 checks.begun.push((place.flow.id, permitted));
             }
             place.written += taken;
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -11,7 +11,7 @@
 use crate::request::Request;
 use crate::transactions::{FlowState, Transaction, Transactions};
 use lapisrudder_codec::memcache::{self, ReadNote};
-use lapisrudder_decisions::maintenance::{Ban, Maintenance, NoBan};
+use lapisrudder_decisions::maintenance::{Ban, BanError, Maintenance};
 use lapisrudder_decisions::permit::{Begin, Violations};
 use lapisrudder_decisions::{
     Action, Balancer, CacheNote, Event, Listed, Micros, Outcome, RequestId, Scope, ServerId, Settings,
@@ -326,7 +326,7 @@
     /// News of the list.
     pub fn listed(&mut self, scope: Scope, members: Vec<Member>) {
         let told = members.into_iter().map(|m| (m.listed, m.endpoint)).collect();
-        let members = self.maintenance.listed(scope, told);
+        let members = self.maintenance.apply_list(scope, told);
         self.effective(scope, members);
     }
 
@@ -335,7 +335,7 @@
     ///
     /// # Errors
     /// It cannot be.
-    pub fn take_out(&mut self, server: ServerId, ban: Ban) -> Result<(), NoBan> {
+    pub fn take_out(&mut self, server: ServerId, ban: Ban) -> Result<(), BanError> {
         let seen = self.maintenance.ban(server, ban)?;
         self.changed(seen);
         Ok(())
@@ -351,7 +351,7 @@
     ///
     /// # Errors
     /// It never was listed.
-    pub fn put_back(&mut self, now: Micros, server: ServerId) -> Result<(), NoBan> {
+    pub fn put_back(&mut self, now: Micros, server: ServerId) -> Result<(), BanError> {
         let seen = self.maintenance.lift(server, now)?;
         self.changed(seen);
         Ok(())
@@ -648,7 +648,7 @@
     note.map(|note| match note {
         ReadNote::Hit => CacheNote::Hit,
         ReadNote::Fetched => CacheNote::Fetched,
-        ReadNote::OthersFetch => CacheNote::OthersFetch,
+        ReadNote::OthersFetch => CacheNote::FetchInProgress,
     })
 }
 
--- a/crates/engine/src/generations.rs
+++ b/crates/engine/src/generations.rs
@@ -61,7 +61,7 @@
     use super::*;
 
     fn settings(max_attempts: u32, aims: &[i64]) -> Settings {
-        let classes = aims.iter().map(|aim| Class { aim: *aim, ..Class::default() }).collect();
+        let classes = aims.iter().map(|aim| Class { latency_target: *aim, ..Class::default() }).collect();
         Settings { classes, max_attempts, ..Settings::default() }
     }
 
@@ -83,7 +83,7 @@
         assert_eq!(generations.next(&mut dropped, |_| false), [3]);
         let mut again = settings(5, &[7]);
         assert_eq!(generations.next(&mut again, |p| p == 3), [0], "the first free place");
-        assert_eq!(again.classes[0].aim, 7);
+        assert_eq!(again.classes[0].latency_target, 7);
         assert_eq!(generations.len(), 4);
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -34,7 +34,7 @@
 //! use lapisrudder_decisions::{Class, Key, Listed, RequestId, Scope, ServerId, Settings};
 //! use lapisrudder_engine::{Answer, Config, Engine, Member, Order, Request};
 //!
-//! let class = Class { aim: 750_000, worth: 1.0, ..Class::default() };
+//! let class = Class { latency_target: 750_000, worth: 1.0, ..Class::default() };
 //! let settings = Settings {
 //!     classes: vec![class], max_attempts: 3, siblings: 1, second_copies: true, ..Settings::default()
 //! };
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -430,5 +430,5 @@
     desk.pool.write_out(0, &mut desk.deadlines);
     assert!(desk.call.answer(), "between the order and the write");
     desk.pool.transmitted(Conn(0), 1);
-    assert_eq!(desk.pool.violations().found().collect::<Vec<_>>(), [(Denial::NothingOwed, 1)]);
+    assert_eq!(desk.pool.violations().found().collect::<Vec<_>>(), [(Denial::NoAnswerPending, 1)]);
 }
--- a/crates/engine/src/transactions.rs
+++ b/crates/engine/src/transactions.rs
@@ -129,7 +129,7 @@
     pub(crate) fn denied(&mut self, flow: FlowId, at: Micros) {
         self.denied += 1;
         let server = self.server_of(flow).unwrap_or_default();
-        let step = Step::Denied(server, Denial::NotOpenAtHost);
+        let step = Step::Denied(server, Denial::NotPendingAtHost);
         self.recorder.note(at, flow.request, Some(flow.attempt), step);
         warn!(number = flow.request.0, attempt = flow.attempt, "no open request, the attempt does not begin");
     }
--- a/crates/engine/tests/books.rs
+++ b/crates/engine/tests/books.rs
@@ -5,7 +5,7 @@
 use lapisrudder_engine::{Answer, Config, Engine, Member, Order, Request};
 
 fn settings(origin_kind: u32) -> Settings {
-    let class = Class { aim: 750_000, worth: 1.0, ..Class::default() };
+    let class = Class { latency_target: 750_000, worth: 1.0, ..Class::default() };
     Settings {
         classes: vec![class],
         max_attempts: 3,
@@ -67,8 +67,8 @@
         let books = engine.audit();
         assert_eq!((books.transactions, books.names, books.flows, books.open), (0, 0, 0, 0), "{books:?}");
         let decisions = books.decisions;
-        assert_eq!((decisions.requests, decisions.out, decisions.load), (0, 0, 0.0), "{books:?}");
-        assert_eq!(decisions.origin_out, 0.0, "{books:?}");
+        assert_eq!((decisions.requests, decisions.in_flight, decisions.load), (0, 0, 0.0), "{books:?}");
+        assert_eq!(decisions.origin_in_flight, 0.0, "{books:?}");
     }
 }
 
@@ -111,7 +111,7 @@
             _ => None,
         });
         assert_eq!(to == Some(home), ours, "after as many failures of its own it is suspect");
-        assert_eq!(engine.audit().decisions.load, engine.audit().decisions.out as f64);
+        assert_eq!(engine.audit().decisions.load, engine.audit().decisions.in_flight as f64);
     }
 }
 
--- a/crates/engine/tests/crossings.rs
+++ b/crates/engine/tests/crossings.rs
@@ -64,7 +64,7 @@
 
 impl Host {
     fn new(may_cancel: bool) -> Host {
-        let class = Class { aim: 20 * MS, worth: 1.0, ..Class::default() };
+        let class = Class { latency_target: 20 * MS, worth: 1.0, ..Class::default() };
         let settings = Settings {
             classes: vec![class],
             mode: Mode::Aside,
--- a/crates/engine/tests/large.rs
+++ b/crates/engine/tests/large.rs
@@ -51,7 +51,7 @@
 
 #[test]
 fn the_end_of_another_copy_does_not_call_off_the_one_that_is_passed_on() {
-    let class = Class { aim: 400_000, worth: 1.0, ..Class::default() };
+    let class = Class { latency_target: 400_000, worth: 1.0, ..Class::default() };
     let settings = Settings {
         classes: vec![class],
         max_attempts: 3,
--- a/crates/engine/tests/turn.rs
+++ b/crates/engine/tests/turn.rs
@@ -5,7 +5,7 @@
 use lapisrudder_engine::{Answer, Config, Engine, Final, Limits, Member, Order, Request, TakeError};
 
 fn engine() -> Engine {
-    let class = Class { aim: 750_000, worth: 1.0, ..Class::default() };
+    let class = Class { latency_target: 750_000, worth: 1.0, ..Class::default() };
     let settings = Settings {
         classes: vec![class],
         mode: Mode::Aside,
@@ -110,7 +110,7 @@
 /// Danger: a large value that its host does not want was read past, and counted as ended: another attempt went out beside it.
 #[test]
 fn what_is_not_wanted_is_not_out_any_more_when_the_next_attempt_goes() {
-    let class = Class { aim: 750_000, worth: 1.0, ..Class::default() };
+    let class = Class { latency_target: 750_000, worth: 1.0, ..Class::default() };
     let settings = Settings { classes: vec![class], max_attempts: 3, siblings: 1, ..Settings::default() };
     let limits = Limits { per_member: 1, multiplex: 4, in_all: 9, ..Limits::default() };
     let mut engine = Engine::new(Config { settings, limits, ..Config::default() }, 0);
@@ -177,7 +177,7 @@
 /// same connection or the settings allow no cancel, and ran.
 #[test]
 fn what_is_half_written_when_its_request_ends_is_broken_off() {
-    let class = Class { aim: 750_000, worth: 1.0, ..Class::default() };
+    let class = Class { latency_target: 750_000, worth: 1.0, ..Class::default() };
     let settings = Settings { classes: vec![class], max_attempts: 1, siblings: 1, ..Settings::default() };
     let limits = Limits { per_member: 1, multiplex: 4, in_all: 9, ..Limits::default() };
     let mut engine = Engine::new(Config { settings, limits, ..Config::default() }, 0);
--- a/crates/engine/tests/world/mod.rs
+++ b/crates/engine/tests/world/mod.rs
@@ -113,7 +113,7 @@
 impl World {
     /// `copies`: two attempts of a request may be out together. `remembered`: writes may be repeated within that time.
     pub fn new(seed: u64, copies: bool, remembered: Option<Micros>) -> World {
-        let class = Class { aim: 200_000, worth: 1.0, ..Class::default() };
+        let class = Class { latency_target: 200_000, worth: 1.0, ..Class::default() };
         let effect = if remembered.is_some() { Effect::Keyed } else { Effect::Unsafe };
         let write = Class { effect, repeat_window: remembered.unwrap_or_default(), ..class.clone() };
         let settings = Settings {
@@ -459,7 +459,7 @@
     /// what it works on, where nothing waits at the host and nobody has given anything up.
     fn counts(&self) -> Result<(), Broken> {
         let books = self.engine.audit();
-        let (out, load) = (books.decisions.out, books.decisions.load);
+        let (out, load) = (books.decisions.in_flight, books.decisions.load);
         check(load == out as f64 && books.flows == out, || format!("{load} in flight: {books:?}"))?;
         if books.waiting > 0 || books.places > books.carried {
             return Ok(());
--- a/crates/lab/src/sim/audit.rs
+++ b/crates/lab/src/sim/audit.rs
@@ -177,30 +177,30 @@
         }
     };
     same("flows in the books and on connections", a.flows, a.carried + a.waiting);
-    same("flows and attempts out", a.flows, d.out);
+    same("flows and attempts out", a.flows, d.in_flight);
     same("transactions and their ids", a.transactions, a.names);
     same("transactions and the decisions' requests", a.transactions, d.requests);
     same("client connections and the limits' books", f.clients, f.booked);
     same("requests in hand and in the limits' books", p.ledger.owed.len(), f.in_flight);
-    if d.load > d.out as f64 + 1e-6 || d.out == 0 && d.load != 0.0 {
-        wrong("load in flight and attempts out", d.load, d.out as f64);
+    if d.load > d.in_flight as f64 + 1e-6 || d.in_flight == 0 && d.load != 0.0 {
+        wrong("load in flight and attempts out", d.load, d.in_flight as f64);
     }
-    if d.origin_out > d.out as f64 || d.out == 0 && d.origin_out != 0.0 {
-        wrong("attempts at the origin and attempts out", d.origin_out, d.out as f64);
+    if d.origin_in_flight > d.in_flight as f64 || d.in_flight == 0 && d.origin_in_flight != 0.0 {
+        wrong("attempts at the origin and attempts out", d.origin_in_flight, d.in_flight as f64);
     }
     let mut bound = |what: &str, seen: usize, most: usize| {
         if seen > most {
             cx.broken("bound", || format!("n{node}: {seen} {what}, {most} at the most; {a:?} {f:?}"));
         }
     };
-    bound("deadlines", a.deadlines, 64 + 4 * (a.transactions + a.flows + d.agenda) + a.connections);
+    bound("deadlines", a.deadlines, 64 + 4 * (a.transactions + a.flows + d.timers) + a.connections);
     bound("connections", a.connections, p.sockets / 2 + a.members);
     bound("places on connections", a.places, 40 * a.connections.max(1));
     bound("requests held for the origin", d.held, 40_000);
     bound("bytes held for members", a.bytes, (a.connections + 1) * (300 << 10));
     bound("bytes held for clients", f.bytes, (f.clients + 1) * (600 << 10));
     bound("descriptors", p.descriptors(), p.sockets + 24);
-    bound("tasks", d.agenda, 4096 + 16 * d.requests);
+    bound("tasks", d.timers, 4096 + 16 * d.requests);
 }
 
 /// Long after the last request: nothing may be left of any.
@@ -214,7 +214,7 @@
         ("ids", a.names),
         ("answers owed", a.open + p.ledger.owed.len()),
         ("flows", a.flows + a.waiting + a.places),
-        ("attempts out", d.out),
+        ("attempts out", d.in_flight),
         ("requests of the decisions", d.requests),
         ("reads that wait for a fetch", d.joined),
         ("connections to members", a.connections),
@@ -227,9 +227,9 @@
             cx.broken("left-over", || format!("n{node}: {count} {what} at rest; {a:?} {f:?}"));
         }
     }
-    if d.load != 0.0 || d.origin_out != 0.0 {
+    if d.load != 0.0 || d.origin_in_flight != 0.0 {
         cx.broken("left-over", || {
-            format!("n{node}: load {} and {} at the origin at rest", d.load, d.origin_out)
+            format!("n{node}: load {} and {} at the origin at rest", d.load, d.origin_in_flight)
         });
     }
 }
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -3,7 +3,7 @@
 use super::Socket;
 use super::deadlines::Key;
 use lapisrudder::permit::{Close, Denial};
-use lapisrudder::time_limits::HOLD_UP;
+use lapisrudder::time_limits::MAX_STALL;
 use lapisrudder::{Micros, RequestId};
 use lapisrudder_codec::memcache::{MAX_LINE, MAX_WHOLE};
 use lapisrudder_io::{Look, Read, Written};
@@ -32,7 +32,7 @@
 const TAKES_ON: Micros = 2_000_000;
 /// One that was closed between requests is read from for this long, to see whether the close crossed a request: longer than a
 /// hold-up, in which nothing is read.
-const PARTING: Micros = HOLD_UP + 100_000;
+const PARTING: Micros = MAX_STALL + 100_000;
 
 /// Answers up to this size are copied together, so that all of a turn go out in one write; larger ones go straight
 /// from where they were read.
@@ -368,7 +368,7 @@
         };
         if self.unread {
             // Guards one that sends without end, whose first bytes came long ago: what is left came since, or in a hold-up.
-            self.came_after = self.came_after.map(|after| after.max(now - HOLD_UP));
+            self.came_after = self.came_after.map(|after| after.max(now - MAX_STALL));
         } else {
             (self.came_after, self.emptied) = (None, now);
         }
--- a/src/net/node/operators.rs
+++ b/src/net/node/operators.rs
@@ -4,7 +4,7 @@
 use super::{DRAIN_REPORTS, Node, Phase};
 use crate::net::deadlines::Deadline;
 use crate::net::management::{Management, Said};
-use lapisrudder::maintenance::{Ban, NoBan};
+use lapisrudder::maintenance::{Ban, BanError};
 use lapisrudder::wire::digest;
 use lapisrudder::{Micros, ServerId};
 use lapisrudder_codec::management::{BadCall, Call, answer, parse};
@@ -97,9 +97,9 @@
 }
 
 /// Why a member cannot be taken out or put back, as an operator is told.
-fn why_not(no: NoBan) -> &'static str {
+fn why_not(no: BanError) -> &'static str {
     match no {
-        NoBan::NeverListed => "no such server was ever listed",
-        NoBan::IsOrigin => "it is the origin",
+        BanError::NeverListed => "no such server was ever listed",
+        BanError::IsOrigin => "it is the origin",
     }
 }
--- a/src/net/node/replacing.rs
+++ b/src/net/node/replacing.rs
@@ -169,8 +169,12 @@
             bans: maintenance.bans().map(|(id, ban)| of_ban(id, ban)).collect(),
             discovery: self.discovery.address().to_string(),
             revision: self.discovery.revision(),
-            members: maintenance.told().map(|(listed, at)| of_member(listed, *at)).collect(),
-            gone: maintenance.gone().take(GONE).map(|(id, since)| talk::Gone { id: id.0, since }).collect(),
+            members: maintenance.known_servers().map(|(listed, at)| of_member(listed, *at)).collect(),
+            gone: maintenance
+                .unlisted_servers()
+                .take(GONE)
+                .map(|(id, since)| talk::Gone { id: id.0, since })
+                .collect(),
             grant: lender.grant(self.server.count()),
         };
         link.say(&Message::State(state), Some(listener));
--- a/src/net/requests.rs
+++ b/src/net/requests.rs
@@ -122,7 +122,7 @@
     /// Counts an answer that is given later than it may be.
     fn note_answer(&mut self, id: RequestId, time: &RequestTime, server: &mut VirtualServer, now: Micros) {
         if time.is_missed(now) {
-            server.violations.note(Err(Denial::AnsweredLate));
+            server.violations.record(Err(Denial::AnsweredLate));
             self.recorder.note(now, id, None, Step::Violated(Denial::AnsweredLate));
         }
     }
@@ -140,8 +140,8 @@
 
     /// Counts a request about which the records differed.
     pub fn note_difference(&mut self, difference: Difference, server: &mut VirtualServer, now: Micros) {
-        server.violations.note(Err(Denial::BooksDiffer));
-        self.recorder.note(now, difference.request, None, Step::Violated(Denial::BooksDiffer));
+        server.violations.record(Err(Denial::AccountingMismatch));
+        self.recorder.note(now, difference.request, None, Step::Violated(Denial::AccountingMismatch));
     }
 }
 
--- a/src/net/virtual_server.rs
+++ b/src/net/virtual_server.rs
@@ -418,7 +418,7 @@
     fn remove(&mut self, id: u64, why: Closed, now: Micros, deadlines: &mut Deadlines) {
         let Some(mut client) = self.clients.remove(&id) else { return };
         if why == Closed::ForRoom && !client.lingers() {
-            self.violations.note(Close { owed: !client.quiet(), unread: false }.check());
+            self.violations.record(Close { owed: !client.quiet(), unread: false }.check());
         }
         self.unread -= client.counted;
         self.names.remove(&client.conn);
@@ -533,7 +533,7 @@
                 let drained = client.is_past_drain(now);
                 if drained && !client.lingers() {
                     warn!(about = %format_args!("connection {id}"), state = %client.describe(now), "held past a drain");
-                    self.violations.note(Err(Denial::HeldPastDrain));
+                    self.violations.record(Err(Denial::OpenAfterDrain));
                 }
                 self.remove(id, if drained { Closed::DrainOver } else { Closed::Stalled }, now, deadlines);
             }
--- a/src/net/virtual_server/accepting.rs
+++ b/src/net/virtual_server/accepting.rs
@@ -5,7 +5,7 @@
 use crate::net::deadlines::{Deadline, Deadlines};
 use crate::net::{Owner, Socket};
 use lapisrudder::Micros;
-use lapisrudder::time_limits::HOLD_UP;
+use lapisrudder::time_limits::MAX_STALL;
 use lapisrudder_io::{Accepted, Lack, Listener, Next, Read, Stream, Written, count_of, open_file};
 use lapisrudder_limits::{Accepting, Shortage, Verdict};
 use std::io::{self, IoSlice};
@@ -54,7 +54,7 @@
     /// Who is accepted now came after this. Where many wait, for long, it is not known who came when: then no more than a
     /// hold-up is taken for granted.
     pub(super) fn queued_after(&self, now: Micros) -> Micros {
-        let known = if self.queue_in_arrears { now - HOLD_UP } else { self.came_after };
+        let known = if self.queue_in_arrears { now - MAX_STALL } else { self.came_after };
         known.max(self.queue_emptied)
     }
 
--- a/src/net/virtual_server/release.rs
+++ b/src/net/virtual_server/release.rs
@@ -3,7 +3,7 @@
 use super::{NOT_READY, News, READY, VirtualServer};
 use crate::net::client::{Client, Slot};
 use crate::net::deadlines::{Deadline, Deadlines};
-use lapisrudder::time_limits::HOLD_UP;
+use lapisrudder::time_limits::MAX_STALL;
 use lapisrudder::{Micros, RequestId};
 use lapisrudder_io::Stream;
 use lapisrudder_limits::drain::{Drain, Phase, Release};
@@ -79,7 +79,7 @@
             return;
         }
         // The process that had it may have been held up before it sent it on.
-        let came_after = now - HOLD_UP;
+        let came_after = now - MAX_STALL;
         let Some(id) = self.arrived(stream, peer, came_after, now, deadlines) else { return };
         if let Some(client) = self.clients.get_mut(&id) {
             client.has_come(came_after);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -116,7 +116,7 @@
     match note {
         1 => Some(CacheNote::Hit),
         2 => Some(CacheNote::Fetched),
-        3 => Some(CacheNote::OthersFetch),
+        3 => Some(CacheNote::FetchInProgress),
         _ => None,
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -15,7 +15,7 @@
 }
 
 pub fn class(effect: Effect) -> Class {
-    Class { aim: 500 * MS, worth: 1.0, effect, repeat_window: S, ..Class::default() }
+    Class { latency_target: 500 * MS, worth: 1.0, effect, repeat_window: S, ..Class::default() }
 }
 
 /// Classes 0, 1, 2 are safe, keyed, unsafe.
