--- a/src/bin/lapisrudder-adapter.rs
+++ b/src/bin/lapisrudder-adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter: the decisions on the bench's wire, standard input to standard output.
+//! Adapter for the simulator: runs the decisions on its protocol, from standard input to standard output.
 
 use std::io;
 use std::process::ExitCode;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,7 @@
-//! lapisrudder decides, for a sidecar in front of a fleet of cache servers, which
-//! server each request goes to. It does no I/O of its own: feed it [`Event`]s,
-//! carry out the [`Action`]s it answers with.
+//! lapisrudder decides, for a sidecar in front of a fleet of cache servers, which server each request goes
+//! to. It does no I/O: pass [`Event`]s to a [`Balancer`] and carry out the [`Action`]s that it returns.
 //!
-//! Start at [`Balancer`]; all types it speaks are in [`interface`].
+//! Start at [`Balancer`]; its input and output types are in [`interface`].
 #![doc = include_str!("../README.md")]
 #![deny(clippy::disallowed_methods)]
 #![forbid(unsafe_code)]
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,5 @@
-//! The bench's wire (JSON lines) to events and back. No decisions here.
+//! The simulator's protocol (JSON lines): converts its messages to events and actions to messages. It makes
+//! no decisions.
 
 use crate::interface::*;
 use crate::rules::Balancer;
@@ -10,7 +11,7 @@
 use std::fmt::Write as _;
 use std::io::{self, BufRead, Write};
 
-/// All keys any incoming line may have; each message uses a few.
+/// All keys that an incoming message may have; each message has some of them.
 #[derive(Deserialize)]
 struct Line<'a> {
     #[serde(borrow)]
@@ -54,6 +55,7 @@
     options: Option<&'a RawValue>,
 }
 
+/// A server in an update of the list of servers.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct Entry {
@@ -69,7 +71,7 @@
     since_s: Option<f64>,
 }
 
-/// Server names by number, so that actions can name them as they came.
+/// Server names by id, since actions refer to servers by the names that were received.
 type Names = BTreeMap<u64, String>;
 
 fn listed(names: &mut Names, e: Entry) -> Result<Listed, String> {
@@ -107,11 +109,11 @@
     })
 }
 
-fn need<T>(value: Option<T>, what: &str) -> Result<T, String> {
-    value.ok_or_else(|| format!("missing {what}"))
+fn required<T>(value: Option<T>, key: &str) -> Result<T, String> {
+    value.ok_or_else(|| format!("missing {key}"))
 }
 
-/// What a server's note on its cache means.
+/// Decodes a server's note on how it obtained the answer.
 pub fn cache_note(note: usize) -> Option<CacheNote> {
     match note {
         1 => Some(CacheNote::Hit),
@@ -125,9 +127,9 @@
     raw.and_then(|r| r.get().parse().ok())
 }
 
-/// The event in a line, if it is one that the decisions take.
+/// Converts a message to an event; `None` for messages that the decisions don't use.
 fn event(line: &Line, names: &mut Names) -> Result<Option<Event>, String> {
-    let request = || need(line.call, "call").map(RequestId);
+    let request = || required(line.call, "call").map(RequestId);
     Ok(Some(match line.verb.as_ref() {
         "roster-change" => {
             let scope = match line.scope.as_deref() {
@@ -152,16 +154,16 @@
             tenant: line.project.unwrap_or(0) as usize,
             hint: line.cost.map(micros).filter(|c| *c > 0),
             repeated: line.resent.unwrap_or(false),
-            due: micros(need(line.due, "due-s")?),
+            due: micros(required(line.due, "due-s")?),
             reserve: 0,
         }),
-        "begun" => Event::Started { request: request()?, attempt: need(line.shot, "shot")? },
+        "begun" => Event::Started { request: request()?, attempt: required(line.shot, "shot")? },
         "response" => Event::Ended(Ended {
             request: request()?,
-            attempt: need(line.shot, "shot")?,
-            server: ServerId(digest(need(line.host.as_deref(), "host")?)),
+            attempt: required(line.shot, "shot")?,
+            server: ServerId(digest(required(line.host.as_deref(), "host")?)),
             took: micros(line.waited.unwrap_or(0.0)),
-            outcome: outcome(need(line.how.as_deref(), "how")?)?,
+            outcome: outcome(required(line.how.as_deref(), "how")?)?,
             note: number(line.detail).and_then(cache_note),
             finished: line.done.unwrap_or(false),
             report: line.gauge.and_then(|g| serde_json::from_str(g.get()).ok()).unwrap_or_default(),
@@ -175,8 +177,8 @@
 
 fn render(out: &mut String, who: u64, action: &Action, names: &Names) {
     let secs = |t: Micros| t as f64 / 1e6;
-    let done = match action {
-        // Over there an attempt goes out at once.
+    let written = match action {
+        // In the simulator an attempt is sent at once, so that its latest begin is not needed.
         Action::Send { request, server, begin: _, until } => {
             let Some(name) = names.get(&server.0) else { return };
             let host = serde_json::Value::from(name.as_str());
@@ -204,11 +206,11 @@
         }
         Action::Watch => write!(out, r#"{{"verb":"watch","who":{who},"active":true}}"#),
     };
-    done.expect("writing to a string");
+    written.expect("writing to a string");
     out.push('\n');
 }
 
-/// Reads batches until input ends. The error is a plain message about what is malformed.
+/// Processes batches until the input ends. The error is a message about malformed input.
 pub fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
     let mut balancers: FxHashMap<u64, (Balancer, Names)> = FxHashMap::default();
     let (mut text, mut reply, mut actions) = (String::new(), String::new(), Vec::new());
@@ -230,7 +232,7 @@
         let line: Line = serde_json::from_str(&text).map_err(|e| fail(format!("bad message: {e}")))?;
         match (line.verb.as_ref(), batch) {
             ("sync", None) => {
-                batch = Some(micros(need(line.time, "t-s").map_err(fail)?));
+                batch = Some(micros(required(line.time, "t-s").map_err(fail)?));
                 reply.clear();
             }
             ("eof-batch", Some(_)) => {
@@ -243,10 +245,10 @@
                 }
             }
             (verb, Some(now)) => {
-                let who = need(line.who, "who").map_err(fail)?;
+                let who = required(line.who, "who").map_err(fail)?;
                 match verb {
                     "start" => {
-                        let options = need(line.options, "options").map_err(fail)?;
+                        let options = required(line.options, "options").map_err(fail)?;
                         let options: Options = serde_json::from_str(options.get())
                             .map_err(|e| fail(format!("bad options: {e}")))?;
                         let settings = Settings::from(&options);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: batches in, replies out, plain words on what is malformed.
+//! Tests of the adapter as a process: batches in, replies out, and an error message for malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -29,7 +29,7 @@
 );
 
 #[test]
-fn a_request_is_sent_and_its_end_is_taken() {
+fn a_request_is_sent_and_its_response_is_accepted() {
     let input = [
         START,
         "{\"verb\":\"sync\",\"t-s\":1.5}\n",
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn malformed_input_ends_with_one_plain_line() {
+fn malformed_input_ends_with_one_error_line() {
     let bad = [
         "hello\n",
         "{\"verb\":\"bell\",\"who\":1}\n",
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_bad_message_after_a_good_batch_leaves_whole_replies_only() {
+fn a_bad_message_after_a_good_batch_leaves_complete_replies_only() {
     let output =
         adapter(&[START, "{\"verb\":\"sync\",\"t-s\":2}\n{\"verb\":\"ingress\",\"who\":4}\n"].concat());
     assert!(!output.status.success());
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn new_settings_are_taken_present_absent_and_odd() {
+fn optional_settings_may_be_present_absent_or_extreme() {
     let with = |rules: &str| START.replace(r#""bounds":"#, &format!(r#""rules":{rules},"bounds":"#));
     for (rules, good) in [
         (r#"{"budget-free":3,"extra-ratio":0.1,"resend-span-s":2.0,"gone-is-advice":true}"#, true),
