--- a/crates/decisions/tests/time_limits.rs
+++ b/crates/decisions/tests/time_limits.rs
@@ -1,4 +1,4 @@
-//! Time limits and permits.
+//! Tests of time limits and permits.
 
 use lapisrudder_decisions::permit::{Begin, Close, Denial, Repeat, Violations};
 use lapisrudder_decisions::time_limits::{MAX_STALL, RESERVE, RequestTime, SOCKET_SLACK, repeatable_until};
@@ -7,7 +7,7 @@
 const MS: Micros = 1_000;
 
 #[test]
-fn an_answer_that_is_planned_in_time_is_so_after_a_hold_up() {
+fn a_planned_answer_is_in_time_despite_a_stall() {
     for wait in [500 * MS, 600 * MS, 2_500 * MS, 3_600_000 * MS] {
         let time = RequestTime::new(7, wait);
         assert_eq!(time.due, 7 + wait);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_request_with_little_time_keeps_most_of_it_for_its_service() {
+fn a_short_deadline_is_used_mostly_for_service() {
     for wait in [0, 1, 40 * MS, 200 * MS, RESERVE] {
         let time = RequestTime::new(0, wait);
         assert!(time.answer_by >= wait - wait / 3 && time.answer_by <= wait, "{wait}: {time:?}");
@@ -25,15 +25,15 @@
 }
 
 #[test]
-fn a_repeat_that_begins_after_a_hold_up_is_still_remembered() {
+fn a_repeat_that_begins_after_a_stall_is_still_remembered() {
     for window in [300 * MS, 1_000 * MS, 10_000 * MS] {
         assert!(repeatable_until(0, window) + MAX_STALL + SOCKET_SLACK <= window, "{window}");
     }
-    assert_eq!(repeatable_until(5, 100 * MS), 5, "a window as short as a hold-up allows no repeat");
+    assert_eq!(repeatable_until(5, 100 * MS), 5, "a window shorter than a stall allows no repeat");
 }
 
 #[test]
-fn an_attempt_begins_only_while_all_that_it_needs_holds() {
+fn an_attempt_begins_only_if_all_conditions_hold() {
     let may = Begin { now: 10, owed: true, until: 20, begin_by: 20, server_open: true };
     assert_eq!(may.check(), Ok(()));
     let cases = [
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_repeated_as_its_class_allows() {
+fn repeats_follow_the_effect_of_the_class() {
     let keyed = Repeat { now: 10, effect: Effect::Keyed, same_group: true, begin_by: 11 };
     assert_eq!(keyed.check(), Ok(()));
     assert_eq!(Repeat { begin_by: 10, ..keyed }.check(), Err(Denial::RepeatWindowOver));
