--- a/tests/module.rs
+++ b/tests/module.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions through the interface: the ordinary path and each danger met so far.
+//! Tests of the decisions through their interface: normal operation and each known failure mode.
 
 mod common;
 use common::*;
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_retry_leaves_the_entry_alone() {
+fn a_retry_does_not_change_the_key_table() {
     let mut desk = Desk::of(4);
     let home = desk.hit(1);
     let (id, _) = desk.read(1);
@@ -83,12 +83,12 @@
 }
 
 #[test]
-fn a_keyed_request_is_repeated_only_while_it_is_remembered() {
+fn a_keyed_request_is_repeated_only_inside_its_window() {
     for (wait, repeated) in [(100 * MS, true), (1_100 * MS, false)] {
         let mut desk = Desk::of(4);
         let (id, actions) = desk.request(1, 1, false);
         let server = sent_to(&actions).expect("sent");
-        // Learned as a holder before, so that the failure is not taken for the origin's.
+        // The server is known as the key's holder, so that the failure does not count as the origin's.
         desk.ended(id, 0, server, Outcome::Served);
         let (id, actions) = desk.request(1, 1, false);
         let server = sent_to(&actions).expect("sent");
@@ -99,21 +99,22 @@
     }
 }
 
-/// Danger: the window counted anew from a copy once the first attempt turned out to be a miss.
+/// When the first attempt turns out to be a miss, the repeat window must not start again at the hedged
+/// attempt.
 #[test]
-fn a_keyed_requests_window_counts_from_the_first_attempt_that_was_repeated_while_it_was_out() {
+fn the_repeat_window_starts_at_the_first_attempt_that_was_hedged() {
     for (wait, repeated) in [(490 * MS, true), (510 * MS, false)] {
         let mut desk = aside();
         let (id, actions) = desk.request(1, 1, false);
         let first = sent_to(&actions).expect("sent");
-        let second = sent_to(&desk.wake_after(300 * MS)).expect("a copy");
+        let second = sent_to(&desk.wake_after(300 * MS)).expect("a hedged attempt");
         assert_ne!(second, first);
         desk.now += wait;
         let actions = desk.ended(id, 0, first, Outcome::Miss);
         assert_eq!(sent_to(&actions).is_some(), repeated, "{wait}");
-        assert!(!refused(&actions) && !failed(&actions), "the copy is still out");
+        assert!(!refused(&actions) && !failed(&actions), "the hedged attempt is still in flight");
     }
-    // Where nothing may have run any more the request is free to go.
+    // If no attempt may have run, the request may be sent again.
     let mut desk = aside();
     let (id, actions) = desk.request(1, 1, false);
     let first = sent_to(&actions).expect("sent");
@@ -121,9 +122,10 @@
     assert_eq!(sent_to(&desk.ended(id, 0, first, Outcome::Miss)), Some(ORIGIN));
 }
 
-/// Danger: a first attempt waited for a connection while its copy ran, and went out when that was forgotten.
+/// A first attempt that waits for a connection while a hedged attempt runs must not be sent after servers
+/// have forgotten the hedged one.
 #[test]
-fn a_keyed_read_that_waits_may_not_go_out_long_after_a_copy_of_it_could() {
+fn a_keyed_read_must_begin_before_a_hedged_attempt_is_forgotten() {
     let begins = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
             Action::Send { begin, .. } => Some(*begin),
@@ -132,14 +134,14 @@
     };
     let mut desk = aside();
     let (id, actions) = desk.request(1, 1, false);
-    // A hold-up and the way to the server are left of a window of a second.
+    // Of a window of one second the time for a stall and for the network delay is kept in reserve.
     assert_eq!(begins(&actions), Some(desk.now + 800 * MS));
     let first = sent_to(&actions).expect("sent");
     desk.now += 400 * MS;
-    // What never ran is forgotten by nobody: the window is the next attempt's own.
+    // An attempt that never ran does not count: the window starts at the next attempt.
     let actions = desk.ended(id, 0, first, Outcome::ConnectFailed);
     assert_eq!(begins(&actions), Some(desk.now + 800 * MS));
-    // No copy goes out beside an attempt at the origin, which may wait for its room.
+    // No hedged attempt goes out beside an attempt at the origin, which may wait for capacity there.
     assert_eq!(begins(&desk.request(2, 1, true).1), Some(Micros::MAX));
     assert_eq!(begins(&desk.request(3, 0, false).1), Some(Micros::MAX), "safe");
 }
@@ -162,7 +164,7 @@
     assert!(refused(&actions));
 }
 
-/// Danger: a fresh empty server draws every new key at once.
+/// A new, empty server would attract every new key at once.
 #[test]
 fn a_cold_server_gets_only_its_share() {
     let mut desk = Desk::of(4);
@@ -176,9 +178,10 @@
         desk.now += 10 * MS;
         cold += i32::from(desk.hit_after(key, TELLS_NOTHING) == ServerId(9));
     }
-    // 25 a second go to each of the others; a fifth of that, growing to 0.36 after 4 s, is its part: about 28.
+    // Each of the others gets 25 per second; its share is a fifth of that, growing to 0.36 after 4 s: about
+    // 28.
     assert!((5..=40).contains(&cold), "{cold}");
-    // Once it has shown that it bears more it gets more, up to what others get: 20 a second.
+    // With answers in time it gets more, up to the load of the others: 20 per second.
     let mut more = 0;
     for key in 2_000..2_400 {
         desk.now += 10 * MS;
@@ -187,14 +190,14 @@
     assert!((60..=110).contains(&more), "{more}");
 }
 
-/// Danger: a silent server holds its keys' requests until the clients give up.
+/// Requests for the keys of a silent server must not wait there until the clients give up.
 #[test]
-fn a_silent_servers_keys_take_a_detour_and_come_back() {
+fn keys_of_a_silent_server_go_elsewhere_until_it_answers() {
     let mut desk = Desk::of(4);
     let home = desk.hit(1);
     let (id, _) = desk.read(1);
     let actions = desk.wake_after(400 * MS);
-    let other = sent_to(&actions).expect("a second copy");
+    let other = sent_to(&actions).expect("a hedged attempt");
     assert_ne!(other, home);
     let (_, detour) = desk.read(1);
     assert_ne!(detour, Some(home));
@@ -202,9 +205,9 @@
     assert_eq!(desk.read(1).1, Some(home));
 }
 
-/// Danger: suspicion of everybody must not empty the fleet.
+/// The ejection of all servers must not leave the fleet empty.
 #[test]
-fn when_all_look_bad_requests_still_go_out() {
+fn requests_are_still_sent_when_all_servers_are_ejected() {
     let mut desk = Desk::of(3);
     for key in 0..30 {
         let (id, server) = desk.read(key);
@@ -217,7 +220,7 @@
     }
 }
 
-/// Danger: retries multiply an overload.
+/// Unlimited retries would amplify an overload.
 #[test]
 fn retries_are_bounded_by_a_budget() {
     let mut desk = Desk::of(20);
@@ -246,7 +249,7 @@
 const ORIGIN: ServerId = ServerId(100);
 
 #[test]
-fn a_miss_goes_to_the_origin_and_so_do_writes() {
+fn misses_and_writes_go_to_the_origin() {
     let mut desk = aside();
     let (id, server) = desk.read(1);
     let server = server.expect("sent");
@@ -256,9 +259,9 @@
     assert!((0..100).all(|key| desk.read(key).1 != Some(ORIGIN)));
 }
 
-/// Danger: reads that wait for another one's fetch were once left waiting for ever.
+/// Reads that wait for the fetch of another request must not wait forever.
 #[test]
-fn joined_reads_go_on_when_the_fetch_ends() {
+fn reads_waiting_for_a_fetch_continue_when_it_ends() {
     let mut desk = aside();
     let (id, server) = desk.read(1);
     let server = server.expect("sent");
@@ -268,9 +271,9 @@
     assert_eq!(sent_to(&desk.ended(id, 1, ORIGIN, Outcome::Served)), Some(server));
 }
 
-/// Danger: a pushed origin stops. What it can't take waits, and still gets its answer in time.
+/// An overloaded origin stops answering. Reads over its limit wait, and still get an answer in time.
 #[test]
-fn the_origin_gets_a_bounded_number_and_held_reads_are_answered() {
+fn origin_concurrency_is_bounded_and_held_reads_are_answered() {
     let mut desk = aside();
     let (mut out, mut held) = (Vec::new(), 0);
     for key in 0..40 {
@@ -290,9 +293,9 @@
     assert!(answered >= held - 2, "{answered} of {held}");
 }
 
-/// Danger: a server out of reach says nothing of the origin; its silence once held all misses back.
+/// The time-outs of an unreachable server say nothing about the origin, and must not hold misses back.
 #[test]
-fn a_silent_servers_time_outs_do_not_shrink_the_origins_room() {
+fn time_outs_of_a_silent_server_do_not_lower_the_origin_limit() {
     let mut desk = Desk::of(4);
     for key in 0..8 {
         let (id, server) = desk.read(key);
@@ -304,10 +307,10 @@
     assert!((100..105).all(|key| desk.read(key).1.is_some()), "misses are held back");
 }
 
-/// Danger: a tenant over its share takes the service of those inside theirs.
-/// Danger: where nobody tells hits from fetches, the slow tail of the work looked like a queue at the origin.
+/// If answers don't distinguish hits from fetches, the slow tail of latency must not count as a queue at the
+/// origin.
 #[test]
-fn slow_answers_inside_the_aim_do_not_hold_reads_back_where_fetches_are_not_told() {
+fn slow_answers_within_target_do_not_lower_the_origin_limit() {
     let mut desk = Desk::of(20);
     let mut sent = 0;
     for key in 0..600 {
@@ -327,7 +330,7 @@
             finished: true,
             report,
         }));
-        // Four stay out.
+        // Four attempts stay in flight.
         if key % 100 == 0 && key < 400 {
             desk.read(1_000 + key);
         }
@@ -335,9 +338,9 @@
     assert!(sent > 550, "{sent} of 600 sent");
 }
 
-/// Danger: surplus in the queue for the origin starves those inside their share.
+/// Requests over their tenant's share would delay those inside theirs in the origin's queue.
 #[test]
-fn surplus_is_not_held_for_the_origin() {
+fn requests_over_a_share_are_not_held_for_the_origin() {
     let tenants = vec![Tenant { quota_per_s: 0.0 }, Tenant { quota_per_s: 1e6 }];
     let settings = Settings { tenants, over_share_worth: 0.1, ..settings() };
     let mut desk = Desk::new(settings, (1..=20).map(listed).collect());
@@ -362,9 +365,10 @@
     assert!(answers[0].1 > 50 && answers[1].1 == 0, "{answers:?}");
 }
 
+/// A tenant over its share must not take capacity from tenants inside theirs.
 #[test]
-fn over_share_work_is_shed_only_in_a_shortage() {
-    // Surplus that is worth little goes earlier than surplus that is worth half.
+fn requests_over_a_share_are_shed_only_under_load() {
+    // With a low worth they are shed earlier than with half the worth.
     for (took, over_share_worth, sheds) in [
         (20 * MS, 0.05, false),
         (900 * MS, 0.05, true),
@@ -395,9 +399,9 @@
     }
 }
 
-/// Danger: a jam feeds itself; and were all shed in it, no answer would tell of its end.
+/// An overload sustains itself unless requests are shed; if all were shed, no answer would show its end.
 #[test]
-fn in_a_jam_part_of_all_work_is_shed_until_it_is_over() {
+fn under_overload_a_part_of_all_requests_is_shed_until_it_ends() {
     let mut desk = Desk::of(3);
     let mut refusals = |took| {
         let mut refusals = 0;
@@ -425,9 +429,10 @@
     assert_eq!(refusals(20 * MS), 0);
 }
 
-/// Danger: a time-out that comes sooner, so that the answer is in time after a hold-up, showed less of a jam: less was shed.
+/// A time-out comes earlier than the client's, to leave time for a stall. Without adding that reserve it
+/// would count for less overload, and too little would be shed.
 #[test]
-fn a_time_out_counts_for_as_long_as_its_client_would_have_waited() {
+fn a_time_out_counts_with_its_reserve() {
     let refusals = |took, reserve| {
         let mut desk = Desk::of(3);
         let mut refusals = 0;
@@ -448,7 +453,7 @@
             let actions = desk.event(Event::Request(new));
             refusals += usize::from(refused(&actions));
             let Some(server) = sent_to(&actions) else { continue };
-            // Every other one is served, so that no server looks silent.
+            // Every other request is served, so that no server counts as silent.
             match key % 2 {
                 0 => desk.ended_after(request, server, Outcome::Served, 400 * MS),
                 _ => desk.ended_after(request, server, Outcome::TimedOut, took),
@@ -462,13 +467,13 @@
 }
 
 #[test]
-fn a_lost_list_is_asked_for_again_in_time() {
+fn a_lost_watch_is_reopened_in_time() {
     let mut settings = settings();
     settings.must_ask = true;
     let mut desk = Desk::new(settings, vec![]);
     for _ in 0..10 {
         let actions = desk.list(Scope::Lost, vec![]);
-        assert!(!actions.contains(&Action::Watch), "at once");
+        assert!(!actions.contains(&Action::Watch), "not at once");
         let actions = desk.wake_after(4 * S);
         assert!(actions.contains(&Action::Watch));
     }
@@ -483,9 +488,9 @@
     assert!(text.lines().next().is_some_and(|l| l.contains("src/interface.rs")));
 }
 
-/// Danger: servers that turn one tenant away as full look like an origin that can take no more.
+/// Servers that reject one tenant must not count as an overloaded origin.
 #[test]
-fn attempts_turned_away_do_not_shrink_the_origins_room() {
+fn rejected_attempts_do_not_lower_the_origin_limit() {
     let mut desk = Desk::of(20);
     for key in 0..200 {
         desk.now += 200 * MS;
@@ -494,13 +499,13 @@
             desk.ended_noted(id, 1, second, Outcome::Served, None);
         }
     }
-    let room = (0..12).filter(|k| desk.read(1_000 + k).1.is_some()).count();
-    assert_eq!(room, 12);
+    let sent = (0..12).filter(|k| desk.read(1_000 + k).1.is_some()).count();
+    assert_eq!(sent, 12);
 }
 
-/// Danger: requests that fail at once wherever they go look like an origin that can take no more.
+/// Requests that fail at once at every server must not count as an overloaded origin.
 #[test]
-fn requests_that_fail_at_once_do_not_shrink_the_origins_room() {
+fn fast_failures_do_not_lower_the_origin_limit() {
     let mut desk = Desk::of(20);
     for key in 0..300 {
         desk.now += 200 * MS;
@@ -510,21 +515,21 @@
             desk.ended_noted(id, 1, second, Outcome::Error, None);
         }
     }
-    let room = (0..12).filter(|k| desk.read(1_000 + k).1.is_some()).count();
-    assert_eq!(room, 12);
+    let sent = (0..12).filter(|k| desk.read(1_000 + k).1.is_some()).count();
+    assert_eq!(sent, 12);
 }
 
-/// Danger: where connections break now and then, every break sent all keys of a good server on a detour.
+/// An occasional lost connection must not send all keys of a healthy server to others.
 #[test]
-fn a_server_is_suspect_only_after_breaks_in_a_row() {
+fn a_server_is_ejected_only_after_lost_connections_in_a_row() {
     let mut desk = Desk::of(5);
     let home = desk.hit(1);
     (0..20).for_each(|_| _ = desk.hit(1));
     for outcome in [Outcome::Broken, Outcome::ConnectFailed, Outcome::Broken] {
         let (id, server) = desk.read(1);
-        assert_eq!(server, Some(home), "one break is not its server's");
+        assert_eq!(server, Some(home), "one lost connection does not eject");
         let retry = sent_to(&desk.ended(id, 0, home, outcome));
-        assert_eq!(retry, Some(home), "which holds the key");
+        assert_eq!(retry, Some(home), "the holder of the key");
         desk.ended(id, 1, home, Outcome::Served);
     }
     for _ in 0..2 {
@@ -534,11 +539,11 @@
     assert_ne!(desk.read(1).1, Some(home));
 }
 
-/// Danger: no other server has what the origin has, and a connection that broke is no sign of its load.
+/// Only the origin has the data, and a lost connection is no sign of overload there.
 #[test]
-fn a_fetch_or_a_write_that_broke_is_tried_again_at_the_origin() {
+fn a_fetch_or_write_with_a_lost_connection_is_retried_at_the_origin() {
     let mut desk = aside();
-    // Requests pay for the further attempts.
+    // These requests earn the retries.
     (10..40).for_each(|key| _ = desk.hit(key));
     let (id, server) = desk.read(1);
     desk.ended(id, 0, server.expect("sent"), Outcome::Miss);
@@ -549,24 +554,24 @@
     }
 }
 
-/// Danger: reads that wait for another's fetch would wait on if the origin left the list meanwhile.
+/// Reads that wait for a fetch must not wait forever if the origin leaves the list meanwhile.
 #[test]
-fn reads_that_joined_a_fetch_go_on_though_the_origin_has_left_the_list() {
+fn reads_waiting_for_a_fetch_continue_after_the_origin_is_unlisted() {
     let mut desk = aside();
     let (id, server) = desk.read(1);
     desk.ended(id, 0, server.expect("sent"), Outcome::Miss);
     let (_, actions) = desk.request(1, 0, false);
-    assert!(actions.iter().all(|a| matches!(a, Action::Wake { .. })), "it waits: {actions:?}");
+    assert!(actions.iter().all(|a| matches!(a, Action::Wake { .. })), "the read waits: {actions:?}");
     desk.list(Scope::Full, (1..=3).map(listed).collect());
     assert!(sent_to(&desk.ended(id, 1, ORIGIN, Outcome::Served)).is_some());
 }
 
-/// Danger: where half of the servers were out of the tie at any time, keys had other homes at each balancer.
+/// If only some servers tie as least-connection, each balancer assigns keys to other servers.
 #[test]
-fn balancers_agree_on_new_keys_though_their_loads_differ() {
+fn balancers_with_different_loads_agree_on_new_keys() {
     let list: Vec<Listed> = (1..=9).map(listed).collect();
     let mut pair = [Desk::new(settings(), list.clone()), Desk::new(settings(), list)];
-    // Requests in flight, at other servers for either balancer.
+    // Requests in flight, at different servers for each balancer.
     let far = |desk: &mut Desk, from: u64| (from..from + 18).for_each(|key| _ = desk.read(key));
     far(&mut pair[0], 1_000);
     far(&mut pair[1], 2_000);
@@ -574,7 +579,7 @@
     assert!(same > 180, "{same}");
 }
 
-/// Sends reads that miss until the origin takes no more of them; gives those that it took.
+/// Sends reads that miss until the origin's limit is reached. Returns the requests sent to the origin.
 fn fill_origin(desk: &mut Desk, keys: std::ops::Range<u64>) -> Vec<RequestId> {
     let mut miss = |key| {
         let (id, server) = desk.read(key);
@@ -584,9 +589,9 @@
     keys.map_while(&mut miss).collect()
 }
 
-/// Danger: writes, few and worth most, waited behind all the reads that miss.
+/// Writes are few and have the highest worth: they must not wait behind all missed reads.
 #[test]
-fn a_write_goes_to_the_origin_past_held_reads() {
+fn writes_overtake_held_reads_at_the_origin() {
     let mut desk = aside();
     assert!(fill_origin(&mut desk, 0..1000).len() < 1000);
     assert_eq!(sent_to(&desk.request(5000, 1, true).1), Some(ORIGIN));
@@ -594,9 +599,9 @@
     assert!(writes < 100, "{writes}");
 }
 
-/// Danger: a cut for each late answer held misses back though the origin was idle.
+/// If each late answer lowered the limit, misses would be held while the origin is idle.
 #[test]
-fn one_late_answer_of_many_does_not_cut_the_origins_room() {
+fn one_late_answer_does_not_lower_the_origin_limit() {
     let mut desk = aside();
     let taken = fill_origin(&mut desk, 0..1000);
     let ended = |request, took| {
@@ -617,15 +622,17 @@
     }
     desk.event(ended(taken[0], S));
     let after = fill_origin(&mut desk, 10_000..11_000).len();
-    // One of those held has taken a place.
+    // One of the held reads has taken a slot.
     assert!(after + 1 >= taken.len(), "{after} of {}", taken.len());
 }
 
-/// Danger: a path that loses some looked like a queue; the misses held back came again, and it stayed so.
+/// A lossy path must not count as a queue at the origin: held misses are retried by clients, and the limit
+/// stays low.
 #[test]
-fn attempts_lost_on_the_way_do_not_cut_the_origins_room_and_a_queue_does() {
-    // So many of ten attempts are lost; the others are served at once. Gives how many the origin then gets.
-    let room = |lost: usize| {
+fn lost_attempts_do_not_lower_the_origin_limit_but_a_queue_does() {
+    // Of ten attempts `lost` get no answer; the others are served at once. Returns the attempts in flight at
+    // the end.
+    let in_flight = |lost: usize| {
         let (mut desk, mut flying, mut count) = (aside(), Vec::new(), 0);
         for step in 0..400 {
             let misses = if step < 390 { 2 } else { 100 };
@@ -655,11 +662,11 @@
         }
         flying.len()
     };
-    let (calm, lossy, stopped) = (room(0), room(2), room(10));
+    let (calm, lossy, stopped) = (in_flight(0), in_flight(2), in_flight(10));
     assert!(lossy >= calm / 2 && stopped < 6, "{calm}, {lossy}, {stopped}");
 }
 
-/// Attempts that actions send for any of these requests.
+/// The attempts that actions send for any of the requests `of`.
 fn sends(actions: &[Action], of: &[RequestId]) -> Vec<(RequestId, ServerId)> {
     let sent = actions.iter().filter_map(|a| match a {
         Action::Send { request, server, .. } => Some((*request, *server)),
@@ -668,12 +675,12 @@
     sent.filter(|(request, _)| of.contains(request)).collect()
 }
 
-/// Danger: reads held for one key each fetched it anew when there was room again.
+/// Reads that are held for one key must not fetch it several times when the limit allows fetches again.
 #[test]
 fn held_reads_of_a_key_share_one_fetch() {
     for through in [false, true] {
         let mut desk = if through { Desk::of(3) } else { aside() };
-        // A read that needs a fetch: told whether it went out for that, or is held.
+        // A read that needs a fetch; returns the server if it was sent, or none if it is held.
         let fetch = |desk: &mut Desk, key| {
             let (id, server) = desk.read(key);
             let Some(server) = server else { return (id, None) };
@@ -696,7 +703,7 @@
         let end = |desk: &mut Desk, (id, server): (RequestId, ServerId)| {
             desk.ended_noted(id, attempt, server, Outcome::Served, Some(CacheNote::Fetched))
         };
-        // Room for some: the key that most wait for comes first, and takes one attempt.
+        // With capacity for one, the key with the most waiting reads comes first, and takes one attempt.
         let out = sends(&end(&mut desk, taken[0]), &same);
         assert_eq!(out.len(), 1, "through {through}: {out:?}");
         assert_eq!(out[0].0, same[2], "the newest");
@@ -709,10 +716,11 @@
     }
 }
 
-/// Danger: in a large fleet each node meets a server seldom, and a zone that is lost answers nothing: its time-outs were
-/// taken for a jam of all, and nine in ten requests were turned away though two zones had room.
+/// In a large fleet each balancer rarely sends to one server, and a failed zone answers nothing. If its
+/// time-outs counted as overload of all servers, nine in ten requests would be rejected while two zones have
+/// capacity.
 #[test]
-fn time_outs_of_silent_servers_are_no_jam() {
+fn time_outs_of_silent_servers_are_no_overload() {
     let many = Settings { siblings: 100, ..settings() };
     let mut desk = Desk::new(many, (1..=30).map(listed).collect());
     let mut refusals = 0;
@@ -731,10 +739,10 @@
     assert_eq!(refusals, 0);
 }
 
-/// Danger: with most servers replaced at once, a cold one got a part of what a server carries on the mean over all, as
-/// if the cold ones carried as much as the warm, and warmed the slower the more of them there were.
+/// With most servers replaced at once, a cold server's share must follow the load of the warm ones and not
+/// the mean over all servers. Otherwise cold servers warm up the more slowly the more of them there are.
 #[test]
-fn cold_servers_get_their_part_of_what_warm_ones_carry_however_many_are_cold() {
+fn a_cold_servers_load_does_not_depend_on_their_number() {
     let share = |cold: u64| {
         let mut desk = Desk::of(4);
         let fresh = (0..cold).map(|s| Listed { since: Some(desk.now), ..listed(100 + s) }).collect();
@@ -746,15 +754,16 @@
         }
         f64::from(sent) / cold as f64
     };
-    // Four warm ones carry up to 50 a second each; a fifth of that, growing to half after 6 s.
+    // Four warm servers carry up to 50 per second each; the share is a fifth of that, growing to half after 6
+    // s.
     let (one, many) = (share(1), share(8));
     assert!(many > 0.6 * one, "one gets {one}, each of eight {many}");
 }
 
-/// Danger: what a balancer has met of a server changed where it placed keys that were new to it, for good: each had
-/// homes of its own, and caches held a key as often.
+/// If ejections changed where a balancer places new keys, balancers would assign keys to different servers
+/// for good, and several caches would hold the same key.
 #[test]
-fn a_new_keys_home_does_not_depend_on_who_is_suspect() {
+fn a_new_keys_server_does_not_depend_on_ejections() {
     let mut calm = Desk::of(6);
     let homes: Vec<ServerId> = (0..60).map(|key| calm.hit(key)).collect();
     let mut desk = Desk::of(6);
@@ -765,7 +774,7 @@
         desk.ended(id, 0, server, if server == bad { Outcome::ConnectFailed } else { Outcome::Served });
     }
     let detours = (0..60).filter(|&key| homes[key as usize] == bad && desk.hit(key) != bad).count();
-    assert!(detours > 0, "it is suspect");
+    assert!(detours > 0, "the server is ejected");
     desk.now += 30 * S;
     let (id, _) = desk.read(0);
     desk.ended(id, 0, bad, Outcome::Served);
@@ -773,9 +782,9 @@
     assert_eq!(agree, 59);
 }
 
-/// Danger: a jam of the caches turned away writes, which are worth most and go to the origin alone.
+/// Writes have the highest worth and go to the origin only: an overload of the caches must not shed them.
 #[test]
-fn in_a_jam_writes_for_the_origin_and_reads_for_cold_servers_are_not_shed() {
+fn overload_of_warm_servers_sheds_no_writes_and_no_reads_for_cold_ones() {
     let mut desk = aside();
     desk.list(Scope::Changes, vec![Listed { since: Some(desk.now), ..listed(9) }]);
     for key in 0..300 {
@@ -797,15 +806,15 @@
         cold += usize::from(server == ServerId(9));
         desk.ended_after(id, server, Outcome::Served, 1_500 * MS);
     }
-    assert!(shed > 60 && cold > 0, "{shed} shed, {cold} to the cold one");
+    assert!(shed > 60 && cold > 0, "{shed} shed, {cold} to the cold server");
 }
 
-/// Danger: requests held for an origin that had left the list waited on for half of their aim, for nothing.
+/// Requests held for an origin that left the list must not wait in vain for half their latency target.
 #[test]
-fn what_is_held_for_an_origin_is_answered_at_once_when_it_has_gone() {
+fn held_requests_are_answered_at_once_when_the_origin_is_unlisted() {
     let mut desk = aside();
     let out = fill_origin(&mut desk, 0..200);
-    // Its connections live on, but one more answer makes room.
+    // The origin's limit is reached until an answer arrives.
     let mut held = Vec::new();
     for key in 300..310 {
         let (id, server) = desk.read(key);
@@ -817,7 +826,7 @@
         let refused = |a: &&Action| matches!(a, Action::Refuse { request, .. } if request == id);
         assert_eq!(actions.iter().filter(refused).count(), 1, "{id:?}: {actions:?}");
     }
-    // So is what misses from here on, a write too; and what is out still ends.
+    // Later misses and writes are refused, too; attempts in flight still end.
     let (id, server) = desk.read(400);
     assert!(refused(&desk.ended(id, 0, server.expect("sent"), Outcome::Miss)));
     assert!(refused(&desk.request(401, 1, true).1));
@@ -827,10 +836,10 @@
     assert_eq!(desk.balancer.audit().load, 0.0);
 }
 
-/// Danger: a server that left the list with something out and came back began at nothing in flight; the end of what was
-/// out before then took away the count of what was sent since.
+/// A server that leaves the list with attempts in flight and returns must not start at zero: the end of the
+/// earlier attempts would be subtracted from the count of later ones.
 #[test]
-fn a_server_that_leaves_and_returns_keeps_count_of_what_it_has_in_flight() {
+fn a_relisted_server_keeps_its_count_in_flight() {
     for (scope, back) in [
         (Scope::Changes, listed(1)),
         (Scope::Full, listed(1)),
@@ -840,19 +849,20 @@
         let (first, server) = desk.read(1);
         let server = server.expect("sent");
         desk.list(Scope::Full, vec![]);
-        assert_eq!(desk.read(2).1, None, "it is gone");
+        assert_eq!(desk.read(2).1, None, "the server is gone");
         desk.list(scope, vec![back.clone()]);
         desk.now += 30 * S;
         let (second, _) = desk.read(3);
         assert_eq!(desk.balancer.in_flight(server), 2.0, "{back:?}");
         desk.ended(first, 0, server, Outcome::Served);
-        assert_eq!(desk.balancer.in_flight(server), 1.0, "the second is still out");
+        assert_eq!(desk.balancer.in_flight(server), 1.0, "the second is still in flight");
         desk.ended(second, 0, server, Outcome::Broken);
         assert_eq!(desk.balancer.in_flight(server), 0.0);
     }
 }
 
-/// The article's dynamic request: one whose cost hint is far over the usual counts 2 while it is out.
+/// The article's dynamic request: one whose cost hint is far above the mean counts as 2 while it is in
+/// flight.
 #[test]
 fn a_request_with_a_heavy_hint_counts_twice_until_it_ends() {
     let mut desk = Desk::of(1);
--- a/tests/suite/host.rs
+++ b/tests/suite/host.rs
@@ -1,5 +1,5 @@
-//! The two hosts of the engine, as the suite sees them: the daemon's process through its memcache front, and the
-//! plug-in inside this one.
+//! The two hosts of the engine under one interface: the daemon's process through its memcache front-end, and
+//! the plug-in in the test's process.
 
 use crate::harness::{Client, Node, SETTINGS, WIDE, by, maker};
 use lapisrudder_client::{self as plug_in, Request, Response, ResponseFuture};
@@ -14,100 +14,100 @@
 use std::time::Instant;
 use tower_service::Service;
 
-/// What is asked, in terms that both fronts have.
+/// A request, in terms that both hosts support.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct TestCall {
     pub id: String,
     pub key: String,
     pub class: &'static str,
     pub wait_ms: u64,
-    /// The value of a write.
+    /// The value to write; none for a read.
     pub value: Option<String>,
     pub idempotency: Option<String>,
 }
 
-impl Ask {
-    /// A read of the key that the world holds for this id.
-    pub fn read(id: &str, wait_ms: u64) -> Ask {
+impl TestCall {
+    /// A read of the key that the world's servers hold for this id.
+    pub fn read(id: &str, wait_ms: u64) -> TestCall {
         let key = format!("k{id}");
-        Ask { id: id.into(), key, class: "read", wait_ms, value: None, idempotency: None }
+        TestCall { id: id.into(), key, class: "read", wait_ms, value: None, idempotency: None }
     }
 
     /// A write under an idempotency key.
-    pub fn book(id: &str, key: &str, value: &str, idempotency: &str) -> Ask {
+    pub fn write(id: &str, key: &str, value: &str, idempotency: &str) -> TestCall {
         let (key, idempotency) = (key.into(), Some(idempotency.into()));
-        Ask { key, class: "put", value: Some(value.into()), idempotency, ..Ask::read(id, 5000) }
+        TestCall { key, class: "put", value: Some(value.into()), idempotency, ..TestCall::read(id, 5000) }
     }
 }
 
-/// The one final answer.
+/// The final answer of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Said {
-    /// A value: who made it for this very request ([`by`]), or its text.
+pub enum FinalAnswer {
+    /// A value: as text, or if a server made it for this request, the server and the id ([`by`]).
     Served(String),
     Receipt(String),
     Refused,
     Failed,
-    Bad(String),
-    /// The host is over.
-    Over,
+    BadRequest(String),
+    /// The host has closed the connection or ended.
+    Closed,
 }
 
-impl Said {
-    /// Turned away or failed: no answer of a server.
-    pub fn without(&self) -> bool {
-        matches!(self, Said::Refused | Said::Failed)
+impl FinalAnswer {
+    /// Refused or failed: there is no answer of a server.
+    pub fn is_unserved(&self) -> bool {
+        matches!(self, FinalAnswer::Refused | FinalAnswer::Failed)
     }
 }
 
-/// The answer that a server of that name made for a read of that id.
-pub fn served(uid: &str, id: &str) -> Said {
-    Said::Served(by(uid, id))
+/// The answer of the server `uid` to the read `id`.
+pub fn served(uid: &str, id: &str) -> FinalAnswer {
+    FinalAnswer::Served(by(uid, id))
 }
 
-/// Somebody who asks, one request after another or several at once.
-pub trait Caller {
-    fn send(&mut self, ask: &Ask);
+/// A client that sends requests, one after another or pipelined.
+pub trait TestClient {
+    fn send(&mut self, call: &TestCall);
 
-    /// The answer to the first request that has none yet.
-    fn answer(&mut self) -> Said;
+    /// The answer to the earliest request without one.
+    fn answer(&mut self) -> FinalAnswer;
 
-    fn ask(&mut self, ask: &Ask) -> Said {
-        self.send(ask);
+    fn call(&mut self, call: &TestCall) -> FinalAnswer {
+        self.send(call);
         self.answer()
     }
 
-    fn read(&mut self, id: &str, wait_ms: u64) -> Said {
-        self.ask(&Ask::read(id, wait_ms))
+    fn read(&mut self, id: &str, wait_ms: u64) -> FinalAnswer {
+        self.call(&TestCall::read(id, wait_ms))
     }
 }
 
 /// A host of the engine.
 pub trait Host: Sized {
-    type Caller: Caller + Send;
+    type TestClient: TestClient + Send;
 
-    /// Starts one that asks for its list there. It may have none when this returns.
+    /// Starts a host that uses this discovery server, without waiting for its list.
     fn begin(discovery: SocketAddr) -> Self;
 
-    /// Waits until it has a list with a member.
+    /// Waits until the host has a list with a member.
     fn ready(&self);
 
-    fn caller(&self) -> Self::Caller;
+    fn client(&self) -> Self::TestClient;
 
-    /// Has it end, without a wait.
+    /// Asks the host to stop, without waiting for its end.
     fn stop(&mut self);
 
-    /// Waits until it has ended well.
-    fn ended(self);
+    /// Waits until the host has ended without an error.
+    fn wait_for_exit(self);
 
-    fn told_by(discovery: SocketAddr) -> Self {
+    fn with_discovery(discovery: SocketAddr) -> Self {
         let host = Self::begin(discovery);
         host.ready();
         host
     }
 
     fn start(world: &World<Books>) -> Self {
-        Self::told_by(world.addresses().discovery(0).expect("discovery"))
+        Self::with_discovery(world.addresses().discovery(0).expect("discovery"))
     }
 }
 
@@ -116,7 +116,7 @@
 pub struct Daemon(Node);
 
 impl Host for Daemon {
-    type Caller = Client;
+    type TestClient = Client;
 
     fn begin(discovery: SocketAddr) -> Daemon {
         Daemon(Node::begin(discovery, 1024))
@@ -126,7 +126,7 @@
         self.0.until_ready();
     }
 
-    fn caller(&self) -> Client {
+    fn client(&self) -> Client {
         self.0.client()
     }
 
@@ -134,14 +134,14 @@
         self.0.signal("-TERM");
     }
 
-    fn ended(mut self) {
-        assert!(self.0.child.wait().expect("its end").success());
+    fn wait_for_exit(mut self) {
+        assert!(self.0.child.wait().expect("the daemon ends").success());
     }
 }
 
-impl Caller for Client {
-    fn send(&mut self, ask: &Ask) {
-        let Ask { id, key, class, wait_ms, value, idempotency } = ask;
+impl TestClient for Client {
+    fn send(&mut self, call: &TestCall) {
+        let TestCall { id, key, class, wait_ms, value, idempotency } = call;
         let keyed = idempotency.as_ref().map(|k| format!(",k={k}")).unwrap_or_default();
         match value {
             None => Client::send(self, format!("mg {key} v O{id} Pc={class},d={wait_ms}{keyed}\r\n")),
@@ -153,19 +153,19 @@
         }
     }
 
-    fn answer(&mut self) -> Said {
+    fn answer(&mut self) -> FinalAnswer {
         let answer = Client::answer(self);
         let line = answer.trim_end();
         if let Some(what) = line.strip_prefix("CLIENT_ERROR ") {
-            return Said::Bad(what.into());
+            return FinalAnswer::BadRequest(what.into());
         }
         match line.split(' ').next().unwrap_or_default() {
-            "" => Said::Over,
-            "value" => Said::Served(answer),
-            "VA" => Said::Served(line.split_once("\r\n").expect("a value").1.into()),
-            "HD" => Said::Receipt(line.rsplit_once(" c").expect("a receipt").1.into()),
-            "SERVER_ERROR" if line.contains(" busy") => Said::Refused,
-            _ => Said::Failed,
+            "" => FinalAnswer::Closed,
+            "value" => FinalAnswer::Served(answer),
+            "VA" => FinalAnswer::Served(line.split_once("\r\n").expect("a value").1.into()),
+            "HD" => FinalAnswer::Receipt(line.rsplit_once(" c").expect("a receipt").1.into()),
+            "SERVER_ERROR" if line.contains(" busy") => FinalAnswer::Refused,
+            _ => FinalAnswer::Failed,
         }
     }
 }
@@ -182,14 +182,14 @@
         PlugIn { client, closing: None }
     }
 
-    /// What the suite's plug-ins are told.
+    /// A builder with the settings of these tests.
     pub fn builder() -> plug_in::Builder {
         plug_in::Client::builder().settings_json(SETTINGS).expect("settings")
     }
 }
 
 impl Host for PlugIn {
-    type Caller = Asker;
+    type TestClient = PlugInClient;
 
     fn begin(discovery: SocketAddr) -> PlugIn {
         PlugIn::of(PlugIn::builder().discovery(discovery).start().expect("a plug-in"))
@@ -199,8 +199,8 @@
         wait(self.client.listed()).expect("a list");
     }
 
-    fn caller(&self) -> Asker {
-        Asker { client: self.client.clone(), out: VecDeque::new() }
+    fn client(&self) -> PlugInClient {
+        PlugInClient { client: self.client.clone(), out: VecDeque::new() }
     }
 
     fn stop(&mut self) {
@@ -208,52 +208,54 @@
         self.closing = Some(thread::spawn(move || wait(closed)));
     }
 
-    fn ended(mut self) {
-        self.closing.take().expect("told to stop").join().expect("its end");
+    fn wait_for_exit(mut self) {
+        self.closing.take().expect("stop was called").join().expect("the plug-in ends");
         assert_eq!(self.client.stats().phase, plug_in::Phase::Closed);
     }
 }
 
-/// A clone of the plug-in, and the futures that it waits for.
-pub struct Asker {
+/// A clone of the plug-in, and the futures of its pending requests by id.
+pub struct PlugInClient {
     pub client: plug_in::Client,
     pub out: VecDeque<(String, ResponseFuture)>,
 }
 
-impl Caller for Asker {
-    fn send(&mut self, ask: &Ask) {
-        let mut request = match &ask.value {
-            None => Request::read(ask.key.clone()),
-            Some(value) => Request::write(ask.key.clone(), value.clone()),
+impl TestClient for PlugInClient {
+    fn send(&mut self, call: &TestCall) {
+        let mut request = match &call.value {
+            None => Request::read(call.key.clone()),
+            Some(value) => Request::write(call.key.clone(), value.clone()),
         };
-        if let Some(key) = &ask.idempotency {
+        if let Some(key) = &call.idempotency {
             request = request.idempotency(key.clone());
         }
-        let request = request.id(ask.id.clone()).class(ask.class);
-        let request = request.within(std::time::Duration::from_millis(ask.wait_ms));
-        // A closed one says so to the call, too.
+        let request = request.id(call.id.clone()).class(call.class);
+        let request = request.within(std::time::Duration::from_millis(call.wait_ms));
+        // A closed plug-in is reported by the call below, too.
         let _ = wait(poll_fn(|cx| self.client.poll_ready(cx)));
-        self.out.push_back((ask.id.clone(), self.client.call(request)));
+        self.out.push_back((call.id.clone(), self.client.call(request)));
     }
 
-    fn answer(&mut self) -> Said {
+    fn answer(&mut self) -> FinalAnswer {
         let (id, future) = self.out.pop_front().expect("a request");
         match wait(future) {
-            Ok(Response::Value(value)) => Said::Served(match maker(&value, &id) {
+            Ok(Response::Value(value)) => FinalAnswer::Served(match maker(&value, &id) {
                 Some(uid) => by(uid, &id),
                 None => String::from_utf8_lossy(&value).into_owned(),
             }),
-            Ok(Response::Receipt(receipt)) => Said::Receipt(String::from_utf8_lossy(&receipt).into_owned()),
-            Err(plug_in::Error::Refused { .. }) => Said::Refused,
-            Err(plug_in::Error::Failed { .. } | plug_in::Error::Overdue { .. }) => Said::Failed,
-            Err(plug_in::Error::BadRequest(what)) => Said::Bad(what.to_string()),
-            Err(plug_in::Error::Closed) => Said::Over,
+            Ok(Response::Receipt(receipt)) => {
+                FinalAnswer::Receipt(String::from_utf8_lossy(&receipt).into_owned())
+            }
+            Err(plug_in::Error::Refused { .. }) => FinalAnswer::Refused,
+            Err(plug_in::Error::Failed { .. } | plug_in::Error::Overdue { .. }) => FinalAnswer::Failed,
+            Err(plug_in::Error::BadRequest(what)) => FinalAnswer::BadRequest(what.to_string()),
+            Err(plug_in::Error::Closed) => FinalAnswer::Closed,
             Err(other) => panic!("{other}"),
         }
     }
 }
 
-/// Wakes a thread that waits for a future: the least that a runtime can be.
+/// Unparks a thread that waits for a future: a minimal runtime.
 struct Unpark(Thread);
 
 impl Wake for Unpark {
@@ -262,7 +264,7 @@
     }
 }
 
-/// Waits for a future, though not for ever.
+/// Waits for a future, up to a time limit.
 pub fn wait<F: Future>(future: F) -> F::Output {
     let waker = Waker::from(Arc::new(Unpark(thread::current())));
     let (mut future, begun) = (pin!(future), Instant::now());
@@ -270,7 +272,7 @@
         if let Poll::Ready(output) = future.as_mut().poll(&mut Context::from_waker(&waker)) {
             return output;
         }
-        let left = WIDE.checked_sub(begun.elapsed()).expect("it ends");
+        let left = WIDE.checked_sub(begun.elapsed()).expect("the future completes in time");
         thread::park_timeout(left);
     }
 }
--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -1,5 +1,5 @@
-//! One suite for both hosts of the engine, unchanged: each rule holds through the daemon's memcache front as it does
-//! in the plug-in.
+//! The same tests for both hosts of the engine: each rule has to hold through the daemon's memcache front-end
+//! and in the client library (plug-in).
 
 #[path = "../harness/mod.rs"]
 #[allow(dead_code)]
@@ -8,7 +8,7 @@
 mod rules;
 mod twice;
 
-/// Each case for each host.
+/// Runs each test with each host.
 macro_rules! both {
     ($($case:ident),* $(,)?) => {
         mod daemon {
@@ -22,23 +22,23 @@
 
 both! {
     a_miss_and_a_write_go_to_the_origin_with_id_list_and_value,
-    bad_requests_are_told_and_cost_no_other,
-    a_transaction_that_nobody_serves_gets_one_answer_in_time,
+    bad_requests_are_rejected_without_effect_on_others,
+    an_unanswered_transaction_gets_one_final_answer_in_time,
     a_late_answer_reaches_no_other_transaction,
-    nothing_new_goes_to_a_member_that_drains,
+    no_transactions_go_to_a_draining_member,
     a_bad_list_changes_nothing,
-    a_list_that_empties_refuses_and_one_that_fills_serves,
-    a_discovery_that_is_down_at_the_start_costs_answers_and_no_more,
-    a_member_that_talks_nonsense_costs_only_its_own_flow,
-    what_a_member_sends_beyond_its_answer_reaches_nobody,
-    an_id_in_use_is_taken_once,
-    a_dead_member_costs_its_keys_a_detour_only,
-    a_caller_that_leaves_has_its_flow_called_off_and_harms_nobody,
-    each_of_a_crowd_gets_one_answer_that_is_its_own,
-    a_host_told_to_stop_answers_what_it_took_and_ends,
+    transactions_are_refused_while_the_list_is_empty,
+    transactions_are_served_after_a_discovery_outage_at_the_start,
+    corrupt_responses_fail_only_their_own_flow,
+    bytes_after_a_response_are_not_forwarded,
+    a_request_id_in_use_is_rejected,
+    keys_of_a_dead_member_are_served_by_others,
+    a_disconnected_client_has_its_flow_cancelled,
+    each_of_many_concurrent_clients_gets_its_own_answers,
+    a_stopping_host_answers_accepted_transactions_and_exits,
 }
 
-/// Each case for each pair of hosts.
+/// Runs each test with each pair of hosts.
 macro_rules! pairs {
     ($($case:ident),* $(,)?) => {
         mod daemons {
@@ -57,7 +57,7 @@
 }
 
 pairs! {
-    in_the_window_both_get_the_receipt_of_the_one_effect,
-    a_booking_whose_answer_is_lost_is_told_by_the_other_place,
-    out_of_the_window_each_answer_is_of_an_effect_of_its_own,
+    inside_the_window_both_get_the_receipt_of_one_effect,
+    a_write_whose_answer_is_lost_gets_its_receipt_at_the_other_node,
+    outside_the_window_each_write_has_an_effect_of_its_own,
 }
--- a/tests/suite/twice.rs
+++ b/tests/suite/twice.rs
@@ -1,16 +1,17 @@
-//! A booking sent from two places under one idempotency key: one effect, and a true answer for both.
+//! A write sent through two nodes under one idempotency key: it has one effect, and both get a correct
+//! answer.
 
 use crate::harness::*;
-use crate::host::{Ask, Caller, Host, Said};
+use crate::host::{FinalAnswer, Host, TestCall, TestClient};
 use lapisrudder_lab::stand::{Books, Fault, OriginSpec, World};
 use lapisrudder_model::server::{Class, Dist, OriginConfig};
 use std::time::Duration;
 
-/// How long the origin drops repeats here, at first and when it is to forget soon.
-const LONG: i64 = 600_000_000;
+/// A repeat window of the origin that does not end during a test.
+const LONG_WINDOW: i64 = 600_000_000;
 
-/// A cache server and an origin that carries out writes, which drops repeats for this long.
-fn bookings(window_us: i64) -> World<Books> {
+/// A cache server, and an origin that executes writes and drops repeats during this window.
+fn world_with_origin(window_us: i64) -> World<Books> {
     let mut spec = spec(&["a"]);
     let class = Class { work: Dist::Fixed(200.0), keyed_window_us: window_us };
     let mut config = OriginConfig::default();
@@ -19,55 +20,55 @@
     world(spec, ids(0))
 }
 
-/// Writes that the origin carried out, and repeats that it dropped.
+/// Writes that the origin executed, and repeats that it dropped.
 fn effects(world: &World<Books>) -> (u64, u64) {
     let books = world.control().look(no(world, "o")).unwrap();
     (books.effects, books.repeats)
 }
 
-fn receipt(said: Said) -> String {
-    match said {
-        Said::Receipt(receipt) => receipt,
+fn receipt(answer: FinalAnswer) -> String {
+    match answer {
+        FinalAnswer::Receipt(receipt) => receipt,
         other => panic!("{other:?}"),
     }
 }
 
-pub fn in_the_window_both_get_the_receipt_of_the_one_effect<A: Host, B: Host>() {
-    let world = bookings(LONG);
+pub fn inside_the_window_both_get_the_receipt_of_one_effect<A: Host, B: Host>() {
+    let world = world_with_origin(LONG_WINDOW);
     let (here, there) = (A::start(&world), B::start(&world));
-    let (mut first, mut second) = (here.caller(), there.caller());
-    // At the same time, and one after another.
-    first.send(&Ask::book("a1", "seat", "x", "key-1"));
-    second.send(&Ask::book("a2", "seat", "x", "key-1"));
+    let (mut first, mut second) = (here.client(), there.client());
+    // First at the same time, then one after another.
+    first.send(&TestCall::write("a1", "seat", "x", "key-1"));
+    second.send(&TestCall::write("a2", "seat", "x", "key-1"));
     let (one, two) = (receipt(first.answer()), receipt(second.answer()));
     assert_eq!((&one, effects(&world)), (&two, (1, 1)));
-    assert_eq!(receipt(first.ask(&Ask::book("a3", "seat", "x", "key-1"))), one);
-    assert_ne!(receipt(second.ask(&Ask::book("a4", "seat", "x", "key-2"))), one, "another booking");
+    assert_eq!(receipt(first.call(&TestCall::write("a3", "seat", "x", "key-1"))), one);
+    assert_ne!(receipt(second.call(&TestCall::write("a4", "seat", "x", "key-2"))), one, "another write");
     assert_eq!(effects(&world), (2, 2));
 }
 
-pub fn a_booking_whose_answer_is_lost_is_told_by_the_other_place<A: Host, B: Host>() {
-    let world = bookings(LONG);
+pub fn a_write_whose_answer_is_lost_gets_its_receipt_at_the_other_node<A: Host, B: Host>() {
+    let world = world_with_origin(LONG_WINDOW);
     let (here, there) = (A::start(&world), B::start(&world));
-    let (mut first, mut second) = (here.caller(), there.caller());
+    let (mut first, mut second) = (here.client(), there.client());
     let o = no(&world, "o");
     world.control().fault(o, Fault::Swallow(1.0)).unwrap();
-    first.send(&Ask { wait_ms: 400, ..Ask::book("a1", "seat", "x", "key-1") });
+    first.send(&TestCall { wait_ms: 400, ..TestCall::write("a1", "seat", "x", "key-1") });
     until(|| effects(&world).0 == 1);
-    assert_eq!(first.answer(), Said::Failed, "it has run, so that 'refused' would not be true");
+    assert_eq!(first.answer(), FinalAnswer::Failed, "it has run, so that it must not be refused");
     world.control().fault(o, Fault::Swallow(0.0)).unwrap();
-    let told = receipt(second.ask(&Ask::book("a2", "seat", "x", "key-1")));
-    assert_eq!(receipt(first.ask(&Ask::book("a3", "seat", "x", "key-1"))), told);
+    let receipt_there = receipt(second.call(&TestCall::write("a2", "seat", "x", "key-1")));
+    assert_eq!(receipt(first.call(&TestCall::write("a3", "seat", "x", "key-1"))), receipt_there);
     assert_eq!(effects(&world).0, 1);
 }
 
-pub fn out_of_the_window_each_answer_is_of_an_effect_of_its_own<A: Host, B: Host>() {
-    let world = bookings(1);
+pub fn outside_the_window_each_write_has_an_effect_of_its_own<A: Host, B: Host>() {
+    let world = world_with_origin(1);
     let (here, there) = (A::start(&world), B::start(&world));
-    let (mut first, mut second) = (here.caller(), there.caller());
-    let one = receipt(first.ask(&Ask::book("a1", "seat", "x", "key-1")));
+    let (mut first, mut second) = (here.client(), there.client());
+    let one = receipt(first.call(&TestCall::write("a1", "seat", "x", "key-1")));
     std::thread::sleep(Duration::from_millis(2));
-    let two = receipt(second.ask(&Ask::book("a2", "seat", "x", "key-1")));
-    assert_ne!(one, two, "the second does not pass for the first");
+    let two = receipt(second.call(&TestCall::write("a2", "seat", "x", "key-1")));
+    assert_ne!(one, two, "the second write is not taken for the first");
     assert_eq!(effects(&world), (2, 0));
 }
