--- a/crates/decisions/src/permit.rs
+++ b/crates/decisions/src/permit.rs
@@ -79,7 +79,7 @@
     /// The current time.
     pub now: Micros,
     /// The request's answer is pending.
-    pub owed: bool,
+    pub pending: bool,
     /// The answer is awaited until this time.
     pub until: Micros,
     /// The attempt must begin before this time: servers may forget the request that it repeats soon after.
@@ -94,7 +94,7 @@
     /// # Errors
     /// The reason why it may not.
     pub fn check(&self) -> Result<(), Denial> {
-        if !self.owed {
+        if !self.pending {
             return Err(Denial::NoAnswerPending);
         }
         if !self.server_open {
@@ -143,7 +143,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Close {
     /// Answers are pending on it or not sent completely.
-    pub owed: bool,
+    pub pending: bool,
     /// It has unread input.
     pub unread: bool,
 }
@@ -154,7 +154,7 @@
     /// # Errors
     /// The reason why it may not.
     pub fn check(&self) -> Result<(), Denial> {
-        if self.owed {
+        if self.pending {
             return Err(Denial::AnswersPending);
         }
         if self.unread {
--- a/crates/decisions/tests/all_cold/world.rs
+++ b/crates/decisions/tests/all_cold/world.rs
@@ -388,9 +388,9 @@
     fn at_origin(&mut self) -> Micros {
         self.second().origin += 1;
         let now = self.now;
-        let place = self.origin_free.iter_mut().min_by_key(|at| **at).unwrap();
-        *place = (*place).max(now) + 25 * MS;
-        *place + ROUND_TRIP
+        let slot = self.origin_free.iter_mut().min_by_key(|at| **at).unwrap();
+        *slot = (*slot).max(now) + 25 * MS;
+        *slot + ROUND_TRIP
     }
 
     /// Time of a server's answer, and whether it had the key; none if it rejected the request.
--- a/crates/decisions/tests/time_limits.rs
+++ b/crates/decisions/tests/time_limits.rs
@@ -34,10 +34,10 @@
 
 #[test]
 fn an_attempt_begins_only_if_all_conditions_hold() {
-    let may = Begin { now: 10, owed: true, until: 20, begin_by: 20, server_open: true };
+    let may = Begin { now: 10, pending: true, until: 20, begin_by: 20, server_open: true };
     assert_eq!(may.check(), Ok(()));
     let cases = [
-        (Begin { owed: false, ..may }, Denial::NoAnswerPending),
+        (Begin { pending: false, ..may }, Denial::NoAnswerPending),
         (Begin { server_open: false, ..may }, Denial::ServerClosed),
         (Begin { begin_by: 10, ..may }, Denial::RepeatWindowOver),
         (Begin { until: 10, ..may }, Denial::DeadlinePassed),
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_connection_closes_between_requests_only() {
-    assert_eq!(Close { owed: false, unread: false }.check(), Ok(()));
-    assert_eq!(Close { owed: true, unread: false }.check(), Err(Denial::AnswersPending));
-    assert_eq!(Close { owed: false, unread: true }.check(), Err(Denial::Unread));
+    assert_eq!(Close { pending: false, unread: false }.check(), Ok(()));
+    assert_eq!(Close { pending: true, unread: false }.check(), Err(Denial::AnswersPending));
+    assert_eq!(Close { pending: false, unread: true }.check(), Err(Denial::Unread));
 }
--- a/crates/engine/src/connection.rs
+++ b/crates/engine/src/connection.rs
@@ -73,7 +73,7 @@
     /// Whether it may begin.
     fn permit(&self, now: Micros, server_open: bool) -> Result<(), Denial> {
         let Flow { call, until, begin_by, .. } = &self.flow;
-        Begin { now, owed: !call.answered(), until: *until, begin_by: *begin_by, server_open }.check()
+        Begin { now, pending: !call.answered(), until: *until, begin_by: *begin_by, server_open }.check()
     }
 }
 
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -513,7 +513,7 @@
         );
         self.transactions.recorder.note(now, request, Some(id.attempt), Step::Chosen(server));
         let begin_by = begin;
-        let permit = Begin { now, owed: !call.answered(), until, begin_by, server_open: true };
+        let permit = Begin { now, pending: !call.answered(), until, begin_by, server_open: true };
         // Whether its server is open is the pool's to say.
         if permit.check().is_err() {
             return self.transactions.flow_ended(id, Outcome::NeverSent, None, now, &mut self.deadlines);
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -190,7 +190,7 @@
     /// # Errors
     /// Why not.
     pub fn permit_close(&mut self) -> Result<(), Denial> {
-        Close { owed: !self.quiet(), unread: self.look() }.check()
+        Close { pending: !self.quiet(), unread: self.look() }.check()
     }
 
     /// Nothing more is owed on it, and its sending side is shut.
--- a/src/net/virtual_server.rs
+++ b/src/net/virtual_server.rs
@@ -418,7 +418,7 @@
     fn remove(&mut self, id: u64, why: Closed, now: Micros, deadlines: &mut Deadlines) {
         let Some(mut client) = self.clients.remove(&id) else { return };
         if why == Closed::ForRoom && !client.lingers() {
-            self.violations.record(Close { owed: !client.quiet(), unread: false }.check());
+            self.violations.record(Close { pending: !client.quiet(), unread: false }.check());
         }
         self.unread -= client.counted;
         self.names.remove(&client.conn);
