--- a/crates/decisions/src/audit.rs
+++ b/crates/decisions/src/audit.rs
@@ -36,7 +36,7 @@
             requests: self.requests.0.len(),
             in_flight: self.requests.0.values().map(|r| r.in_flight()).sum(),
             load: self.servers.all.iter().map(|s| s.load).sum(),
-            origin_in_flight: self.origin.limiter.out() as f64,
+            origin_in_flight: self.origin.limiter.in_flight() as f64,
             held: self.origin.held.len(),
             joined: self.origin.pending_fetches.values().map(Vec::len).sum(),
             timers: self.timers.len(),
--- a/crates/decisions/src/origin_concurrency.rs
+++ b/crates/decisions/src/origin_concurrency.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::{Key, Mode, ServerId, Settings};
 use crate::state::unit_hash;
-use lapisrudder_limits::follow;
+use lapisrudder_limits::adaptive_limit;
 
 /// Initial attempts in flight: the limit for one balancer, and the total for all balancers, constant or per
 /// server if that is more. The origin is sized for the misses of the whole fleet. With a total that did not
@@ -19,15 +19,15 @@
 
 /// Half of the shortest latency target is for the origin; the other half is for the network and for the time
 /// before the fetch.
-pub(crate) fn initial_settings(settings: &Settings, servers: f64, own: ServerId) -> follow::Settings {
+pub(crate) fn initial_settings(settings: &Settings, servers: f64, own: ServerId) -> adaptive_limit::Settings {
     let nodes = f64::from(settings.siblings.max(1));
     let target = settings.classes.iter().map(|c| c.latency_target).min().unwrap_or(1_000_000);
-    follow::Settings {
+    adaptive_limit::Settings {
         start: MAX_START_PER_NODE.min(START_TOTAL.max(START_PER_SERVER * servers) / nodes),
-        least: (MIN_TOTAL / nodes).min(1.0),
-        patience: target / 2,
+        min: (MIN_TOTAL / nodes).min(1.0),
+        max_latency: target / 2,
         phase: (settings.mode == Mode::Aside).then(|| unit_hash(Key(own.0), PHASE_SALT)),
-        ..follow::Settings::default()
+        ..adaptive_limit::Settings::default()
     }
 }
 
--- a/crates/decisions/src/rules.rs
+++ b/crates/decisions/src/rules.rs
@@ -10,7 +10,7 @@
 use crate::state::*;
 use crate::token_bucket::{self, TokenBucket};
 use crate::{origin_concurrency, overload};
-use lapisrudder_limits::follow::{End, Sent, Settings as LimitSettings};
+use lapisrudder_limits::adaptive_limit::{End, Sent, Settings as LimitSettings};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 /// Minima of the low and high mark, in requests in flight on a server of mean size: fewer are noise.
@@ -676,7 +676,7 @@
     /// Also true if the origin has left the list: requests held for it would wait in vain.
     fn origin_free(&self) -> bool {
         let gone = self.settings.mode == Mode::Aside && self.servers.live_origin().is_none();
-        gone || self.origin.limiter.room(self.now)
+        gone || self.origin.limiter.can_send(self.now)
     }
 
     fn hold(&mut self, id: RequestId, out: &mut Vec<Action>) {
@@ -695,7 +695,7 @@
     /// Schedules a check of the held requests if capacity returns by time, without the end of an attempt.
     fn schedule_drain(&mut self, out: &mut Vec<Action>) {
         let held = !self.origin.held.is_empty();
-        let at = self.origin.limiter.when_room(self.now).filter(|at| held && *at != self.origin.drain_at);
+        let at = self.origin.limiter.next_send_at(self.now).filter(|at| held && *at != self.origin.drain_at);
         if let Some(at) = at {
             self.origin.drain_at = at;
             self.schedule(at, Task::Drain, out);
@@ -727,7 +727,7 @@
         // Writes are few and have the highest worth: they must not wait behind all missed reads. They are
         // held only if the origin is far over its limit.
         let over = WRITE_LIMIT_RATIO * self.origin.limiter.limit();
-        let free = self.origin_free() || write && (self.origin.limiter.out() as f64) < over;
+        let free = self.origin_free() || write && (self.origin.limiter.in_flight() as f64) < over;
         if !free {
             return self.hold(id, out);
         }
@@ -781,15 +781,15 @@
         let quick = !o.reports_fetches && end.outcome == Outcome::Error && took < target / 2;
         o.reports_fetches |= cache.is_none() || end.note.is_some();
         let how = match end.outcome {
-            Outcome::Served if end.note == Some(CacheNote::Hit) => End::Elsewhere,
-            _ if silent || quick || far => End::Untold,
+            Outcome::Served if end.note == Some(CacheNote::Hit) => End::NoWork,
+            _ if silent || quick || far => End::Ignored,
             Outcome::Served => End::Answered { took },
             Outcome::Error | Outcome::TimedOut => End::TimedOut { took },
-            Outcome::Cancelled => End::Untold,
+            Outcome::Cancelled => End::Ignored,
             // Cache servers that reject a tenant or lose a connection say nothing about the origin.
-            Outcome::Full if cache.is_none() => End::TurnedAway,
+            Outcome::Full if cache.is_none() => End::Rejected,
             Outcome::Broken | Outcome::ConnectFailed if cache.is_none() => End::Lost,
-            _ => End::Elsewhere,
+            _ => End::NoWork,
         };
         o.limiter.ended(self.now, fetch, how);
     }
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -6,8 +6,8 @@
 use crate::slow_start::Ramp;
 use crate::time_limits;
 use crate::token_bucket::TokenBucket;
-use lapisrudder_limits::follow::{self, Follow, Sent};
-use lapisrudder_limits::held::Held;
+use lapisrudder_limits::adaptive_limit::{self, AdaptiveLimit, Sent};
+use lapisrudder_limits::coalescing_queue::CoalescingQueue;
 use lru::LruCache;
 use rustc_hash::FxHashMap;
 use std::cmp::Reverse;
@@ -650,24 +650,24 @@
 /// What is known of the origin, and the requests that wait for it.
 pub(crate) struct Origin {
     /// Limit on this balancer's attempts in flight that load the origin.
-    pub limiter: Follow,
+    pub limiter: AdaptiveLimit,
     /// Answers distinguish fetches from hits.
     pub reports_fetches: bool,
     /// Fetches in flight by key, with the requests that wait for them.
     pub pending_fetches: FxHashMap<Key, Vec<RequestId>>,
     /// Requests that wait for the limit.
-    pub held: Held<QueueKey, RequestId>,
+    pub held: CoalescingQueue<QueueKey, RequestId>,
     /// Due time of the last scheduled [`Task::Drain`].
     pub drain_at: Micros,
 }
 
 impl Origin {
-    pub fn new(settings: follow::Settings, now: Micros) -> Self {
+    pub fn new(settings: adaptive_limit::Settings, now: Micros) -> Self {
         Origin {
-            limiter: Follow::new(settings, now),
+            limiter: AdaptiveLimit::new(settings, now),
             reports_fetches: false,
             pending_fetches: FxHashMap::default(),
-            held: Held::new(MAX_HELD),
+            held: CoalescingQueue::new(MAX_HELD),
             drain_at: Micros::MIN,
         }
     }
--- a/crates/decisions/tests/copies/main.rs
+++ b/crates/decisions/tests/copies/main.rs
@@ -3,7 +3,7 @@
 
 mod world;
 use lapisrudder_decisions::Mode;
-use lapisrudder_limits::follow::{Follow, Settings};
+use lapisrudder_limits::adaptive_limit::{AdaptiveLimit, Settings};
 use world::*;
 
 /// Numbers of balancers, and the configured number: the correct one, and a third of it.
@@ -78,7 +78,7 @@
     let allowed = |now, phase: fn(f64) -> Option<f64>| {
         let part = |n: u32| (f64::from(n) * 0.618_034).fract();
         let settings = |n| Settings { start: 0.2, phase: phase(part(n)), ..Settings::default() };
-        (0..300).filter(|n| Follow::new(settings(*n), 0).room(now)).count()
+        (0..300).filter(|n| AdaptiveLimit::new(settings(*n), 0).can_send(now)).count()
     };
     for now in [0, 61 * S] {
         assert_eq!(allowed(now, |_| None), 300);
--- a/tests/suite/host.rs
+++ b/tests/suite/host.rs
@@ -1,7 +1,7 @@
 //! The two hosts of the engine under one interface: the daemon's process through its memcache front-end, and
 //! the plug-in in the test's process.
 
-use crate::harness::{Client, Node, SETTINGS, WIDE, by, maker};
+use crate::harness::{Client, Node, SETTINGS, TEST_TIMEOUT, maker, value_from};
 use lapisrudder_client::{self as plug_in, Request, Response, ResponseFuture};
 use lapisrudder_lab::stand::{Books, World};
 use std::collections::VecDeque;
@@ -43,7 +43,7 @@
 /// The final answer of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// A value: as text, or if a server made it for this request, the server and the id ([`by`]).
+    /// A value: as text, or if a server made it for this request, the server and the id ([`value_from`]).
     Served(String),
     Receipt(String),
     Refused,
@@ -62,7 +62,7 @@
 
 /// The answer of the server `uid` to the read `id`.
 pub fn served(uid: &str, id: &str) -> FinalAnswer {
-    FinalAnswer::Served(by(uid, id))
+    FinalAnswer::Served(value_from(uid, id))
 }
 
 /// A client that sends requests, one after another or pipelined.
@@ -119,11 +119,11 @@
     type TestClient = Client;
 
     fn begin(discovery: SocketAddr) -> Daemon {
-        Daemon(Node::begin(discovery, 1024))
+        Daemon(Node::spawn(discovery, 1024))
     }
 
     fn ready(&self) {
-        self.0.until_ready();
+        self.0.wait_ready();
     }
 
     fn client(&self) -> Client {
@@ -240,7 +240,7 @@
         let (id, future) = self.out.pop_front().expect("a request");
         match wait(future) {
             Ok(Response::Value(value)) => FinalAnswer::Served(match maker(&value, &id) {
-                Some(uid) => by(uid, &id),
+                Some(uid) => value_from(uid, &id),
                 None => String::from_utf8_lossy(&value).into_owned(),
             }),
             Ok(Response::Receipt(receipt)) => {
@@ -272,7 +272,7 @@
         if let Poll::Ready(output) = future.as_mut().poll(&mut Context::from_waker(&waker)) {
             return output;
         }
-        let left = WIDE.checked_sub(begun.elapsed()).expect("the future completes in time");
+        let left = TEST_TIMEOUT.checked_sub(begun.elapsed()).expect("the future completes in time");
         thread::park_timeout(left);
     }
 }
--- a/tests/suite/rules.rs
+++ b/tests/suite/rules.rs
@@ -38,10 +38,10 @@
     let host = H::start(&world);
     let mut client = host.client();
     assert_eq!(client.read("a1", 2000), FinalAnswer::Served("from afar".into()));
-    let get = requests.recv_timeout(WIDE).unwrap();
+    let get = requests.recv_timeout(TEST_TIMEOUT).unwrap();
     assert!(get.starts_with("GET /ka1 ") && get.contains("Req-Id: a1\r\n"), "{get}");
     assert_eq!(client.call(&TestCall::write("b2", "kb", "hi", "ee")), FinalAnswer::Receipt("77".into()));
-    let put = requests.recv_timeout(WIDE).unwrap();
+    let put = requests.recv_timeout(TEST_TIMEOUT).unwrap();
     assert!(put.starts_with("PUT /kb ") && put.ends_with("\r\n\r\nhi") && put.contains(",k=ee\r\n"), "{put}");
 }
 
@@ -64,7 +64,7 @@
 
 pub fn an_unanswered_transaction_gets_one_final_answer_in_time<H: Host>() {
     let world = world(spec(&["a"]), ids(2));
-    world.control().fault(no(&world, "a"), Fault::Swallow(1.0)).unwrap();
+    world.control().fault(server_no(&world, "a"), Fault::Swallow(1.0)).unwrap();
     let host = H::start(&world);
     let begun = Instant::now();
     let answer = host.client().read("1", 300);
@@ -76,9 +76,9 @@
     let world = world(spec(&["a"]), ids(2002));
     let host = H::start(&world);
     let mut client = host.client();
-    world.control().pause(no(&world, "a"), 60_000_000).unwrap();
+    world.control().pause(server_no(&world, "a"), 60_000_000).unwrap();
     assert!(client.read("1", 200).is_unserved());
-    world.control().pause(no(&world, "a"), 0).unwrap();
+    world.control().pause(server_no(&world, "a"), 0).unwrap();
     // The decisions eject a silent member for a while, and refuse requests meanwhile.
     until_served(&mut client, 2, |id| served("a", id));
 }
@@ -90,28 +90,28 @@
     let host = H::start(&world);
     let mut client = host.client();
     assert_eq!(client.read("1", 2000), served("a", "1"));
-    let (a, control) = (no(&world, "a"), world.control());
-    let address = world.addresses().server(0, no(&world, "b")).unwrap();
+    let (a, control) = (server_no(&world, "a"), world.control());
+    let address = world.addresses().server(0, server_no(&world, "b")).unwrap();
     control.discovery_list(vec![member("b", &address.to_string(), "cache", "z")]).unwrap();
     control.drain(a).unwrap();
     until_served(&mut client, 2, |id| served("b", id));
-    let before = asked(&world, "a");
+    let before = requests_received(&world, "a");
     for id in (3000..3050).map(|id| id.to_string()) {
         assert_eq!(client.read(&id, 2000), served("b", &id));
     }
-    assert_eq!(asked(&world, "a"), before);
+    assert_eq!(requests_received(&world, "a"), before);
 }
 
 pub fn a_bad_list_changes_nothing<H: Host>() {
     let world = world(spec(&["a"]), ids(10));
-    let list = List::start(&world.control().known(0).unwrap());
+    let list = ScriptedDiscovery::start(&world.control().known(0).unwrap());
     let host = H::with_discovery(list.address());
     let mut client = host.client();
     assert_eq!(client.read("1", 2000), served("a", "1"));
     for (id, text) in
         ["2", "3", "4"].into_iter().zip(["{\"rev\":", "[]", "{\"rev\":9,\"all\":true,\"targets\":[{}]}"])
     {
-        list.tell(text);
+        list.publish_and_wait(text);
         assert_eq!(client.read(id, 2000), served("a", id), "{text}");
     }
 }
@@ -119,15 +119,15 @@
 pub fn transactions_are_refused_while_the_list_is_empty<H: Host>() {
     let world = world(spec(&["a"]), ids(3000));
     let full = world.control().known(0).unwrap();
-    let list = List::start(&full);
+    let list = ScriptedDiscovery::start(&full);
     let host = H::with_discovery(list.address());
     let mut client = host.client();
     assert_eq!(client.read("1", 2000), served("a", "1"));
-    list.tell(r#"{"rev":90,"all":true,"targets":[]}"#);
+    list.publish_and_wait(r#"{"rev":90,"all":true,"targets":[]}"#);
     let begun = Instant::now();
     (2..6).for_each(|id| assert_eq!(client.read(&id.to_string(), 60_000), FinalAnswer::Refused));
     assert!(begun.elapsed() < Duration::from_secs(30), "at once, not by their deadlines");
-    list.tell(&full.replace("\"rev\":1,", "\"rev\":91,"));
+    list.publish_and_wait(&full.replace("\"rev\":1,", "\"rev\":91,"));
     until_served(&mut client, 10, |id| served("a", id));
 }
 
@@ -151,7 +151,7 @@
     let world = world(spec(&["bad", "good"]), ids(50));
     // A wrong value under a correct head cannot be detected.
     let kinds = Noise::ALL.into_iter().filter(|kind| kind.spoils() && *kind != Noise::OtherValue).collect();
-    world.control().fault(no(&world, "bad"), Fault::Spoil { share: 1.0, kinds }).unwrap();
+    world.control().fault(server_no(&world, "bad"), Fault::Spoil { share: 1.0, kinds }).unwrap();
     let host = H::start(&world);
     let mut client = host.client();
     let answers: Vec<(String, FinalAnswer)> =
@@ -159,14 +159,14 @@
     let sound = |(id, answer): &(String, FinalAnswer)| *answer == served("good", id) || answer.is_unserved();
     assert!(answers.iter().all(sound), "{answers:?}");
     assert!(answers.iter().any(|(id, answer)| *answer == served("good", id)), "{answers:?}");
-    assert!(asked(&world, "bad") > 0, "requests were sent to it");
+    assert!(requests_received(&world, "bad") > 0, "requests were sent to it");
 }
 
 pub fn bytes_after_a_response_are_not_forwarded<H: Host>() {
     for noise in [Noise::SecondCopy, Noise::NoiseBehind, Noise::BadReport] {
         let world = world(spec(&["a"]), ids(20));
         let kinds = [noise].into_iter().collect();
-        world.control().fault(no(&world, "a"), Fault::Spoil { share: 1.0, kinds }).unwrap();
+        world.control().fault(server_no(&world, "a"), Fault::Spoil { share: 1.0, kinds }).unwrap();
         let host = H::start(&world);
         let mut client = host.client();
         for id in ids(20) {
@@ -177,12 +177,12 @@
 
 pub fn a_request_id_in_use_is_rejected<H: Host>() {
     let world = world(spec(&["a"]), ids(2));
-    let (a, control) = (no(&world, "a"), world.control());
+    let (a, control) = (server_no(&world, "a"), world.control());
     let host = H::start(&world);
     let (mut first, mut second) = (host.client(), host.client());
     control.pause(a, 60_000_000).unwrap();
     first.send(&TestCall::read("1", 60_000));
-    until(|| asked(&world, "a") == 1);
+    wait_until(|| requests_received(&world, "a") == 1);
     assert_eq!(second.read("1", 60_000), FinalAnswer::BadRequest("request id in use".into()));
     control.pause(a, 0).unwrap();
     assert_eq!(first.answer(), served("a", "1"));
@@ -192,7 +192,7 @@
     let mut spec = spec(&["gone", "good"]);
     spec.discovery.notice.gone = 600_000_000;
     let world = world(spec, ids(50));
-    world.control().kill(no(&world, "gone")).unwrap();
+    world.control().kill(server_no(&world, "gone")).unwrap();
     let host = H::start(&world);
     let mut client = host.client();
     let answers: Vec<(String, FinalAnswer)> =
@@ -204,7 +204,7 @@
 
 pub fn a_disconnected_client_has_its_flow_cancelled<H: Host>() {
     let world = world(spec(&["a"]), ids(3000));
-    let (a, control) = (no(&world, "a"), world.control());
+    let (a, control) = (server_no(&world, "a"), world.control());
     let host = H::start(&world);
     let mut stays = host.client();
     assert_eq!(stays.read("0", 2000), served("a", "0"));
@@ -221,9 +221,9 @@
     let id = |id: &str| ReqId(RequestId::of(id.as_bytes()).0);
     let received = |of: ReqId| recorded(&|e| matches!(e, ServerEvent::LastByte { req, .. } if *req == of));
     let cancelled = |of: ReqId| recorded(&|e| matches!(e, ServerEvent::Cancelled { req, .. } if *req == of));
-    until(|| received(id("2")));
+    wait_until(|| received(id("2")));
     drop(late);
-    until(|| cancelled(id("2")) && (cancelled(id("1")) || !received(id("1"))));
+    wait_until(|| cancelled(id("2")) && (cancelled(id("1")) || !received(id("1"))));
     control.fault(a, Fault::Slow(1.0)).unwrap();
     until_served(&mut stays, 10, |id| served("a", id));
 }
@@ -251,12 +251,12 @@
 
 pub fn a_stopping_host_answers_accepted_transactions_and_exits<H: Host>() {
     let world = world(spec(&["a"]), ids(3));
-    let (a, control) = (no(&world, "a"), world.control());
+    let (a, control) = (server_no(&world, "a"), world.control());
     let mut host = H::start(&world);
     let mut client = host.client();
     control.pause(a, 60_000_000).unwrap();
     client.send(&TestCall::read("1", 60_000));
-    until(|| asked(&world, "a") == 1);
+    wait_until(|| requests_received(&world, "a") == 1);
     host.stop();
     control.pause(a, 0).unwrap();
     assert_eq!(client.answer(), served("a", "1"));
--- a/tests/suite/twice.rs
+++ b/tests/suite/twice.rs
@@ -22,7 +22,7 @@
 
 /// Writes that the origin executed, and repeats that it dropped.
 fn effects(world: &World<Books>) -> (u64, u64) {
-    let books = world.control().look(no(world, "o")).unwrap();
+    let books = world.control().look(server_no(world, "o")).unwrap();
     (books.effects, books.repeats)
 }
 
@@ -51,10 +51,10 @@
     let world = world_with_origin(LONG_WINDOW);
     let (here, there) = (A::start(&world), B::start(&world));
     let (mut first, mut second) = (here.client(), there.client());
-    let o = no(&world, "o");
+    let o = server_no(&world, "o");
     world.control().fault(o, Fault::Swallow(1.0)).unwrap();
     first.send(&TestCall { wait_ms: 400, ..TestCall::write("a1", "seat", "x", "key-1") });
-    until(|| effects(&world).0 == 1);
+    wait_until(|| effects(&world).0 == 1);
     assert_eq!(first.answer(), FinalAnswer::Failed, "it has run, so that it must not be refused");
     world.control().fault(o, Fault::Swallow(0.0)).unwrap();
     let receipt_there = receipt(second.call(&TestCall::write("a2", "seat", "x", "key-1")));
