--- a/crates/decisions/examples/copies.rs
+++ b/crates/decisions/examples/copies.rs
@@ -18,10 +18,10 @@
     );
     println!("|---|---|---|---|---|---|---|---|---|---|");
     for balancers in [1u32, 3, 12, 30, 100, 300, 1_000] {
-        let two_tokens = TRAFFIC.map(|traffic| fresh_server(TwoTokenRule::all(balancers), traffic, 5));
+        let two_tokens = TRAFFIC.map(|traffic| new_server_load(TwoTokenRule::all(balancers), traffic, 5));
         for configured in [balancers, balancers.div_ceil(3)] {
-            let now =
-                TRAFFIC.map(|traffic| fresh_server(group(balancers, configured, Mode::Through), traffic, 5));
+            let now = TRAFFIC
+                .map(|traffic| new_server_load(group(balancers, configured, Mode::Through), traffic, 5));
             print!("| {balancers} | {configured} | {:.2} | {} ", now[0].most, now[0].sends);
             print!("| {:.2} | {} ", two_tokens[0].most, two_tokens[0].sends);
             print!("| {:.2} | {:.2} ", now[1].most, now[1].share);
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -76,9 +76,11 @@
     MayHaveRun,
 }
 
+/// An attempt of a request.
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
     pub server: ServerId,
+    /// When it was sent.
     pub sent: Micros,
     pub exec: Exec,
     /// Its connection failed or was lost, which says little about its server.
@@ -87,6 +89,7 @@
     pub fetch: Option<Sent>,
 }
 
+/// A request in progress.
 pub(crate) struct Request {
     pub new: NewRequest,
     /// The request's key, or its id if it has none.
@@ -134,10 +137,10 @@
 
     /// Latest time for an attempt that is sent now to begin: servers forget a keyed request after the window,
     /// and the network delay counts too. The window starts at the request's first attempt if any attempt may
-    /// have run, even if the first one did not: another may have repeated it before that was known, and
-    /// servers then remember that one (protocol, 'No repeated effect'). If no attempt ran, the window starts
-    /// now: a hedged attempt may run while this one waits for a connection. No hedged attempt goes out beside
-    /// an attempt at the origin, which has no such limit.
+    /// have run, even if the first one did not: it may have been repeated before that was known, and the
+    /// window counts from it then (protocol, 'No repeated effect'). If no attempt ran, the window starts now:
+    /// a hedged attempt may run while this one waits for a connection. No hedged attempt goes out beside an
+    /// attempt at the origin, which has no such limit.
     pub fn begin_by(&self, class: Option<&Class>, now: Micros, origin: bool) -> Micros {
         let alone = self.never_ran();
         let keyed = class.filter(|c| c.effect == Effect::Keyed && !(alone && origin));
--- a/crates/decisions/tests/copies/main.rs
+++ b/crates/decisions/tests/copies/main.rs
@@ -15,9 +15,9 @@
 #[test]
 fn a_new_server_gets_load_within_its_capacity_and_warms_up() {
     for (balancers, configured) in group_sizes() {
-        let burst = fresh_server(group(balancers, configured, Mode::Through), Traffic::Burst, 5);
+        let burst = new_server_load(group(balancers, configured, Mode::Through), Traffic::Burst, 5);
         assert!(burst.most < 3.0, "{balancers} configured as {configured}: {:.2} times", burst.most);
-        let steady = fresh_server(group(balancers, configured, Mode::Through), Traffic::Steady, 5);
+        let steady = new_server_load(group(balancers, configured, Mode::Through), Traffic::Steady, 5);
         assert!(steady.most < 3.0, "{balancers} configured as {configured}: {:.2} times", steady.most);
         let least = if balancers <= 30 { 0.6 } else { 0.1 };
         assert!(
@@ -31,9 +31,9 @@
 /// The control: buckets that always hold up to two tokens, in the same world.
 #[test]
 fn buckets_of_two_tokens_overload_a_new_server() {
-    assert!(fresh_server(TwoTokenRule::all(3), Traffic::Burst, 5).most < 3.0);
-    assert!(fresh_server(TwoTokenRule::all(300), Traffic::Burst, 5).most > 3.0);
-    assert!(fresh_server(TwoTokenRule::all(1_000), Traffic::Burst, 5).most > 3.0);
+    assert!(new_server_load(TwoTokenRule::all(3), Traffic::Burst, 5).most < 3.0);
+    assert!(new_server_load(TwoTokenRule::all(300), Traffic::Burst, 5).most > 3.0);
+    assert!(new_server_load(TwoTokenRule::all(1_000), Traffic::Burst, 5).most > 3.0);
 }
 
 /// Hundreds of balancers that start, or become active, together must not all send a miss to the origin at
--- a/crates/decisions/tests/copies/world.rs
+++ b/crates/decisions/tests/copies/world.rs
@@ -9,7 +9,7 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 pub const SERVERS: u64 = 10;
-pub const FRESH: ServerId = ServerId(SERVERS);
+pub const NEW_SERVER: ServerId = ServerId(SERVERS);
 pub const ORIGIN: ServerId = ServerId(100);
 /// When the new server starts, the duration of its slow start, and when all balancers get a burst of
 /// requests.
@@ -21,7 +21,7 @@
 pub const CAPACITY: f64 = 100.0;
 /// Keys are numbers with this bit, and this many are requested.
 const KEYS: u64 = 1 << 40;
-const KEYS_ASKED: u64 = 50_000;
+const KEY_COUNT: u64 = 50_000;
 pub const WINDOW: Micros = 2 * S;
 
 /// A balancer, or a simpler rule in its place.
@@ -77,15 +77,15 @@
 }
 
 /// The keys that are assigned to the new server once it is warm.
-fn keys_of_fresh_server() -> Vec<u64> {
+fn keys_of_new_server() -> Vec<u64> {
     let mut reference = Balancer::new(0, settings(1, Mode::Through), 0);
     reference.event(0, Event::Servers { scope: Scope::Full, list: (1..=SERVERS).map(listed).collect() });
     let mut keys = Vec::new();
-    for n in 0..KEYS_ASKED {
+    for n in 0..KEY_COUNT {
         let now = n as Micros;
         let actions = reference.event(now, request(n, KEYS | n, now));
         if let Some(Action::Send { request, server, .. }) = actions.first().cloned() {
-            if server == FRESH {
+            if server == NEW_SERVER {
                 keys.push(KEYS | n);
             }
             reference.event(now, ended(request, 0, server, MS, Outcome::Served));
@@ -209,7 +209,7 @@
 }
 
 /// Load on the new server while it is cold.
-pub struct FreshServerLoad {
+pub struct NewServerLoad {
     /// Maximum of the sends in a window relative to the server's capacity in it.
     pub most: f64,
     /// Maximum number of sends in a window.
@@ -229,20 +229,20 @@
 }
 
 /// A new server starts among nine warm ones.
-pub fn fresh_server<C: Decider>(balancers: Vec<C>, traffic: Traffic, seed: u64) -> FreshServerLoad {
+pub fn new_server_load<C: Decider>(balancers: Vec<C>, traffic: Traffic, seed: u64) -> NewServerLoad {
     let mut draws = SmallRng::seed_from_u64(seed);
-    let its_keys = keys_of_fresh_server();
+    let its_keys = keys_of_new_server();
     let mut world = World::new(balancers, |_| (20 * MS, Outcome::Served));
     let any = |draws: &mut SmallRng| {
         loop {
-            let key = KEYS | draws.random_range(0..KEYS_ASKED);
+            let key = KEYS | draws.random_range(0..KEY_COUNT);
             if traffic == Traffic::Steady || its_keys.binary_search(&key).is_err() {
                 return key;
             }
         }
     };
     world.steady(&mut draws, STARTS_AT, any);
-    world.list(&[Listed { since: Some(STARTS_AT), ..listed(FRESH.0) }]);
+    world.list(&[Listed { since: Some(STARTS_AT), ..listed(NEW_SERVER.0) }]);
     world.steady(&mut draws, BURST_AT, any);
     if traffic == Traffic::Burst {
         for n in 0..2 * world.balancers.len() {
@@ -251,15 +251,15 @@
         }
     }
     world.steady(&mut draws, STARTS_AT + SLOW_START, any);
-    let cold: Vec<Micros> = world.sent.iter().filter(|s| s.1 == FRESH).map(|s| s.0).collect();
-    let mut load = FreshServerLoad { most: 0.0, sends: 0, share: 0.0 };
+    let cold: Vec<Micros> = world.sent.iter().filter(|s| s.1 == NEW_SERVER).map(|s| s.0).collect();
+    let mut load = NewServerLoad { most: 0.0, sends: 0, share: 0.0 };
     for (n, at) in cold.iter().enumerate() {
         let from = cold.partition_point(|t| *t <= at - WINDOW);
         let can = CAPACITY * warmth((at - WINDOW / 2).max(STARTS_AT)) * WINDOW as f64 / 1e6;
         load.sends = load.sends.max(n + 1 - from);
         load.most = load.most.max((n + 1 - from) as f64 / can);
     }
-    let peers = world.sent.iter().filter(|s| s.0 >= STARTS_AT && s.1 != FRESH).count();
+    let peers = world.sent.iter().filter(|s| s.0 >= STARTS_AT && s.1 != NEW_SERVER).count();
     // Its share grows linearly from 0.2 to the full load of a peer.
     load.share = cold.len() as f64 / (0.6 * peers as f64 / (SERVERS - 1) as f64);
     load
@@ -272,7 +272,8 @@
     let mut world = World::new(group(balancers, configured, Mode::Aside), answer);
     world.run_until(idle);
     for tick in 0..10 {
-        // At least 300 requests, so that few balancers get several, and repeated every half second.
+        // At least 300 requests, so that a small number of balancers gets several each, repeated every half
+        // second.
         for n in 0..u64::from(balancers.max(300)) {
             world.send_request((n % u64::from(balancers)) as usize, n << 8 | tick);
         }
@@ -301,7 +302,7 @@
 /// A simpler rule as the control: a balancer's bucket for the new server always holds up to two tokens.
 pub struct TwoTokenRule {
     rate: f64,
-    noted: Micros,
+    updated_at: Micros,
     left: f64,
     at: Micros,
     listed: bool,
@@ -310,10 +311,10 @@
 
 impl TwoTokenRule {
     pub fn all(balancers: u32) -> Vec<TwoTokenRule> {
-        let keys = std::rc::Rc::new(keys_of_fresh_server());
+        let keys = std::rc::Rc::new(keys_of_new_server());
         let one = |_| TwoTokenRule {
             rate: 0.0,
-            noted: 0,
+            updated_at: 0,
             left: 0.0,
             at: STARTS_AT,
             listed: false,
@@ -327,10 +328,10 @@
     fn event(&mut self, now: Micros, event: Event) -> Vec<Action> {
         match event {
             Event::Servers { .. } => (self.listed, self.at) = (true, now),
-            Event::Ended(end) if end.server != FRESH => {
-                let kept = (-(now - self.noted) as f64 / 3e6).exp();
+            Event::Ended(end) if end.server != NEW_SERVER => {
+                let kept = (-(now - self.updated_at) as f64 / 3e6).exp();
                 let warm = (SERVERS - 1) as f64;
-                (self.rate, self.noted) = (self.rate * kept + 1.0 / 3.0 / warm, now);
+                (self.rate, self.updated_at) = (self.rate * kept + 1.0 / 3.0 / warm, now);
             }
             Event::Request(new) => {
                 let key = new.key.unwrap_or(Key(0));
@@ -338,11 +339,11 @@
                 let per_s = warmth(now) * self.rate;
                 let most = (per_s * WINDOW as f64 / 2e6).max(2.0);
                 let left = (self.left + per_s * (now - self.at) as f64 / 1e6).min(most);
-                let fresh = self.listed && its_key && left >= 1.0;
-                if fresh {
+                let to_new_server = self.listed && its_key && left >= 1.0;
+                if to_new_server {
                     (self.left, self.at) = (left - 1.0, now);
                 }
-                let server = if fresh { FRESH } else { ServerId(1 + key.0 % (SERVERS - 1)) };
+                let server = if to_new_server { NEW_SERVER } else { ServerId(1 + key.0 % (SERVERS - 1)) };
                 return vec![Action::Send { request: new.request, server, begin: new.due, until: new.due }];
             }
             _ => {}
