--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -170,7 +170,8 @@
     for (c, client) in clients.iter_mut().enumerate() {
         for n in 0..8 {
             let answer = client.answer();
-            let expected = answer == value_from("c", &format!("{c}x{n}")) || answer.starts_with("SERVER_ERROR ");
+            let expected =
+                answer == value_from("c", &format!("{c}x{n}")) || answer.starts_with("SERVER_ERROR ");
             assert!(expected, "{c} {n}: {answer:?}");
         }
     }
--- a/tests/rules_hold.rs
+++ b/tests/rules_hold.rs
@@ -301,7 +301,8 @@
                 if stage != Stage::Gone || was.is_some() {
                     self.live.insert(server, may);
                 }
-                let actions = self.lb.update_servers(Scope::Changes, vec![Listed { stage, since, ..listed(server) }]);
+                let actions =
+                    self.lb.update_servers(Scope::Changes, vec![Listed { stage, since, ..listed(server) }]);
                 self.check(actions);
             }
             Step::Lost => {
