--- a/crates/codec/src/spoil.rs
+++ b/crates/codec/src/corrupt.rs
@@ -1,5 +1,5 @@
-//! Answers spoilt on purpose, for tests of whoever reads them: a writer given a kind, the good answer, and a stream of
-//! random numbers.
+//! Answers spoilt on purpose, for tests of whoever reads them: a writer given a kind, the good answer, and a
+//! stream of random numbers.
 
 /// What the good answer is written in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -12,7 +12,7 @@
 
 /// How an answer is spoilt, or what comes with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Spoil {
+pub enum Corruption {
     /// Random bytes in the place of the answer.
     Garbage,
     /// A line that cannot be read.
@@ -39,27 +39,27 @@
     NoiseBehind,
 }
 
-impl Spoil {
+impl Corruption {
     /// Every kind.
-    pub const ALL: [Spoil; 12] = [
-        Spoil::Garbage,
-        Spoil::BadLine,
-        Spoil::EndlessLine,
-        Spoil::WrongLength,
-        Spoil::Huge,
-        Spoil::OtherId,
-        Spoil::OtherValue,
-        Spoil::Cut,
-        Spoil::Interim,
-        Spoil::BadReport,
-        Spoil::SecondCopy,
-        Spoil::NoiseBehind,
+    pub const ALL: [Corruption; 12] = [
+        Corruption::Garbage,
+        Corruption::BadLine,
+        Corruption::EndlessLine,
+        Corruption::WrongLength,
+        Corruption::Huge,
+        Corruption::OtherId,
+        Corruption::OtherValue,
+        Corruption::Cut,
+        Corruption::Interim,
+        Corruption::BadReport,
+        Corruption::SecondCopy,
+        Corruption::NoiseBehind,
     ];
 }
 
 /// What is to come behind the bytes that were written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Then {
+pub enum Followup {
     /// Nothing that belongs to it.
     Nothing,
     /// The end of the connection.
@@ -70,7 +70,7 @@
 
 /// A good answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Good<'a> {
+pub struct ValidResponse<'a> {
     /// What it is written in.
     pub protocol: Protocol,
     /// All of it.
@@ -80,28 +80,33 @@
 }
 
 /// Appends the answer, spoilt. `draw` gives random numbers, so that the same ones give the same bytes.
-pub fn write(kind: Spoil, good: Good, draw: &mut impl FnMut() -> u64, out: &mut Vec<u8>) -> Then {
+pub fn write(
+    kind: Corruption,
+    good: ValidResponse,
+    draw: &mut impl FnMut() -> u64,
+    out: &mut Vec<u8>,
+) -> Followup {
     let http = good.protocol == Protocol::Http;
     match kind {
-        Spoil::Garbage => {
+        Corruption::Garbage => {
             let length = 8 + below(draw, 200);
             // Guards against noise that happens to be an answer.
             out.push(0x80);
             out.extend((0..length).map(|_| draw() as u8));
         }
-        Spoil::BadLine => bad_line(good, out),
-        Spoil::OtherId if http => bad_line(good, out),
-        Spoil::EndlessLine => {
+        Corruption::BadLine => bad_line(good, out),
+        Corruption::OtherId if http => bad_line(good, out),
+        Corruption::EndlessLine => {
             out.extend_from_slice(if http { b"HTTP/1.1 200 OK\r\nX-Noise: " } else { b"VA " });
-            return Then::Noise;
+            return Followup::Noise;
         }
-        Spoil::WrongLength if http => {
+        Corruption::WrongLength if http => {
             let length = 2 + below(draw, 100);
             let lengths = format!("Content-Length: {length}\r\nContent-Length: {}", length + 1);
             out.extend_from_slice(format!("HTTP/1.1 200 OK\r\n{lengths}\r\n\r\n").as_bytes());
             out.resize(out.len() + length, b'x');
         }
-        Spoil::WrongLength => {
+        Corruption::WrongLength => {
             let length = 2 + below(draw, 100);
             // Shorter or longer than what follows, by 1 at least.
             let said = if draw() & 1 == 0 { length - 1 } else { length + 1 + below(draw, 100) };
@@ -109,7 +114,7 @@
             out.resize(out.len() + length, b'x');
             out.extend_from_slice(b"\r\n");
         }
-        Spoil::Huge => {
+        Corruption::Huge => {
             const SAID: usize = 3 << 30;
             if http {
                 out.extend_from_slice(
@@ -118,38 +123,38 @@
             } else {
                 head(good.id, SAID, out);
             }
-            return Then::Noise;
+            return Followup::Noise;
         }
-        Spoil::OtherId => other_id(good, draw, out),
-        Spoil::OtherValue => {
+        Corruption::OtherId => other_id(good, draw, out),
+        Corruption::OtherValue => {
             let from = value_at(good);
             out.extend_from_slice(good.bytes.get(..from).unwrap_or_default());
             let end = if http { good.bytes.len() } else { good.bytes.len().saturating_sub(2).max(from) };
             out.extend((from..end).map(|_| draw() as u8));
             out.extend_from_slice(good.bytes.get(end..).unwrap_or_default());
         }
-        Spoil::Cut => {
+        Corruption::Cut => {
             let most = below(draw, good.bytes.len().max(1));
             out.extend_from_slice(good.bytes.get(..most).unwrap_or_default());
-            return Then::End;
+            return Followup::End;
         }
-        Spoil::Interim => {
+        Corruption::Interim => {
             for _ in 0..if http { 1 + below(draw, 3) } else { 0 } {
                 out.extend_from_slice(b"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n");
             }
             out.extend_from_slice(good.bytes);
         }
-        Spoil::BadReport => bad_report(good, out),
-        Spoil::SecondCopy => {
+        Corruption::BadReport => bad_report(good, out),
+        Corruption::SecondCopy => {
             out.extend_from_slice(good.bytes);
             out.extend_from_slice(good.bytes);
         }
-        Spoil::NoiseBehind => {
+        Corruption::NoiseBehind => {
             out.extend_from_slice(good.bytes);
             out.extend((0..1 + below(draw, 100)).map(|_| draw() as u8));
         }
     }
-    Then::Nothing
+    Followup::Nothing
 }
 
 /// Appends that many bytes of noise without a line end.
@@ -167,7 +172,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
-fn bad_line(good: Good, out: &mut Vec<u8>) {
+fn bad_line(good: ValidResponse, out: &mut Vec<u8>) {
     match good.protocol {
         Protocol::Http => out.extend_from_slice(b"HTTP/1.1 2x0 OK\r\n\r\n"),
         Protocol::Memcache => {
@@ -184,13 +189,13 @@
 }
 
 /// Where the value begins.
-fn value_at(good: Good) -> usize {
+fn value_at(good: ValidResponse) -> usize {
     let end: &[u8] = if good.protocol == Protocol::Http { b"\r\n\r\n" } else { b"\r\n" };
     let found = good.bytes.windows(end.len()).position(|w| w == end);
     found.map_or(good.bytes.len(), |at| at + end.len())
 }
 
-fn other_id(good: Good, draw: &mut impl FnMut() -> u64, out: &mut Vec<u8>) {
+fn other_id(good: ValidResponse, draw: &mut impl FnMut() -> u64, out: &mut Vec<u8>) {
     let other = format!("{:016x}", draw());
     let other = if other.as_bytes() == good.id { b"0" } else { other.as_bytes() };
     let flag = [b" O", good.id].concat();
@@ -210,7 +215,7 @@
     }
 }
 
-fn bad_report(good: Good, out: &mut Vec<u8>) {
+fn bad_report(good: ValidResponse, out: &mut Vec<u8>) {
     let end = line_end(good.bytes);
     let named = good.protocol == Protocol::Http || !good.bytes.starts_with(b"SERVER_ERROR");
     out.extend_from_slice(good.bytes.get(..end).unwrap_or_default());
@@ -259,28 +264,32 @@
                     write_response(&Reply { status: 200, body: b"hello", ..Reply::default() }, &mut bytes)
                 }
             }
-            let good = Good { protocol, bytes: &bytes, id: b"9b1f" };
-            for (seed, kind) in (0..50).flat_map(|seed| Spoil::ALL.map(|kind| (seed, kind))) {
+            let good = ValidResponse { protocol, bytes: &bytes, id: b"9b1f" };
+            for (seed, kind) in (0..50).flat_map(|seed| Corruption::ALL.map(|kind| (seed, kind))) {
                 let mut out = Vec::new();
                 let then = write(kind, good, &mut draws(seed), &mut out);
-                if then == Then::Noise {
+                if then == Followup::Noise {
                     noise(70_000, &mut draws(seed), &mut out);
                 }
                 let seen = read(protocol, &out);
                 let told =
                     format!("{protocol:?} {kind:?} {seed}: {:?} {seen:?}", String::from_utf8_lossy(&out));
                 match kind {
-                    Spoil::Garbage | Spoil::BadLine | Spoil::EndlessLine | Spoil::Huge | Spoil::OtherId => {
+                    Corruption::Garbage
+                    | Corruption::BadLine
+                    | Corruption::EndlessLine
+                    | Corruption::Huge
+                    | Corruption::OtherId => {
                         assert!(seen.is_err(), "{told}")
                     }
-                    Spoil::WrongLength => assert!(!matches!(seen, Ok(Some(_))), "{told}"),
-                    Spoil::Cut => assert_eq!((seen, then), (Ok(None), Then::End), "{told}"),
-                    Spoil::OtherValue => {
+                    Corruption::WrongLength => assert!(!matches!(seen, Ok(Some(_))), "{told}"),
+                    Corruption::Cut => assert_eq!((seen, then), (Ok(None), Followup::End), "{told}"),
+                    Corruption::OtherValue => {
                         assert!(matches!(seen, Ok(Some(v)) if v.len() == 5 && v != b"hello"), "{told}")
                     }
                     _ => assert_eq!(seen, Ok(Some(b"hello".to_vec())), "{told}"),
                 }
-                let behind = matches!(kind, Spoil::SecondCopy | Spoil::NoiseBehind);
+                let behind = matches!(kind, Corruption::SecondCopy | Corruption::NoiseBehind);
                 assert_eq!(out.starts_with(&bytes) && out.len() > bytes.len(), behind, "{told}");
                 let mut again = Vec::new();
                 write(kind, good, &mut draws(seed), &mut again);
--- a/crates/codec/src/http/server.rs
+++ b/crates/codec/src/http/server.rs
@@ -1,48 +1,48 @@
-//! The other end of HTTP/1.1: an incremental parser of requests as the origin and discovery get them, and a writer of
-//! responses.
+//! The server's side of HTTP/1.1: an incremental parser of requests as the origin and discovery receive them,
+//! and a writer of responses.
 
-use super::{MAX_HEAD, body, named_in};
+use super::{MAX_HEAD, body, header_values};
 use crate::memcache::{self, Parsed};
 use std::borrow::Cow;
 
-/// What a request wants done.
+/// The method of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
     /// `GET`
     Get,
     /// `PUT`
     Put,
-    /// Any other: its end is known, and it is to be answered 405.
+    /// Any other method. The request's end is known, so that it can be answered with 405.
     Other,
 }
 
 /// A request as slices of the buffer that it was read into.
 #[derive(Debug, PartialEq)]
-pub struct Ask<'a> {
-    /// What it wants done.
+pub struct IncomingRequest<'a> {
+    /// The method.
     pub method: Method,
-    /// Path and query, as they came.
+    /// Path and query, as received.
     pub path: &'a str,
     /// `Req-Id`; empty if there is none.
     pub id: &'a [u8],
-    /// `Req-Extra`: the list of names and values; empty if there is none.
+    /// `Req-Extra`: parameters as `name=value` pairs, separated by commas; empty if there is none.
     pub extra: &'a [u8],
-    /// The connection may carry another request.
-    pub keep: bool,
-    /// The body; owned where it came in chunks.
+    /// Whether the connection may carry another request.
+    pub keep_alive: bool,
+    /// The body; owned if it was sent in chunks.
     pub body: Cow<'a, [u8]>,
 }
 
-impl<'a> Ask<'a> {
-    /// What the list of names and values has under a name.
-    pub fn named(&self, name: &[u8]) -> Option<&'a [u8]> {
-        memcache::named(self.extra, name)
+impl<'a> IncomingRequest<'a> {
+    /// The value of a parameter of `Req-Extra`.
+    pub fn parameter(&self, name: &[u8]) -> Option<&'a [u8]> {
+        memcache::parameter(self.extra, name)
     }
 }
 
-/// The request at the start of a buffer. A body of more than `most` bytes is refused by what its head tells. An error
-/// means that framing is lost.
-pub fn parse_request(buffer: &[u8], most: usize) -> Parsed<Ask<'_>> {
+/// Parses the request at the start of a buffer. A body whose declared length is above `max_body` bytes is an
+/// error as soon as the head is there. An error means that framing is lost.
+pub fn parse_request(buffer: &[u8], max_body: usize) -> Parsed<IncomingRequest<'_>> {
     let mut headers = [httparse::EMPTY_HEADER; 48];
     let mut head = httparse::Request::new(&mut headers);
     let from = match head.parse(buffer.get(..MAX_HEAD).unwrap_or(buffer)) {
@@ -50,12 +50,12 @@
         Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD => return Ok(None),
         _ => return Err("bad request head"),
     };
-    let named = |name| named_in(head.headers, name);
-    let keep = super::keeps(head.headers, head.version);
-    let chunked = super::is_in(head.headers, "transfer-encoding", "chunked");
-    let length = if chunked { None } else { super::length(named("content-length"), most)? };
-    let found = match body(buffer, from, length, chunked, most)? {
-        super::Body::Whole(body, used) => (body, used),
+    let header = |name| header_values(head.headers, name);
+    let keep_alive = super::keeps_alive(head.headers, head.version);
+    let chunked = super::has_value(head.headers, "transfer-encoding", "chunked");
+    let length = if chunked { None } else { super::length(header("content-length"), max_body)? };
+    let found = match body(buffer, from, length, chunked, max_body)? {
+        super::Body::Complete(body, used) => (body, used),
         super::Body::NoLength => (Cow::Borrowed(&[][..]), from),
         super::Body::Partial => return Ok(None),
     };
@@ -64,15 +64,15 @@
         Some("PUT") => Method::Put,
         _ => Method::Other,
     };
-    let ask = Ask {
+    let request = IncomingRequest {
         method,
         path: head.path.unwrap_or_default(),
-        id: named("req-id").next().unwrap_or_default(),
-        extra: named("req-extra").next().unwrap_or_default(),
-        keep,
+        id: header("req-id").next().unwrap_or_default(),
+        extra: header("req-extra").next().unwrap_or_default(),
+        keep_alive,
         body: found.0,
     };
-    Ok(Some((ask, found.1)))
+    Ok(Some((request, found.1)))
 }
 
 /// A response to be written.
@@ -80,11 +80,11 @@
 pub struct Reply<'a> {
     /// The status code.
     pub status: u16,
-    /// `Srv-Declined: 1`: it never ran.
+    /// `Srv-Declined: 1`: the request was rejected without being executed.
     pub declined: bool,
-    /// The connection ends behind it.
+    /// `Connection: close`: the connection ends after this response.
     pub last: bool,
-    /// `Srv-Load`: a load report as names and values.
+    /// `Srv-Load`: a load report as `name=value` pairs.
     pub load: Option<&'a str>,
     /// The body.
     pub body: &'a [u8],
@@ -123,16 +123,16 @@
     use crate::memcache::{Command, parse_command};
 
     #[test]
-    fn requests_are_taken_whole() {
-        let get = |path: &'static str, keep| Ask {
+    fn parses_complete_requests_and_rejects_malformed_ones() {
+        let get = |path: &'static str, keep_alive| IncomingRequest {
             method: Method::Get,
             path,
             id: b"",
             extra: b"",
-            keep,
+            keep_alive,
             body: Cow::Borrowed(&[]),
         };
-        let put = |body: &'static str| Ask {
+        let put = |body: &'static str| IncomingRequest {
             method: Method::Put,
             id: b"9",
             extra: b"c=r,k=e",
@@ -164,29 +164,32 @@
     }
 
     #[test]
-    fn what_a_node_writes_is_read_and_what_is_answered_reaches_it() {
+    fn written_requests_and_responses_parse_back() {
         let host = ([127, 0, 0, 1], 80).into();
         let Ok(Some((Command::Request(r), _))) = parse_command(b"ms k 2 O9 Pc=put,d=4,k=e\r\nhi\r\n") else {
             panic!()
         };
         let mut out = Vec::new();
         write_request(&r, host, 7, &mut out);
-        let Ok(Some((ask, used))) = parse_request(&out, 9) else { panic!() };
-        assert_eq!((ask.method, ask.path, ask.id, used), (Method::Put, "/k", &b"9"[..], out.len()));
+        let Ok(Some((request, used))) = parse_request(&out, 9) else { panic!() };
         assert_eq!(
-            (ask.named(b"d"), ask.named(b"k"), &*ask.body),
+            (request.method, request.path, request.id, used),
+            (Method::Put, "/k", &b"9"[..], out.len())
+        );
+        assert_eq!(
+            (request.parameter(b"d"), request.parameter(b"k"), &*request.body),
             (Some(&b"7"[..]), Some(&b"e"[..]), &b"hi"[..])
         );
         out.clear();
         write_get("/catalog/members?from=1&hold_ms=2", host, &mut out);
-        assert!(matches!(parse_request(&out, 9), Ok(Some((Ask { method: Method::Get, .. }, _)))));
+        assert!(matches!(parse_request(&out, 9), Ok(Some((IncomingRequest { method: Method::Get, .. }, _)))));
         for (status, declined, last, load) in
             [(200, false, false, Some("q=1")), (503, true, true, None), (500, false, false, None)]
         {
             out.clear();
             write_response(&Reply { status, declined, last, load, body: b"ab" }, &mut out);
             let body = Cow::Borrowed(&b"ab"[..]);
-            let expected = Response { status, declined, keep: !last, body, behind: 0 };
+            let expected = Response { status, declined, keep_alive: !last, body, remaining_body: 0 };
             assert_eq!(parse_response(&out, false, 9), Ok(Some((expected, out.len()))));
         }
     }
--- a/crates/codec/src/management.rs
+++ b/crates/codec/src/management.rs
@@ -58,7 +58,8 @@
     Surplus,
 }
 
-/// The call at the start of a buffer, once its line end (LF or CRLF) has come; what stands behind is passed over.
+/// The call at the start of a buffer, once its line end (LF or CRLF) has come; what stands behind is passed
+/// over.
 ///
 /// # Errors
 /// The line is no call.
--- a/crates/codec/src/memcache.rs
+++ b/crates/codec/src/memcache.rs
@@ -1,21 +1,28 @@
-//! The memcache meta commands: parsers over byte slices that may hold a part of a message, and writers.
+//! The memcache meta protocol: incremental parsers, which take a buffer that may hold only part of a message,
+//! and writers.
+//!
+//! A request is a meta get (`mg`) or meta set (`ms`) with two flags: `O` carries the request's id (the opaque
+//! token), and `P` carries parameters as `name=value` pairs, separated by commas: `c` the class, `d` the
+//! milliseconds for which the client waits, `k` the idempotency key, `r=1` on a repeated request.
 
 mod answer;
 mod owned;
 
 pub use answer::write_not_stored;
-pub use owned::{OwnedRequest, Parts};
+pub use owned::{OwnedRequest, RequestParts};
 
-/// Bytes of a command or answer line at the most, its end included.
+/// Maximum length of a command or answer line in bytes, its line end included.
 pub const MAX_LINE: usize = 2048;
-/// Bytes of a key at the most.
+/// Maximum length of a key in bytes.
 pub const MAX_KEY: usize = 250;
-/// Bytes of a value up to which commands and answers are taken whole; larger ones are told by their heads.
-pub const MAX_WHOLE: usize = 64 * 1024;
-/// Bytes of a value at the most.
+/// Values of up to this many bytes are buffered and parsed as part of their command or answer. Larger ones
+/// are reported by their line alone ([`Answer::LargeValue`], [`large_command_length`]).
+pub const MAX_BUFFERED_VALUE: usize = 64 * 1024;
+/// Maximum size of a value in bytes.
 pub const MAX_VALUE: usize = 4 << 20;
 
-/// What a parser makes of a buffer: a message and the bytes it took, or nothing yet, or lost framing.
+/// The result of a parser: a message and its length in bytes, `None` while the message is incomplete, or an
+/// error where framing is lost.
 pub type Parsed<T> = Result<Option<(T, usize)>, &'static str>;
 
 /// A client's request as slices of the buffer that it was read into.
@@ -25,17 +32,17 @@
     pub write: bool,
     /// The key, 1 to [`MAX_KEY`] bytes.
     pub key: &'a [u8],
-    /// The request's id, at least a byte.
+    /// The request's id (flag `O`), at least a byte.
     pub id: &'a [u8],
-    /// The list of names and values.
+    /// The parameters (flag `P`); empty if there are none.
     pub extra: &'a [u8],
-    /// The command line, without its end.
+    /// The command line, without its line end.
     line: &'a [u8],
     /// The value of a write.
     pub value: &'a [u8],
 }
 
-/// What a client says.
+/// A client's command.
 #[derive(Debug, PartialEq)]
 pub enum Command<'a> {
     /// `mg` or `ms`
@@ -44,58 +51,59 @@
     Ready,
     /// `quit`
     Quit,
-    /// Not a command that is understood, but its end is known.
+    /// An unknown or invalid command, with the reason. Its end is known, so framing holds.
     Bad(&'static str),
 }
 
-/// How a read went, as a cache server tells it.
+/// How a read went, as the cache server reports it in the flags of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadNote {
     /// `h1`
     Hit,
     /// `h0`: a miss.
     Fetched,
-    /// `h0 Z`: a miss while another fetch of the key is out.
-    OthersFetch,
+    /// `h0 Z`: a miss while the server already fetches the key for another request.
+    FetchInProgress,
 }
 
-/// A pool member's answer.
+/// A cache server's answer.
 #[derive(Debug, PartialEq)]
 pub enum Answer<'a> {
     /// `VA`: a read was served.
     Value {
         /// The value.
         value: &'a [u8],
-        /// How the read went, where it was told.
+        /// How the read went, if reported.
         note: Option<ReadNote>,
     },
-    /// `VA` with a value of more than [`MAX_WHOLE`] bytes: it follows, and then a line end. Only the line was taken.
-    Begins {
-        /// Bytes of the value.
+    /// `VA` with a value of more than [`MAX_BUFFERED_VALUE`] bytes. Only the line was parsed; the value and
+    /// its line end follow in the stream.
+    LargeValue {
+        /// Size of the value in bytes.
         length: usize,
-        /// How the read went, where it was told.
+        /// How the read went, if reported.
         note: Option<ReadNote>,
     },
     /// `HD`: a write was served.
     Receipt {
-        /// What [`is_receipt`] takes.
+        /// The receipt of the write; [`is_receipt`] holds for it.
         receipt: &'a [u8],
-        /// How it went, where it was told.
+        /// How the server handled the request, if reported.
         note: Option<ReadNote>,
     },
-    /// `EN`: the server lacks the key.
+    /// `EN`: the server does not have the key.
     Miss {
-        /// How the read went, where it was told.
+        /// How the read went, if reported.
         note: Option<ReadNote>,
     },
-    /// `SERVER_ERROR busy`: turned away, never run.
+    /// `SERVER_ERROR busy`: the server rejected the request without executing it.
     Busy,
-    /// Any other answer that can be read.
+    /// Any other valid answer.
     Failed,
 }
 
-/// The first line, without its end, and the bytes it took.
-fn line(buffer: &[u8]) -> Parsed<&[u8]> {
+/// The first line of a buffer, without its line end, and its length with it.
+fn split_line(buffer: &[u8]) -> Parsed<&[u8]> {
     match buffer.iter().take(MAX_LINE).position(|b| *b == b'\n') {
         Some(end) => Ok(Some((buffer[..end].strip_suffix(b"\r").unwrap_or(&buffer[..end]), end + 1))),
         None if buffer.len() >= MAX_LINE => Err("line too long"),
@@ -103,17 +111,18 @@
     }
 }
 
-fn words(line: &[u8]) -> impl Iterator<Item = &[u8]> {
+/// The tokens of a line, which any number of spaces may separate.
+fn tokens(line: &[u8]) -> impl Iterator<Item = &[u8]> {
     line.split(|b| *b == b' ').filter(|w| !w.is_empty())
 }
 
-/// Digits alone, as a number that the type holds.
+/// Parses a number that consists of decimal digits only (no sign) and fits the type.
 pub fn decimal<T: std::str::FromStr>(digits: &[u8]) -> Option<T> {
     let plain = digits.iter().all(u8::is_ascii_digit);
     std::str::from_utf8(digits).ok().filter(|_| plain)?.parse().ok()
 }
 
-/// Appends a number in digits.
+/// Appends a number in decimal.
 pub(crate) fn write_decimal(mut number: u64, out: &mut Vec<u8>) {
     let (mut digits, mut at) = ([0; 20], 20);
     loop {
@@ -126,28 +135,28 @@
     }
 }
 
-/// The block of `length` bytes and a line end behind the first `from` bytes.
-fn block(buffer: &[u8], from: usize, length: usize) -> Parsed<&[u8]> {
-    match buffer.get(from..from + length + 2) {
-        Some(block) if block.ends_with(b"\r\n") => Ok(Some((&block[..length], from + length + 2))),
+/// The data block of `length` bytes at offset `start`, which a line end must follow.
+fn data_block(buffer: &[u8], start: usize, length: usize) -> Parsed<&[u8]> {
+    match buffer.get(start..start + length + 2) {
+        Some(block) if block.ends_with(b"\r\n") => Ok(Some((&block[..length], start + length + 2))),
         Some(_) => Err("bad data chunk"),
         None => Ok(None),
     }
 }
 
-/// The command at the start of a buffer. An error means that framing is lost.
+/// Parses the command at the start of a buffer. An error means that framing is lost.
 pub fn parse_command(buffer: &[u8]) -> Parsed<Command<'_>> {
-    let Some((line, used)) = line(buffer)? else { return Ok(None) };
-    let mut rest = words(line);
+    let Some((line, used)) = split_line(buffer)? else { return Ok(None) };
+    let mut rest = tokens(line);
     let name = rest.next();
     let (value, used) = match name {
         Some(b"mn") => return Ok(Some((Command::Ready, used))),
         Some(b"quit") => return Ok(Some((Command::Quit, used))),
         Some(b"mg") => (&[][..], used),
-        // Without a sound length nobody can tell where the next command begins.
-        Some(b"ms") => match words(line).nth(2).and_then(decimal).ok_or("bad data length")? {
+        // Without a valid length the start of the next command is unknown.
+        Some(b"ms") => match tokens(line).nth(2).and_then(decimal).ok_or("bad data length")? {
             length if length > MAX_VALUE => return Err("object too large"),
-            length => match block(buffer, used, length)? {
+            length => match data_block(buffer, used, length)? {
                 Some(found) => found,
                 None => return Ok(None),
             },
@@ -156,49 +165,50 @@
     };
     let write = name == Some(b"ms");
     let key = rest.next().unwrap_or_default();
-    let flag = |letter: u8| words(line).skip(2).find(|w| w[0] == letter).map(|w| &w[1..]);
+    let flag = |letter: u8| tokens(line).skip(2).find(|w| w[0] == letter).map(|w| &w[1..]);
     let id = flag(b'O').unwrap_or_default();
-    let bad = match () {
+    let invalid = match () {
         _ if key.is_empty() || key.len() > MAX_KEY => Some("bad key"),
         _ if line.iter().any(|b| *b < b' ' || *b == 127) => Some("control character"),
         _ if id.is_empty() => Some("no request id"),
-        _ if !write && !words(line).skip(2).any(|w| w == b"v") => Some("value not asked for"),
+        _ if !write && !tokens(line).skip(2).any(|w| w == b"v") => Some("value not asked for"),
         _ => None,
     };
     let extra = flag(b'P').unwrap_or_default();
-    let command = match bad {
-        Some(what) => Command::Bad(what),
+    let command = match invalid {
+        Some(reason) => Command::Bad(reason),
         None => Command::Request(Request { write, key, id, extra, line, value }),
     };
     Ok(Some((command, used)))
 }
 
-/// How many bytes the command at the start of a buffer has in all, where its line is whole and its value is larger than
-/// [`MAX_WHOLE`].
-pub fn large_command(buffer: &[u8]) -> Option<usize> {
-    let (line, used) = line(buffer).ok()??;
-    let mut words = words(line);
-    let length = words.next().filter(|name| *name == b"ms").and_then(|_| words.nth(1)).and_then(decimal)?;
-    ((MAX_WHOLE + 1)..=MAX_VALUE).contains(&length).then_some(used + length + 2)
+/// Total length in bytes of the `ms` command at the start of a buffer, if its line is complete and its value
+/// is larger than [`MAX_BUFFERED_VALUE`] and not larger than [`MAX_VALUE`].
+pub fn large_command_length(buffer: &[u8]) -> Option<usize> {
+    let (line, used) = split_line(buffer).ok()??;
+    let mut tokens = tokens(line);
+    let length = tokens.next().filter(|name| *name == b"ms").and_then(|_| tokens.nth(1)).and_then(decimal)?;
+    ((MAX_BUFFERED_VALUE + 1)..=MAX_VALUE).contains(&length).then_some(used + length + 2)
 }
 
-/// What a list of names and values has under a name.
-pub fn named<'a>(list: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
+/// The value of a parameter in a list of `name=value` pairs, separated by commas.
+pub fn parameter<'a>(list: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
     list.split(|b| *b == b',').find_map(|pair| pair.strip_prefix(name)?.strip_prefix(b"="))
 }
 
 impl<'a> Request<'a> {
-    /// What the list of names and values has under a name.
-    pub fn named(&self, name: &[u8]) -> Option<&'a [u8]> {
-        named(self.extra, name)
+    /// The value of a parameter of the request (flag `P`).
+    pub fn parameter(&self, name: &[u8]) -> Option<&'a [u8]> {
+        parameter(self.extra, name)
     }
 
-    /// How long the client waits for the answer, counted from when it sent the request.
+    /// How many milliseconds the client waits for the answer, counted from when it sent the request
+    /// (parameter `d`).
     pub fn wait_ms(&self) -> Option<u64> {
-        self.named(b"d").and_then(decimal)
+        self.parameter(b"d").and_then(decimal)
     }
 
-    /// The list as it came, but for the time that is left.
+    /// Appends the parameters as received, with the client's waiting time (`d`) replaced by `wait_ms`.
     pub fn write_extra(&self, wait_ms: u64, out: &mut Vec<u8>) {
         for (n, pair) in self.extra.split(|b| *b == b',').enumerate() {
             if n > 0 {
@@ -213,17 +223,18 @@
         }
     }
 
-    /// The command as a pool member is to get it: as the client sent it, but for the time that is left.
+    /// Appends the command for a pool member: as the client sent it, with the waiting time (`d`) replaced by
+    /// `wait_ms`.
     pub fn write(&self, wait_ms: u64, out: &mut Vec<u8>) {
-        for (n, word) in words(self.line).enumerate() {
+        for (n, token) in tokens(self.line).enumerate() {
             if n > 0 {
                 out.push(b' ');
             }
-            if n > 1 && word[0] == b'P' {
+            if n > 1 && token[0] == b'P' {
                 out.push(b'P');
                 self.write_extra(wait_ms, out);
             } else {
-                out.extend_from_slice(word);
+                out.extend_from_slice(token);
             }
         }
         out.extend_from_slice(b"\r\n");
@@ -234,42 +245,45 @@
     }
 }
 
-/// How lines of answers begin.
-const ANSWERS: [&[u8]; 9] =
+/// The names that an answer line can start with.
+const ANSWER_NAMES: [&[u8]; 9] =
     [b"VA ", b"HD ", b"EN ", b"SERVER_ERROR", b"CLIENT_ERROR", b"ERROR", b"NS ", b"EX ", b"NF "];
 
-/// A pool member's answer to the request of that id. An error means that the answer is spoilt, and that nobody
-/// knows where the next one begins: another's id or none, a length that does not fit, an empty receipt, noise.
+/// Parses a pool member's answer to the request with this id. An error means that the response is corrupt
+/// (the id of another request or no id, a wrong length, an invalid receipt, or bytes that are no answer), and
+/// that the start of the next answer is unknown.
 pub fn parse_answer<'a>(buffer: &'a [u8], id: &[u8], write: bool) -> Parsed<Answer<'a>> {
-    // Guards against noise without a line end, which would be waited on for as long as the transaction lasts.
-    let begins = |name: &&[u8]| buffer.iter().zip(*name).all(|(a, b)| a == b);
-    if !ANSWERS.iter().any(begins) {
+    // Checked before the line is complete: bytes that are no answer may have no line end, and the transaction
+    // would wait for one until its deadline.
+    let may_start_with = |name: &&[u8]| buffer.iter().zip(*name).all(|(a, b)| a == b);
+    if !ANSWER_NAMES.iter().any(may_start_with) {
         return Err("unknown answer");
     }
-    let Some((line, used)) = line(buffer)? else { return Ok(None) };
-    let name = words(line).next().unwrap_or_default();
-    let from = if name == b"VA" { 2 } else { 1 };
-    let flags = || words(line).skip(from);
+    let Some((line, used)) = split_line(buffer)? else { return Ok(None) };
+    let name = tokens(line).next().unwrap_or_default();
+    let first_flag = if name == b"VA" { 2 } else { 1 };
+    let flags = || tokens(line).skip(first_flag);
     let flag = |letter: u8| flags().find(|w| w[0] == letter).map(|w| &w[1..]);
     let ids = || flags().filter(|w| w[0] == b'O').map(|w| &w[1..]);
-    if matches!(name, b"VA" | b"HD" | b"EN") && (ids().next().is_none() || ids().any(|told| told != id)) {
+    if matches!(name, b"VA" | b"HD" | b"EN") && (ids().next().is_none() || ids().any(|other| other != id)) {
         return Err("answer to another request");
     }
     let note = match flag(b'h') {
         Some(b"1") => Some(ReadNote::Hit),
-        Some(b"0") if flags().any(|w| w == b"Z") => Some(ReadNote::OthersFetch),
+        Some(b"0") if flags().any(|w| w == b"Z") => Some(ReadNote::FetchInProgress),
         Some(b"0") => Some(ReadNote::Fetched),
         _ => None,
     };
     let answer = match name {
         b"VA" if !write => {
-            // Judged by the line alone: what is told to be huge is never waited for.
-            let length = words(line).nth(1).and_then(decimal).filter(|l| *l <= MAX_VALUE);
+            // The length is checked as soon as the line is there, so that a value declared as huge is never
+            // waited for.
+            let length = tokens(line).nth(1).and_then(decimal).filter(|l| *l <= MAX_VALUE);
             let length = length.ok_or("bad value length")?;
-            if length > MAX_WHOLE {
-                return Ok(Some((Answer::Begins { length, note }, used)));
+            if length > MAX_BUFFERED_VALUE {
+                return Ok(Some((Answer::LargeValue { length, note }, used)));
             }
-            let Some((value, used)) = block(buffer, used, length)? else {
+            let Some((value, used)) = data_block(buffer, used, length)? else {
                 return Ok(None);
             };
             return Ok(Some((Answer::Value { value, note }, used)));
@@ -278,14 +292,15 @@
             Answer::Receipt { receipt: flag(b'c').filter(|r| is_receipt(r)).ok_or("bad receipt")?, note }
         }
         b"EN" => Answer::Miss { note },
-        b"SERVER_ERROR" if words(line).nth(1) == Some(b"busy") => Answer::Busy,
+        b"SERVER_ERROR" if tokens(line).nth(1) == Some(b"busy") => Answer::Busy,
         b"SERVER_ERROR" | b"CLIENT_ERROR" | b"ERROR" | b"NS" | b"EX" | b"NF" => Answer::Failed,
         _ => return Err("unknown answer"),
     };
     Ok(Some((answer, used)))
 }
 
-/// A receipt must fit in the line that passes it on.
+/// Whether these bytes are a valid receipt: visible ASCII, and short enough for the answer line to the
+/// client.
 pub fn is_receipt(receipt: &[u8]) -> bool {
     (1..512).contains(&receipt.len()) && receipt.iter().all(u8::is_ascii_graphic)
 }
@@ -295,7 +310,7 @@
     use super::*;
 
     #[test]
-    fn commands_are_taken_whole_and_bad_ones_told_apart() {
+    fn parses_complete_commands_and_reports_invalid_ones() {
         let request = |line: &'static str, value: &'static str| {
             let write = line.starts_with("ms");
             let (id, extra) = (&b"O9"[1..], &b"c=r,d=480"[..]);
@@ -334,7 +349,7 @@
     }
 
     #[test]
-    fn answers_of_members_are_told_apart() {
+    fn parses_answers_and_rejects_corrupt_ones() {
         let hit = Some(ReadNote::Hit);
         let cases: Vec<(&str, Parsed<Answer>)> = vec![
             ("VA 2 O9 h1\r\nab", Ok(None)),
@@ -345,8 +360,8 @@
             ("EN\r\n", Err("unknown answer")),
             ("EN h0\r\n", Err("answer to another request")),
             ("HD O9 c77\r\n", Err("unknown answer")),
-            ("VA 65537 O9 h1\r\nab", Ok(Some((Answer::Begins { length: 65_537, note: hit }, 16)))),
-            ("VA 4194304 O9\r\n", Ok(Some((Answer::Begins { length: MAX_VALUE, note: None }, 15)))),
+            ("VA 65537 O9 h1\r\nab", Ok(Some((Answer::LargeValue { length: 65_537, note: hit }, 16)))),
+            ("VA 4194304 O9\r\n", Ok(Some((Answer::LargeValue { length: MAX_VALUE, note: None }, 15)))),
             ("VA 4194305 O9\r\n", Err("bad value length")),
             ("VA 3221225472 O9\r\nab", Err("bad value length")),
             ("VA -2 O9\r\nab", Err("bad value length")),
@@ -354,7 +369,7 @@
             ("VA 1 O9\r\nabc", Err("bad data chunk")),
             ("VA 2 O9 l\x01?\r\nab\r\n", Ok(Some((Answer::Value { value: b"ab", note: None }, 17)))),
             ("EN O9 h0\r\n", Ok(Some((Answer::Miss { note: Some(ReadNote::Fetched) }, 10)))),
-            ("EN O9 h0 Z\r\n", Ok(Some((Answer::Miss { note: Some(ReadNote::OthersFetch) }, 12)))),
+            ("EN O9 h0 Z\r\n", Ok(Some((Answer::Miss { note: Some(ReadNote::FetchInProgress) }, 12)))),
             ("SERVER_ERROR busy\r\n", Ok(Some((Answer::Busy, 19)))),
             ("SERVER_ERROR failed\r\n", Ok(Some((Answer::Failed, 21)))),
             ("CLIENT_ERROR no\r\n", Ok(Some((Answer::Failed, 17)))),
@@ -377,7 +392,7 @@
     }
 
     #[test]
-    fn a_large_command_tells_its_size_by_its_line() {
+    fn length_of_large_command_is_known_from_its_line() {
         for (text, size) in [
             ("ms k 65537 O9\r\nab", Some(65_537 + 17)),
             ("ms k 4194304 O9\r\n", Some(MAX_VALUE + 19)),
@@ -387,20 +402,20 @@
             ("mg k 65537 O9\r\n", None),
             ("ms k -1 O9\r\n", None),
         ] {
-            assert_eq!(large_command(text.as_bytes()), size, "{text:?}");
+            assert_eq!(large_command_length(text.as_bytes()), size, "{text:?}");
         }
     }
 
     #[test]
-    fn a_command_is_passed_on_unchanged_but_for_the_time_left() {
-        for (text, passed) in [
+    fn forwarded_command_differs_only_in_waiting_time() {
+        for (text, forwarded) in [
             ("mg k v O9 Pc=r,d=480,r=1\r\n", "mg k v O9 Pc=r,d=7,r=1\r\n"),
             ("ms k 2 O9 Pd=1,k=aa\r\nhi\r\n", "ms k 2 O9 Pd=7,k=aa\r\nhi\r\n"),
         ] {
             let Ok(Some((Command::Request(r), _))) = parse_command(text.as_bytes()) else { panic!("{text}") };
             let mut out = Vec::new();
             r.write(7, &mut out);
-            assert_eq!(String::from_utf8_lossy(&out), passed);
+            assert_eq!(String::from_utf8_lossy(&out), forwarded);
         }
     }
 }
--- a/crates/codec/src/memcache/answer.rs
+++ b/crates/codec/src/memcache/answer.rs
@@ -1,16 +1,16 @@
-//! Answers as a cache server words them.
+//! Writers of answers, as a cache server sends them.
 
 use super::{Answer, ReadNote};
 
 impl Answer<'_> {
-    /// Appends the answer to the request of that id.
+    /// Appends the answer to the request with this id.
     pub fn write(&self, id: &[u8], out: &mut Vec<u8>) {
         let note = match self {
             Answer::Value { value, note } => {
                 out.extend_from_slice(format!("VA {} O", value.len()).as_bytes());
                 note
             }
-            Answer::Begins { length, note } => {
+            Answer::LargeValue { length, note } => {
                 out.extend_from_slice(format!("VA {length} O").as_bytes());
                 note
             }
@@ -33,7 +33,7 @@
         out.extend_from_slice(match note {
             Some(ReadNote::Hit) => b" h1",
             Some(ReadNote::Fetched) => b" h0",
-            Some(ReadNote::OthersFetch) => b" h0 Z",
+            Some(ReadNote::FetchInProgress) => b" h0 Z",
             None => b"",
         });
         out.extend_from_slice(b"\r\n");
@@ -44,7 +44,8 @@
     }
 }
 
-/// Appends `NS`: the write was not stored. Pool members of this protocol do not say so; nodes take it as failed.
+/// Appends `NS`: the write was not stored. Pool members do not send this;
+/// [`parse_answer`](super::parse_answer) takes it as [`Answer::Failed`].
 pub fn write_not_stored(id: &[u8], out: &mut Vec<u8>) {
     out.extend_from_slice(b"NS O");
     out.extend_from_slice(id);
@@ -57,8 +58,8 @@
     use super::*;
 
     #[test]
-    fn what_is_written_is_read_back() {
-        let notes = [None, Some(ReadNote::Hit), Some(ReadNote::Fetched), Some(ReadNote::OthersFetch)];
+    fn written_answers_parse_back() {
+        let notes = [None, Some(ReadNote::Hit), Some(ReadNote::Fetched), Some(ReadNote::FetchInProgress)];
         for note in notes {
             for (answer, write) in [
                 (Answer::Value { value: b"a\r\nb", note }, false),
--- a/crates/codec/src/memcache/owned.rs
+++ b/crates/codec/src/memcache/owned.rs
@@ -1,75 +1,78 @@
-//! A request that outlives the buffer that it was read into.
+//! A request that owns its bytes and so outlives the buffer that it was read into.
 
 use super::{Command, Request, parse_command};
 use std::ops::Range;
 
-/// A request with its own bytes, and where its parts stand in them: parsed once, looked at often.
+/// A request that owns its bytes, with the position of each of its parts: it is parsed once and then only
+/// sliced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnedRequest {
     raw: Box<[u8]>,
     write: bool,
-    key: Part,
-    id: Part,
-    extra: Part,
-    line: Part,
-    value: Part,
-    /// The digits of the time to wait, where all that is to change of the line are those.
-    wait: Option<Part>,
+    key: Span,
+    id: Span,
+    extra: Span,
+    line: Span,
+    value: Span,
+    /// The digits of the client's waiting time, if the line can be forwarded by replacing them alone (see
+    /// [`wait_digits`]).
+    wait_digits: Option<Span>,
 }
 
-/// Where a part stands. Commands are shorter than 4 GiB.
-type Part = Range<u32>;
+/// Byte positions of a part of the command. Commands are shorter than 4 GiB.
+type Span = Range<u32>;
 
-/// The parts of a command that a front puts together by itself.
+/// The parts of a request that does not come from a memcache client but is composed by the caller.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Parts<'a> {
-    /// 1 to [`MAX_KEY`](super::MAX_KEY) bytes without spaces or control characters.
+pub struct RequestParts<'a> {
+    /// The key: 1 to [`MAX_KEY`](super::MAX_KEY) visible ASCII characters.
     pub key: &'a [u8],
-    /// The request's id, the same.
+    /// The request's id: at least one visible ASCII character.
     pub id: &'a [u8],
-    /// The name of its class.
+    /// The name of the request's class.
     pub class: &'a [u8],
-    /// How long its client waits, in milliseconds.
+    /// How long the client waits for the answer, in milliseconds.
     pub wait_ms: u64,
-    /// The value of a write; a read if there is none.
+    /// The value of a write; `None` for a read.
     pub value: Option<&'a [u8]>,
     /// The idempotency key of a keyed write.
     pub idempotency: Option<&'a [u8]>,
-    /// It repeats an earlier one.
+    /// Whether the request repeats an earlier one.
     pub repeated: bool,
 }
 
 impl OwnedRequest {
-    /// Takes a copy of the command that a request was parsed from; `None` if that is another's.
-    pub fn of(request: &Request, raw: &[u8]) -> Option<OwnedRequest> {
-        let line = part(raw, request.line)?;
-        let extra = part(raw, request.extra)?;
+    /// Copies the command that a request was parsed from; `None` if `raw` is not the buffer that the
+    /// request's slices point into.
+    pub fn copy_of(request: &Request, raw: &[u8]) -> Option<OwnedRequest> {
+        let line = span_of(raw, request.line)?;
+        let extra = span_of(raw, request.extra)?;
         Some(OwnedRequest {
             raw: raw.into(),
             write: request.write,
-            key: part(raw, request.key)?,
-            id: part(raw, request.id)?,
-            value: part(raw, request.value)?,
-            wait: wait(request, raw),
+            key: span_of(raw, request.key)?,
+            id: span_of(raw, request.id)?,
+            value: span_of(raw, request.value)?,
+            wait_digits: wait_digits(request, raw),
             extra,
             line,
         })
     }
 
-    /// Puts a command together.
+    /// Composes a command from its parts.
     ///
     /// # Errors
-    /// What is wrong with it, as a client would be told.
-    pub fn compose(parts: &Parts) -> Result<OwnedRequest, &'static str> {
-        let Parts { key, id, class, wait_ms, value, idempotency, repeated } = *parts;
+    /// The same texts that a memcache client gets for an invalid command.
+    pub fn compose(parts: &RequestParts) -> Result<OwnedRequest, &'static str> {
+        let RequestParts { key, id, class, wait_ms, value, idempotency, repeated } = *parts;
         if key.is_empty() {
             return Err("bad key");
         }
-        let plain = |text: &[u8]| text.iter().all(|b| b.is_ascii_graphic() && *b != b',');
+        let is_list_value = |text: &[u8]| text.iter().all(|b| b.is_ascii_graphic() && *b != b',');
         if !key.iter().all(u8::is_ascii_graphic) || !id.iter().all(u8::is_ascii_graphic) {
             return Err("control character");
         }
-        if !plain(class) || !idempotency.is_none_or(plain) {
+        if !is_list_value(class) || !idempotency.is_none_or(is_list_value) {
             return Err("bad list");
         }
         let mut raw = Vec::with_capacity(key.len() + id.len() + value.map_or(0, <[u8]>::len) + 128);
@@ -95,28 +98,28 @@
         }
         match parse_command(&raw)? {
             Some((Command::Request(request), used)) if used == raw.len() => {
-                OwnedRequest::of(&request, &raw).ok_or("no request")
+                OwnedRequest::copy_of(&request, &raw).ok_or("no request")
             }
-            Some((Command::Bad(what), _)) => Err(what),
+            Some((Command::Bad(reason), _)) => Err(reason),
             _ => Err("no request"),
         }
     }
 
     /// The request as slices.
     pub fn get(&self) -> Request<'_> {
-        let part = |part: &Part| self.part(part);
+        let slice = |span: &Span| self.slice(span);
         Request {
             write: self.write,
-            key: part(&self.key),
-            id: part(&self.id),
-            extra: part(&self.extra),
-            line: part(&self.line),
-            value: part(&self.value),
+            key: slice(&self.key),
+            id: slice(&self.id),
+            extra: slice(&self.extra),
+            line: slice(&self.line),
+            value: slice(&self.value),
         }
     }
 
-    fn part(&self, part: &Part) -> &[u8] {
-        self.raw.get(part.start as usize..part.end as usize).unwrap_or_default()
+    fn slice(&self, span: &Span) -> &[u8] {
+        self.raw.get(span.start as usize..span.end as usize).unwrap_or_default()
     }
 
     /// `ms`, not `mg`.
@@ -126,35 +129,36 @@
 
     /// The request's id.
     pub fn id(&self) -> &[u8] {
-        self.part(&self.id)
+        self.slice(&self.id)
     }
 
     /// The key.
     pub fn key(&self) -> &[u8] {
-        self.part(&self.key)
+        self.slice(&self.key)
     }
 
-    /// Bytes of the command.
+    /// Size of the command in bytes.
     pub fn bytes(&self) -> usize {
         self.raw.len()
     }
 
-    /// The command as a pool member is to get it: as [`Request::write`] has it.
+    /// Appends the command for a pool member: the same bytes as [`Request::write`].
     pub fn write(&self, wait_ms: u64, out: &mut Vec<u8>) {
-        let Some(wait) = &self.wait else { return self.get().write(wait_ms, out) };
-        out.extend_from_slice(self.part(&(self.line.start..wait.start)));
+        let Some(wait) = &self.wait_digits else { return self.get().write(wait_ms, out) };
+        out.extend_from_slice(self.slice(&(self.line.start..wait.start)));
         super::write_decimal(wait_ms, out);
-        out.extend_from_slice(self.part(&(wait.end..self.line.end)));
+        out.extend_from_slice(self.slice(&(wait.end..self.line.end)));
         out.extend_from_slice(b"\r\n");
         if self.write {
-            out.extend_from_slice(self.part(&self.value));
+            out.extend_from_slice(self.slice(&self.value));
             out.extend_from_slice(b"\r\n");
         }
     }
 }
 
-/// Where a part of a buffer stands in it. An empty one stands anywhere.
-fn part(whole: &[u8], part: &[u8]) -> Option<Part> {
+/// The position of a slice within the buffer that it was taken from; `None` if it is a slice of another
+/// buffer. An empty slice has the position 0..0.
+fn span_of(whole: &[u8], part: &[u8]) -> Option<Span> {
     if part.is_empty() {
         return Some(0..0);
     }
@@ -163,18 +167,19 @@
     (end <= whole.len()).then_some(start as u32..u32::try_from(end).ok()?)
 }
 
-/// Where the time to wait stands, if nothing else of the line would change on the way: its words are one space
-/// apart, and there is one list with one time in it.
-fn wait(request: &Request, raw: &[u8]) -> Option<Part> {
+/// The position of the waiting time's digits, if nothing else of the line changes when [`Request::write`]
+/// forwards it: single spaces separate its tokens, and it has one `P` flag with one `d` parameter.
+fn wait_digits(request: &Request, raw: &[u8]) -> Option<Span> {
     let line = request.line;
-    let spaced = !line.starts_with(b" ") && !line.ends_with(b" ") && !line.windows(2).any(|w| w == b"  ");
-    let lists = super::words(line).skip(2).filter(|w| w[0] == b'P').count();
+    let single_spaced =
+        !line.starts_with(b" ") && !line.ends_with(b" ") && !line.windows(2).any(|w| w == b"  ");
+    let lists = super::tokens(line).skip(2).filter(|w| w[0] == b'P').count();
     let mut times = request.extra.split(|b| *b == b',').filter_map(|pair| pair.strip_prefix(b"d="));
     let time = times.next().filter(|t| !t.is_empty())?;
-    if !spaced || lists != 1 || times.next().is_some() {
+    if !single_spaced || lists != 1 || times.next().is_some() {
         return None;
     }
-    part(raw, time)
+    span_of(raw, time)
 }
 
 #[cfg(test)]
@@ -185,11 +190,11 @@
         let Ok(Some((Command::Request(request), used))) = parse_command(text.as_bytes()) else {
             panic!("{text}")
         };
-        (OwnedRequest::of(&request, &text.as_bytes()[..used]).unwrap(), request)
+        (OwnedRequest::copy_of(&request, &text.as_bytes()[..used]).unwrap(), request)
     }
 
     #[test]
-    fn a_copy_is_passed_on_as_the_command_it_was_made_of() {
+    fn owned_request_is_forwarded_like_the_borrowed_one() {
         for text in [
             "mg k v O9 Pc=r,d=480,r=1\r\n",
             "ms k 2 O9 Pd=1,k=aa\r\nhi\r\n",
@@ -213,36 +218,36 @@
     }
 
     #[test]
-    fn what_is_composed_is_what_a_client_would_send() {
-        let read = Parts { key: b"k", id: b"9", class: b"r", wait_ms: 480, ..Parts::default() };
-        let write = Parts { value: Some(b"hi"), idempotency: Some(b"ab"), repeated: true, ..read };
+    fn composed_command_equals_one_sent_by_a_client() {
+        let read = RequestParts { key: b"k", id: b"9", class: b"r", wait_ms: 480, ..RequestParts::default() };
+        let write = RequestParts { value: Some(b"hi"), idempotency: Some(b"ab"), repeated: true, ..read };
         for (parts, text) in [
             (read, "mg k v O9 Pc=r,d=480\r\n"),
-            (Parts { repeated: true, ..read }, "mg k v O9 Pc=r,d=480,r=1\r\n"),
+            (RequestParts { repeated: true, ..read }, "mg k v O9 Pc=r,d=480,r=1\r\n"),
             (write, "ms k 2 O9 Pc=r,d=480,k=ab,r=1\r\nhi\r\n"),
         ] {
             assert_eq!(OwnedRequest::compose(&parts).unwrap(), parse(text).0);
         }
         let long = vec![b'x'; super::super::MAX_VALUE + 1];
-        for (parts, what) in [
-            (Parts { key: b"", ..read }, "bad key"),
-            (Parts { key: &long[..251], ..read }, "bad key"),
-            (Parts { key: b"a b", ..read }, "control character"),
-            (Parts { id: b"a\r\nquit", ..read }, "control character"),
-            (Parts { id: b"", ..read }, "no request id"),
-            (Parts { id: &long[..2048], ..read }, "line too long"),
-            (Parts { class: b"r,d=1", ..read }, "bad list"),
-            (Parts { idempotency: Some(b"a b"), ..write }, "bad list"),
-            (Parts { value: Some(&long), ..write }, "object too large"),
+        for (parts, reason) in [
+            (RequestParts { key: b"", ..read }, "bad key"),
+            (RequestParts { key: &long[..251], ..read }, "bad key"),
+            (RequestParts { key: b"a b", ..read }, "control character"),
+            (RequestParts { id: b"a\r\nquit", ..read }, "control character"),
+            (RequestParts { id: b"", ..read }, "no request id"),
+            (RequestParts { id: &long[..2048], ..read }, "line too long"),
+            (RequestParts { class: b"r,d=1", ..read }, "bad list"),
+            (RequestParts { idempotency: Some(b"a b"), ..write }, "bad list"),
+            (RequestParts { value: Some(&long), ..write }, "object too large"),
         ] {
-            assert_eq!(OwnedRequest::compose(&parts), Err(what));
+            assert_eq!(OwnedRequest::compose(&parts), Err(reason));
         }
     }
 
     #[test]
-    fn no_copy_is_made_of_another_buffer() {
+    fn copy_from_an_unrelated_buffer_is_refused() {
         let text = "mg k v O9 Pc=r,d=480\r\n";
         let (_, request) = parse(text);
-        assert_eq!(OwnedRequest::of(&request, &Vec::from(text)), None);
+        assert_eq!(OwnedRequest::copy_of(&request, &Vec::from(text)), None);
     }
 }
--- a/crates/codec/tests/split_anywhere.rs
+++ b/crates/codec/tests/split_anywhere.rs
@@ -1,8 +1,8 @@
 //! Wherever the bytes of a stream are cut, its readers make the same of it.
 
+use lapisrudder_codec::corrupt::{Corruption, Protocol, ValidResponse, noise, write};
 use lapisrudder_codec::http::{parse_response, server::parse_request};
 use lapisrudder_codec::memcache::{Parsed, parse_answer, parse_command};
-use lapisrudder_codec::spoil::{Good, Protocol, Spoil, noise, write};
 use proptest::prelude::*;
 use std::fmt::Debug;
 
@@ -117,19 +117,19 @@
 
     /// Also heads of any length, and each way to spoil an answer.
     #[test]
-    fn spoilt_and_long_ones(kind in prop::sample::select(&Spoil::ALL[..]), seed: u64, long in 0..40_000usize,
+    fn spoilt_and_long_ones(kind in prop::sample::select(&Corruption::ALL[..]), seed: u64, long in 0..40_000usize,
                             cuts: [prop::sample::Index; 4]) {
         let mut state = seed;
         let mut draw = || { state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1); state >> 8 };
         let mut bytes = Vec::new();
-        let good = Good { protocol: Protocol::Http, bytes: RESPONSES[0].as_bytes(), id: b"9" };
+        let good = ValidResponse { protocol: Protocol::Http, bytes: RESPONSES[0].as_bytes(), id: b"9" };
         write(kind, good, &mut draw, &mut bytes);
         noise(long, &mut draw, &mut bytes);
         bytes.extend_from_slice(b"\r\n\r\n");
         let parse = |b: &[u8]| told(parse_response(b, false, 9));
         prop_assert_eq!(read(&cut(&bytes, &cuts), parse), read(&[&bytes], parse));
         let mut bytes = Vec::new();
-        let good = Good { protocol: Protocol::Memcache, bytes: ANSWERS[0].as_bytes(), id: b"9" };
+        let good = ValidResponse { protocol: Protocol::Memcache, bytes: ANSWERS[0].as_bytes(), id: b"9" };
         write(kind, good, &mut draw, &mut bytes);
         noise(long, &mut draw, &mut bytes);
         bytes.extend_from_slice(b"\r\n");
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,6 +1,6 @@
 //! `[fleet]` of the operators' file: the node among its fellows. Without the section there is nothing of it.
 
-use crate::operators::{Refusal, Section};
+use crate::operators::{InvalidSetting, Section};
 use lapisrudder_membership::{Key, MOST_SEEDS, Name, Settings};
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -59,7 +59,7 @@
 impl Fleet {
     /// Where others reach the node.
     #[must_use]
-    pub fn reached_at(&self) -> SocketAddr {
+    pub fn advertised_addr(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
 
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     /// The file cannot be read, or a line of it is no key.
-    pub fn keys(&self) -> Result<Vec<Key>, Refusal> {
+    pub fn keys(&self) -> Result<Vec<Key>, InvalidSetting> {
         let Some(path) = &self.key_file else { return Ok(Vec::new()) };
         let text = lapisrudder_io::read_text(path)
             .map_err(|e| refusal("key_file", format!("cannot read {}: {e}", path.display())))?;
@@ -96,12 +96,12 @@
     Some(key)
 }
 
-fn refusal(key: &str, what: String) -> Refusal {
-    Refusal { key: format!("fleet.{key}"), what }
+fn refusal(key: &str, what: String) -> InvalidSetting {
+    InvalidSetting { key: format!("fleet.{key}"), what }
 }
 
 impl Section for Fleet {
-    fn check(&self) -> Result<(), Refusal> {
+    fn check(&self) -> Result<(), InvalidSetting> {
         if let Err(e) = self.name.parse::<Name>() {
             return Err(refusal("name", e.to_string()));
         }
@@ -122,9 +122,9 @@
         }
         let unreachable =
             |at: &SocketAddr| at.port() == 0 || at.ip().is_unspecified() || at.ip().is_multicast();
-        if unreachable(&self.reached_at()) {
+        if unreachable(&self.advertised_addr()) {
             let key = if self.advertise.is_some() { "advertise" } else { "listen" };
-            return Err(refusal(key, format!("others cannot send to {}", self.reached_at())));
+            return Err(refusal(key, format!("others cannot send to {}", self.advertised_addr())));
         }
         if let Some(seed) = self.seeds.iter().find(|at| unreachable(at)) {
             return Err(refusal("seeds", format!("nobody can send to {seed}")));
@@ -132,7 +132,7 @@
         if let Some(look) = self.look.filter(|at| !at.ip().is_loopback()) {
             return Err(refusal("look", format!("{look} is not on loopback")));
         }
-        let reached = self.reached_at();
+        let reached = self.advertised_addr();
         for (key, at) in [("listen", &self.listen), ("advertise", &reached)]
             .into_iter()
             .chain(self.seeds.iter().map(|at| ("seeds", at)))
@@ -141,7 +141,9 @@
                 return Err(refusal(key, format!("{at} is not on loopback: that needs a key_file")));
             }
         }
-        self.timing.check().map_err(|e| Refusal { key: format!("fleet.timing.{}", e.key), what: e.what })?;
+        self.timing
+            .check()
+            .map_err(|e| InvalidSetting { key: format!("fleet.timing.{}", e.key), what: e.what })?;
         self.keys().map(|_| ())
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -32,7 +32,7 @@
 pub use effective::{Part, Setting, Source, to_toml};
 pub use fleet::Fleet;
 pub use members::{ListError, MemberList, Target};
-pub use operators::{Operators, Refusal, Section};
+pub use operators::{InvalidSetting, Operators, Section};
 pub use options::{Bounds, Customer, FamilyInfo, Options, RequestClass, Rules, digest, micros};
 pub use platform::{Environment, LEAST_SOCKETS, Platform};
 pub use problem::{Fault, Place, Problem, Problems};
--- a/crates/config/src/operators.rs
+++ b/crates/config/src/operators.rs
@@ -25,7 +25,7 @@
 
 /// Why a section refuses a value that has the right type.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct InvalidSetting {
     /// The key, as dotted words from the section's name on.
     pub key: String,
     /// What is wrong, in one line.
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     /// The key in question, and what is wrong.
-    fn check(&self) -> Result<(), Refusal>;
+    fn check(&self) -> Result<(), InvalidSetting>;
 }
 
 /// All that the operators' file may say.
@@ -56,7 +56,7 @@
 }
 
 impl Section for Operators {
-    fn check(&self) -> Result<(), Refusal> {
+    fn check(&self) -> Result<(), InvalidSetting> {
         let Operators { limits, log, fleet } = self;
         let sections: [&dyn Section; 2] = [limits, log];
         sections.into_iter().try_for_each(Section::check)?;
@@ -111,7 +111,7 @@
                     return Ok((settings, stated.iter().rev().map(line).collect()));
                 }
                 Ok(()) => return Err(one_a_line(problems)),
-                Err(Refusal { key, what }) => (None, Some(key), what),
+                Err(InvalidSetting { key, what }) => (None, Some(key), what),
             },
         };
         let left = stated.iter().filter(|e| !without.iter().any(|w| e.is_in(w)));
@@ -241,8 +241,8 @@
     }
 
     impl Section for Toy {
-        fn check(&self) -> Result<(), Refusal> {
-            let refuse = |key: &str, what: &str| Err(Refusal { key: key.into(), what: what.into() });
+        fn check(&self) -> Result<(), InvalidSetting> {
+            let refuse = |key: &str, what: &str| Err(InvalidSetting { key: key.into(), what: what.into() });
             if self.weights.iter().any(|w| w.weight == 0 || w.prefix.is_multicast()) {
                 return refuse("weights.weight", "weights.weight must be above 0");
             }
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -35,7 +35,7 @@
 
 impl Environment {
     /// Those of this process.
-    pub fn of_process() -> Environment {
+    pub fn from_process() -> Environment {
         Environment {
             config: env::var_os("EDGE_CONFIG").map(PathBuf::from),
             name: env::var("EDGE_NAME").ok(),
@@ -63,7 +63,7 @@
     pub memory_mb: u64,
     /// Descriptors that the node may hold. Default 1024.
     pub sockets: usize,
-    /// The version of the list of members as last held. See [`Platform::remembered`].
+    /// The version of the list of members as last held. See [`Platform::known_revision`].
     pub revision: u64,
     /// The list of members as last held.
     pub known: Vec<Target>,
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     /// A problem for each key.
-    pub fn has_all_of(&self, earlier: &Platform, path: &Path) -> Result<(), Problems> {
+    pub fn check_no_key_lost(&self, earlier: &Platform, path: &Path) -> Result<(), Problems> {
         let lost =
             earlier.keys.difference(&self.keys).filter(|key| key.split(['.', '[']).next() != Some("known"));
         let problem = |key: &String| Problem {
@@ -91,7 +91,7 @@
     }
 
     /// The version that a watch may continue: none where no list is held. A list that is held may be the first, 0.
-    pub fn remembered(&self) -> Option<u64> {
+    pub fn known_revision(&self) -> Option<u64> {
         Some(self.revision).filter(|_| !self.known.is_empty())
     }
 }
--- a/crates/config/src/sections.rs
+++ b/crates/config/src/sections.rs
@@ -1,12 +1,12 @@
 //! The sections of the operators' file that are no subsystem's own.
 
-use crate::operators::{Refusal, Section};
+use crate::operators::{InvalidSetting, Section};
 use serde::{Deserialize, Serialize};
 use std::str::FromStr;
 
 impl Section for lapisrudder_limits::Settings {
-    fn check(&self) -> Result<(), Refusal> {
-        self.check().map_err(|e| Refusal { key: format!("limits.{}", e.key()), what: e.what() })
+    fn check(&self) -> Result<(), InvalidSetting> {
+        self.check().map_err(|e| InvalidSetting { key: format!("limits.{}", e.key()), what: e.what() })
     }
 }
 
@@ -113,7 +113,7 @@
 }
 
 impl Section for Log {
-    fn check(&self) -> Result<(), Refusal> {
+    fn check(&self) -> Result<(), InvalidSetting> {
         for (key, value, least, most) in [
             ("log.window_ms", self.window_ms, 100, 86_400_000),
             ("log.repeats", self.repeats, 1, 10_000),
@@ -121,7 +121,7 @@
         ] {
             if !(least..=most).contains(&value) {
                 let what = format!("{value} is not within {least} to {most}");
-                return Err(Refusal { key: key.into(), what });
+                return Err(InvalidSetting { key: key.into(), what });
             }
         }
         Ok(())
--- a/crates/config/tests/problems.rs
+++ b/crates/config/tests/problems.rs
@@ -231,7 +231,7 @@
     let force = parse(GOOD);
     let lost = |from: &str, to: &str| {
         assert!(GOOD.contains(from));
-        let again = parse(&GOOD.replace(from, to)).has_all_of(&force, Path::new("p.json"));
+        let again = parse(&GOOD.replace(from, to)).check_no_key_lost(&force, Path::new("p.json"));
         again.map_or_else(|e| e.iter().map(Problem::to_string).collect(), |()| Vec::new())
     };
     let vanished = |key: &str| vec![format!("p.json: {key}: is missing, and the file in force has it")];
--- a/crates/engine/src/connection.rs
+++ b/crates/engine/src/connection.rs
@@ -3,7 +3,7 @@
 use crate::deadlines::Key;
 use crate::flow::{Flow, FlowId};
 use lapisrudder_codec::http;
-use lapisrudder_codec::memcache::{self, Answer, MAX_LINE, MAX_VALUE, MAX_WHOLE, ReadNote};
+use lapisrudder_codec::memcache::{self, Answer, MAX_BUFFERED_VALUE, MAX_LINE, MAX_VALUE, ReadNote};
 use lapisrudder_decisions::permit::{Begin, Denial, Violations};
 use lapisrudder_decisions::{Micros, Outcome, RequestId, ServerId};
 use std::collections::VecDeque;
@@ -13,7 +13,7 @@
 /// Buffers larger than this are given back once empty.
 const KEPT: usize = 4 << 10;
 /// Bytes of answers that are not whole at the most. Guards memory: a peer may send on and on where nothing is due.
-const HELD: usize = 2 * (MAX_LINE + MAX_WHOLE + 2);
+const HELD: usize = 2 * (MAX_LINE + MAX_BUFFERED_VALUE + 2);
 /// So many bytes at first are put behind a part of an answer, to see whether it is whole with them.
 const STEP: usize = 4 << 10;
 
@@ -408,20 +408,20 @@
             let command = &place.flow.call.request.command;
             let mut pass = |answer| !place.abandoned && answered(&place.flow, Heard::Answer(answer));
             taken += if self.origin {
-                let response = http::parse_response_or_head(rest, ended, MAX_WHOLE, MAX_VALUE)?;
+                let response = http::parse_response_or_head(rest, ended, MAX_BUFFERED_VALUE, MAX_VALUE)?;
                 let Some((response, used)) = response else { break };
-                if response.behind > 0 {
-                    let (left, keep) = (response.behind, response.keep);
+                if response.remaining_body > 0 {
+                    let (left, keep) = (response.remaining_body, response.keep_alive);
                     if response.status != 200 || command.is_write() {
                         return Err("body too long");
                     }
                     self.unnamed = Some(now);
-                    let wanted = pass(Answer::Begins { length: left, note: None });
+                    let wanted = pass(Answer::LargeValue { length: left, note: None });
                     self.begin(Body { left, tail: b"", note: None, keep }, wanted);
                     taken += used;
                     continue;
                 }
-                (keep, self.unnamed) = (response.keep, Some(now));
+                (keep, self.unnamed) = (response.keep_alive, Some(now));
                 pass(match response.status {
                     200 if command.is_write() && !memcache::is_receipt(&response.body) => {
                         return Err("bad receipt");
@@ -443,13 +443,13 @@
                 };
                 let Some((answer, used)) = parsed? else { break };
                 if copy {
-                    if matches!(answer, Answer::Begins { .. }) {
+                    if matches!(answer, Answer::LargeValue { .. }) {
                         return Err("a large answer came twice");
                     }
                     taken += used;
                     continue;
                 }
-                if let Answer::Begins { length, note } = answer {
+                if let Answer::LargeValue { length, note } = answer {
                     (self.unnamed, self.doubtful) = (None, false);
                     let wanted = pass(answer);
                     self.begin(Body { left: length, tail: b"\r\n", note, keep: true }, wanted);
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -277,7 +277,7 @@
             };
             let (outcome, note) = judge(&answer);
             let request = &flow.call.request;
-            if let memcache::Answer::Begins { length, .. } = answer
+            if let memcache::Answer::LargeValue { length, .. } = answer
                 && !flow.call.answered()
                 && !answers.begins(id, request, length)
             {
@@ -290,7 +290,7 @@
                 transactions.open -= 1;
                 transactions.answered.push(id);
                 match answer {
-                    memcache::Answer::Begins { .. } => {
+                    memcache::Answer::LargeValue { .. } => {
                         begun.push(flow.id);
                         return true;
                     }
@@ -305,7 +305,7 @@
             }
             ended.push((flow.id, outcome, note));
             // A large value that nobody waits for is not read.
-            !matches!(answer, memcache::Answer::Begins { .. })
+            !matches!(answer, memcache::Answer::LargeValue { .. })
         });
         // Danger: where two copies may not be out together, what goes elsewhere next would be a second one.
         let closes = of_use && !*second_copies && (unwanted || pool.is_doubtful(conn));
@@ -648,7 +648,7 @@
     note.map(|note| match note {
         ReadNote::Hit => CacheNote::Hit,
         ReadNote::Fetched => CacheNote::Fetched,
-        ReadNote::OthersFetch => CacheNote::OthersFetch,
+        ReadNote::FetchInProgress => CacheNote::OthersFetch,
     })
 }
 
@@ -656,7 +656,7 @@
 fn judge(answer: &memcache::Answer) -> (Outcome, Option<CacheNote>) {
     match answer {
         memcache::Answer::Value { note, .. }
-        | memcache::Answer::Begins { note, .. }
+        | memcache::Answer::LargeValue { note, .. }
         | memcache::Answer::Receipt { note, .. } => (Outcome::Served, told(note)),
         memcache::Answer::Miss { note } => (Outcome::Miss, told(note)),
         memcache::Answer::Busy => (Outcome::Full, None),
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -30,7 +30,7 @@
 //! # An example
 //!
 //! ```
-//! use lapisrudder_codec::memcache::{OwnedRequest, Parts};
+//! use lapisrudder_codec::memcache::{OwnedRequest, RequestParts};
 //! use lapisrudder_decisions::{Class, Key, Listed, RequestId, Scope, ServerId, Settings};
 //! use lapisrudder_engine::{Answer, Config, Engine, Member, Order, Request};
 //!
@@ -46,7 +46,7 @@
 //! engine.listed(Scope::Full, vec![Member { listed, endpoint }]);
 //!
 //! // A request is taken: the engine wants a connection.
-//! let parts = Parts { key: b"teacher-12", id: b"a1", class: b"read", wait_ms: 900, ..Parts::default() };
+//! let parts = RequestParts { key: b"teacher-12", id: b"a1", class: b"read", wait_ms: 900, ..RequestParts::default() };
 //! let command = OwnedRequest::compose(&parts)?;
 //! let request = Request::new(command, Key(12), 0, 900_000);
 //! engine.take(10, RequestId(1), request)?;
--- a/crates/engine/src/pool/tests.rs
+++ b/crates/engine/src/pool/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::flow::Call;
 use crate::request::Request;
-use lapisrudder_codec::memcache::{OwnedRequest, Parts};
+use lapisrudder_codec::memcache::{OwnedRequest, RequestParts};
 use lapisrudder_decisions::{Key, RequestId};
 use std::sync::Arc;
 
@@ -28,7 +28,7 @@
             to_origin_per_member: 0.0,
             in_all: 1,
         };
-        let parts = Parts { key: b"k", id: b"9", class: b"r", wait_ms: 1, ..Parts::default() };
+        let parts = RequestParts { key: b"k", id: b"9", class: b"r", wait_ms: 1, ..RequestParts::default() };
         let command = OwnedRequest::compose(&parts).unwrap();
         let request = Request::new(command, Key(1), 0, 9);
         let mut desk = Desk {
--- a/crates/engine/src/watch.rs
+++ b/crates/engine/src/watch.rs
@@ -227,7 +227,7 @@
         }
         self.input.extend_from_slice(bytes);
         let (status, keep, mut body) = match http::parse_response(&self.input, ended, LONGEST) {
-            Ok(Some((response, _))) => (response.status, response.keep, response.body.into_owned()),
+            Ok(Some((response, _))) => (response.status, response.keep_alive, response.body.into_owned()),
             Ok(None) if ended => return self.broken("it closed the connection"),
             Ok(None) => return None,
             Err(what) => return Some(self.fail(what)),
--- a/crates/engine/tests/books.rs
+++ b/crates/engine/tests/books.rs
@@ -1,6 +1,6 @@
 //! The books of the engine and of the decisions agree when nothing is left to be done.
 
-use lapisrudder_codec::memcache::{OwnedRequest, Parts};
+use lapisrudder_codec::memcache::{OwnedRequest, RequestParts};
 use lapisrudder_decisions::{Class, Key, Listed, Mode, RequestId, Scope, ServerId, Settings};
 use lapisrudder_engine::{Answer, Config, Engine, Member, Order, Request};
 
@@ -34,7 +34,13 @@
 
 fn read(engine: &mut Engine, now: i64, number: u64, key: u64) -> Vec<Order> {
     let id = format!("a{number}");
-    let parts = Parts { key: b"k", id: id.as_bytes(), class: b"read", wait_ms: 900, ..Parts::default() };
+    let parts = RequestParts {
+        key: b"k",
+        id: id.as_bytes(),
+        class: b"read",
+        wait_ms: 900,
+        ..RequestParts::default()
+    };
     let command = OwnedRequest::compose(&parts).unwrap();
     let due = now + 900_000;
     let request = Request::new(command, Key(key), 0, due);
--- a/crates/engine/tests/crossings.rs
+++ b/crates/engine/tests/crossings.rs
@@ -1,7 +1,7 @@
 //! Each state of an attempt crossed with the end of its request by the host, and with what its server brings after that: no byte of
 //! the request goes out any more. In memory, on a virtual clock.
 
-use lapisrudder_codec::memcache::{OwnedRequest, Parts};
+use lapisrudder_codec::memcache::{OwnedRequest, RequestParts};
 use lapisrudder_decisions::{Class, Key, Listed, Micros, Mode, RequestId, Scope, ServerId, Settings};
 use lapisrudder_engine::{Answer, Config, Conn, Engine, Limits, Member, Order, Request};
 
@@ -92,7 +92,8 @@
     }
 
     fn ask(&mut self) {
-        let parts = Parts { key: b"k", id: b"a", class: b"r", wait_ms: 900, ..Parts::default() };
+        let parts =
+            RequestParts { key: b"k", id: b"a", class: b"r", wait_ms: 900, ..RequestParts::default() };
         let command = OwnedRequest::compose(&parts).unwrap();
         self.engine.take(self.now, RequestId(1), Request::new(command, Key(1), 0, 900 * MS)).unwrap();
     }
--- a/crates/engine/tests/large.rs
+++ b/crates/engine/tests/large.rs
@@ -1,6 +1,6 @@
 //! A large value that is being passed on is not given up for what else happens to its transaction.
 
-use lapisrudder_codec::memcache::{OwnedRequest, Parts};
+use lapisrudder_codec::memcache::{OwnedRequest, RequestParts};
 use lapisrudder_decisions::{Class, Key, Listed, Micros, RequestId, Scope, ServerId, Settings};
 use lapisrudder_engine::{Answer, Answers, Config, Conn, Engine, Member, Order, Request};
 
@@ -66,7 +66,8 @@
         Member { listed, endpoint: ([127, 0, 0, 1], id as u16).into() }
     };
     engine.listed(Scope::Full, vec![member(1), member(2)]);
-    let parts = Parts { key: b"k", id: b"a1", class: b"read", wait_ms: 9000, ..Parts::default() };
+    let parts =
+        RequestParts { key: b"k", id: b"a1", class: b"read", wait_ms: 9000, ..RequestParts::default() };
     let command = OwnedRequest::compose(&parts).unwrap();
     let request = Request::new(command, Key(1), 0, 9_000_000);
     engine.take(10, RequestId(1), request).unwrap();
--- a/crates/engine/tests/turn.rs
+++ b/crates/engine/tests/turn.rs
@@ -1,6 +1,6 @@
 //! The order of things within one turn.
 
-use lapisrudder_codec::memcache::{OwnedRequest, Parts};
+use lapisrudder_codec::memcache::{OwnedRequest, RequestParts};
 use lapisrudder_decisions::{Class, Key, Listed, Mode, RequestId, Scope, ServerId, Settings};
 use lapisrudder_engine::{Answer, Config, Engine, Final, Limits, Member, Order, Request, TakeError};
 
@@ -22,7 +22,14 @@
 
 fn request(id: &str, write: bool) -> Request {
     let value = write.then_some(&b"v"[..]);
-    let parts = Parts { key: b"k", id: id.as_bytes(), class: b"r", wait_ms: 900, value, ..Parts::default() };
+    let parts = RequestParts {
+        key: b"k",
+        id: id.as_bytes(),
+        class: b"r",
+        wait_ms: 900,
+        value,
+        ..RequestParts::default()
+    };
     let command = OwnedRequest::compose(&parts).unwrap();
     Request::new(command, Key(1), 0, 900_000)
 }
--- a/crates/engine/tests/world/mod.rs
+++ b/crates/engine/tests/world/mod.rs
@@ -5,7 +5,7 @@
 
 pub use peer::{Manner, Peer};
 
-use lapisrudder_codec::memcache::{OwnedRequest, Parts};
+use lapisrudder_codec::memcache::{OwnedRequest, RequestParts};
 use lapisrudder_decisions::{
     Class, Effect, Key, Listed, Micros, Mode, RequestId, Scope, ServerId, Settings, Stage,
 };
@@ -245,13 +245,13 @@
         self.asked += 1;
         let id = format!("i{}", self.asked);
         let key_name = format!("k{key}");
-        let parts = Parts {
+        let parts = RequestParts {
             key: key_name.as_bytes(),
             id: id.as_bytes(),
             class: b"c",
             wait_ms: u64::from(wait_ms),
             value: write.then_some(&b"hi\r\n"[..]),
-            ..Parts::default()
+            ..RequestParts::default()
         };
         let command = OwnedRequest::compose(&parts).map_err(str::to_string)?;
         let due = self.now + Micros::from(wait_ms) * 1000;
--- a/crates/lab/src/load/policy.rs
+++ b/crates/lab/src/load/policy.rs
@@ -260,7 +260,7 @@
         let (status, declined, keep, body, used) =
             match http::parse_response(cx.net.input(conn), ended, LONGEST_BODY) {
                 Ok(None) if !ended => return,
-                Ok(Some((r, used))) => (r.status, r.declined, r.keep, r.body.into_owned(), used),
+                Ok(Some((r, used))) => (r.status, r.declined, r.keep_alive, r.body.into_owned(), used),
                 _ => return self.failed(cx, number, false, Answer::Failed),
             };
         cx.net.take(conn, used);
@@ -288,7 +288,7 @@
                     }
                     good
                 });
-                good.then_some((used, r.keep && !ended))
+                good.then_some((used, r.keep_alive && !ended))
             }
             _ => None,
         };
--- a/crates/lab/src/sim/catalog.rs
+++ b/crates/lab/src/sim/catalog.rs
@@ -170,7 +170,7 @@
             self.calls.insert(id, conn);
             caller.call = Some(id);
             let (ask, hold_ms) = match call {
-                Call::Whole => (Ask::Full, 0),
+                Call::Full => (Ask::Full, 0),
                 Call::Watch { from, hold_ms } => {
                     let hold = Micros::try_from(hold_ms).unwrap_or(0) * 1000;
                     (Ask::Watch { from, hold }, u32::try_from(hold_ms).unwrap_or(u32::MAX))
--- a/crates/lab/src/sim/front.rs
+++ b/crates/lab/src/sim/front.rs
@@ -5,7 +5,7 @@
 use super::sock::{Ending, Read, Sock};
 use crate::Micros;
 use bytes::Bytes;
-use lapisrudder_codec::memcache::{self, Command, MAX_LINE, MAX_WHOLE, OwnedRequest};
+use lapisrudder_codec::memcache::{self, Command, MAX_BUFFERED_VALUE, MAX_LINE, OwnedRequest};
 use lapisrudder_engine::Deadlines;
 use lapisrudder_limits::{
     Accepting, Activity, Admission, ConnId, Facts, Intake, Order, Resources, Ticket, Verdict,
@@ -24,7 +24,7 @@
 const PARTING: Micros = 100_000;
 const COPIED: usize = 8 << 10;
 const LOOK_AGAIN: Micros = 50_000;
-const SCRATCH: usize = 2 * (MAX_LINE + MAX_WHOLE + 2);
+const SCRATCH: usize = 2 * (MAX_LINE + MAX_BUFFERED_VALUE + 2);
 /// Request numbers of `mn`, which is no transaction.
 const READY: u64 = 1 << 63;
 
@@ -575,7 +575,7 @@
                             self.next_request += 1;
                             let number = self.next_request;
                             client.slots.push_back(Slot::Waiting(number));
-                            if let Some(command) = OwnedRequest::of(&request, raw) {
+                            if let Some(command) = OwnedRequest::copy_of(&request, raw) {
                                 self.news.push_back(News::Command { client: id, request: number, command });
                             }
                             None
--- a/crates/lab/src/sim/node.rs
+++ b/crates/lab/src/sim/node.rs
@@ -181,7 +181,7 @@
             host,
             engine: Engine::new(lapisrudder_engine::Config { settings, seed, limits }, now),
             front: Front::new(admission),
-            watch: Watch::new(config.discovery, config.remembered()),
+            watch: Watch::new(config.discovery, config.known_revision()),
             due: Deadlines::default(),
             ledger: Ledger::default(),
             flows: Flows::new(attempts),
@@ -590,7 +590,7 @@
     fn take(&mut self, client: u64, number: u64, command: OwnedRequest, cx: &mut Cx) {
         let now = cx.now;
         let request = command.get();
-        let name = request.named(b"c").unwrap_or_default();
+        let name = request.parameter(b"c").unwrap_or_default();
         let class = self.options.request_classes.iter().position(|c| c.name.as_bytes() == name);
         let Some(class) = class else {
             return self.front.reject(client, number, "unknown class", cx);
@@ -618,7 +618,7 @@
             }
         };
         let key = Key(digest(&String::from_utf8_lossy(request.key)));
-        let repeated = request.named(b"r") == Some(b"1");
+        let repeated = request.parameter(b"r") == Some(b"1");
         let id: Box<[u8]> = request.id.into();
         let request = Request { repeated, ..Request::new(command, key, class, due) };
         match self.engine.take(now, RequestId(number), request) {
--- a/crates/lab/src/sim/servers.rs
+++ b/crates/lab/src/sim/servers.rs
@@ -11,7 +11,7 @@
 use crate::stand::asked::{Asked, Input, next_input, spoil_of, word, word_busy};
 use crate::stand::missed::Missed;
 use crate::stand::server::Machine;
-use lapisrudder_codec::spoil::{self, Good, Protocol, Then};
+use lapisrudder_codec::corrupt::{self, Followup, Protocol, ValidResponse};
 use lapisrudder_model::mix::SplitMix;
 use lapisrudder_model::network::{Conn, FaultId, Host, Side};
 use lapisrudder_model::server::{
@@ -533,10 +533,10 @@
             Some(noise) => {
                 let Some(host) = self.hosts.get_mut(place) else { return };
                 let mut out = Vec::new();
-                let good = Good { protocol: speaks, bytes: &worded.bytes, id: &flow.asked.id };
-                let then = spoil::write(spoil_of(noise), good, &mut || host.noise.next_u64(), &mut out);
+                let good = ValidResponse { protocol: speaks, bytes: &worded.bytes, id: &flow.asked.id };
+                let then = corrupt::write(spoil_of(noise), good, &mut || host.noise.next_u64(), &mut out);
                 if let Some(talk) = host.talks.get_mut(&conn) {
-                    talk.noise |= then == Then::Noise;
+                    talk.noise |= then == Followup::Noise;
                     talk.stuck |= spoilt;
                 }
                 // What comes behind a good answer is no part of it, though it goes out with it.
--- a/crates/lab/src/stand/acts.rs
+++ b/crates/lab/src/stand/acts.rs
@@ -6,7 +6,7 @@
 use super::server::{Flow, Host, Machine};
 use crate::Micros;
 use crate::ledger::{ConnNo, RefusedWhy, ReqId, ServerEvent, ServerState};
-use lapisrudder_codec::spoil::{self, Good, Protocol, Then};
+use lapisrudder_codec::corrupt::{self, Followup, Protocol, ValidResponse};
 use lapisrudder_model::server::{
     Act, Answer, Answered, Begun, CloseKind, Effect, Event, Noise, Order, State,
 };
@@ -143,10 +143,10 @@
         let Some(noise) = noise else { return self.send(number, at, Out::Bytes(bytes, mark)) };
         let mut out = Vec::new();
         let Some(host) = self.host_mut(place) else { return };
-        let good = Good { protocol: speaks, bytes: &bytes, id: &asked.id };
-        let then = spoil::write(spoil_of(noise), good, &mut || host.noise.next_u64(), &mut out);
+        let good = ValidResponse { protocol: speaks, bytes: &bytes, id: &asked.id };
+        let then = corrupt::write(spoil_of(noise), good, &mut || host.noise.next_u64(), &mut out);
         self.send(number, at, Out::Bytes(out, mark));
-        if then == Then::Noise {
+        if then == Followup::Noise {
             self.send(number, at, Out::Noise);
         }
         if spoilt && let Some(flows) = self.flows(number) {
--- a/crates/lab/src/stand/asked.rs
+++ b/crates/lab/src/stand/asked.rs
@@ -2,9 +2,9 @@
 
 use crate::Micros;
 use crate::ledger::{self, ReqId, digest};
+use lapisrudder_codec::corrupt::{Corruption, Protocol};
 use lapisrudder_codec::http::server::{Method, Reply, parse_request, write_response};
 use lapisrudder_codec::memcache::{self, Command, MAX_VALUE, ReadNote, decimal, parse_command};
-use lapisrudder_codec::spoil::{Protocol, Spoil};
 use lapisrudder_model::server::{Answer, Answered, Noise, Note};
 use lapisrudder_model::value::{IdempotencyKey, Key, RequestId, make};
 
@@ -82,7 +82,7 @@
 
 /// What the list of names and values says of a request.
 fn asked(id: &[u8], key: &[u8], list: &[u8], value: Option<&[u8]>, classes: &[String]) -> Asked {
-    let named = |name: &[u8]| memcache::named(list, name);
+    let named = |name: &[u8]| memcache::parameter(list, name);
     let left = named(b"d").and_then(decimal::<Micros>);
     Asked {
         id: id.into(),
@@ -111,7 +111,10 @@
 
 fn from_http(input: &[u8], classes: &[String]) -> Result<Option<(Input, usize)>, &'static str> {
     let Some((ask, used)) = parse_request(input, MAX_VALUE)? else { return Ok(None) };
-    let say = |status, body: &[u8]| Input::Say { bytes: http(status, body, !ask.keep), last: !ask.keep };
+    let say = |status, body: &[u8]| Input::Say {
+        bytes: http(status, body, !ask.keep_alive),
+        last: !ask.keep_alive,
+    };
     let found = match (ask.method, ask.path.strip_prefix('/')) {
         (Method::Other, _) => say(405, b""),
         (Method::Get, Some("ping" | "_load")) => say(200, b"ok"),
@@ -119,7 +122,7 @@
         (method, Some(key)) => {
             let value = (method == Method::Put).then_some(&*ask.body);
             let asked = asked(ask.id, key.as_bytes(), ask.extra, value, classes);
-            Input::Request(Asked { last: !ask.keep, ..asked })
+            Input::Request(Asked { last: !ask.keep_alive, ..asked })
         }
     };
     Ok(Some((found, used)))
@@ -162,7 +165,7 @@
     let note = note.map(|note| match note {
         Note::Hit => ReadNote::Hit,
         Note::Miss => ReadNote::Fetched,
-        Note::MissOthersFetch => ReadNote::OthersFetch,
+        Note::MissOthersFetch => ReadNote::FetchInProgress,
     });
     let mut out = Vec::with_capacity(body.len() + 64);
     let worded = match answer {
@@ -190,20 +193,20 @@
 }
 
 /// The codec's name for a way to spoil an answer.
-pub(crate) fn spoil_of(noise: Noise) -> Spoil {
+pub(crate) fn spoil_of(noise: Noise) -> Corruption {
     match noise {
-        Noise::Garbage => Spoil::Garbage,
-        Noise::BadLine => Spoil::BadLine,
-        Noise::EndlessLine => Spoil::EndlessLine,
-        Noise::WrongLength => Spoil::WrongLength,
-        Noise::Huge => Spoil::Huge,
-        Noise::OtherId => Spoil::OtherId,
-        Noise::OtherValue => Spoil::OtherValue,
-        Noise::Cut => Spoil::Cut,
-        Noise::Interim => Spoil::Interim,
-        Noise::BadReport => Spoil::BadReport,
-        Noise::SecondCopy => Spoil::SecondCopy,
-        Noise::NoiseBehind => Spoil::NoiseBehind,
+        Noise::Garbage => Corruption::Garbage,
+        Noise::BadLine => Corruption::BadLine,
+        Noise::EndlessLine => Corruption::EndlessLine,
+        Noise::WrongLength => Corruption::WrongLength,
+        Noise::Huge => Corruption::Huge,
+        Noise::OtherId => Corruption::OtherId,
+        Noise::OtherValue => Corruption::OtherValue,
+        Noise::Cut => Corruption::Cut,
+        Noise::Interim => Corruption::Interim,
+        Noise::BadReport => Corruption::BadReport,
+        Noise::SecondCopy => Corruption::SecondCopy,
+        Noise::NoiseBehind => Corruption::NoiseBehind,
     }
 }
 
--- a/crates/lab/src/stand/conn.rs
+++ b/crates/lab/src/stand/conn.rs
@@ -6,7 +6,7 @@
 use super::way::Way;
 use crate::Micros;
 use crate::ledger::{Answer, Listed, ReqId, ServerNo};
-use lapisrudder_codec::spoil;
+use lapisrudder_codec::corrupt;
 use lapisrudder_model::discovery::CallId;
 use lapisrudder_model::mix::{SplitMix, spot};
 use lapisrudder_model::server::CloseKind;
@@ -192,7 +192,7 @@
                 Out::Close(kind) => return Wrote::Close(*kind),
                 Out::Noise => {
                     let mut bytes = Vec::with_capacity(NOISE.0);
-                    spoil::noise(NOISE.0, &mut || self.noise.next_u64(), &mut bytes);
+                    corrupt::noise(NOISE.0, &mut || self.noise.next_u64(), &mut bytes);
                     if self.socket.write(&bytes).is_err() {
                         return Wrote::Broken;
                     }
--- a/crates/lab/src/stand/discovery.rs
+++ b/crates/lab/src/stand/discovery.rs
@@ -145,14 +145,14 @@
             peer.talk = Talk::Discovery(Some(id));
         }
         let ask = match call {
-            Call::Whole => Ask::Full,
+            Call::Full => Ask::Full,
             Call::Watch { from, hold_ms } => {
                 Ask::Watch { from, hold: Micros::try_from(hold_ms).unwrap_or(0) * 1000 }
             }
         };
         let node = Self::node(view);
         let hold_ms = match call {
-            Call::Whole => 0,
+            Call::Full => 0,
             Call::Watch { hold_ms, .. } => u32::try_from(hold_ms).unwrap_or(u32::MAX),
         };
         self.tell_discovery(now, DiscoveryEvent::Called { node, hold_ms });
--- a/crates/lab/src/stand/server.rs
+++ b/crates/lab/src/stand/server.rs
@@ -8,7 +8,7 @@
 use super::run::{Role, Stand};
 use crate::Micros;
 use crate::ledger::{Answer as Told, CancelledIn, ConnNo, ServerEvent, ServerNo};
-use lapisrudder_codec::spoil::Protocol;
+use lapisrudder_codec::corrupt::Protocol;
 use lapisrudder_model::mix::SplitMix;
 use lapisrudder_model::origin::Origin;
 use lapisrudder_model::server::{
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -57,7 +57,7 @@
 impl From<Told> for Sources {
     fn from(told: Told) -> Sources {
         Sources {
-            environment: Environment::of_process(),
+            environment: Environment::from_process(),
             operators: told.config,
             arguments: Arguments { log_level: told.log_level, log_format: told.log_format },
         }
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -5,7 +5,7 @@
 use lapisrudder::permit::{Close, Denial};
 use lapisrudder::time_limits::HOLD_UP;
 use lapisrudder::{Micros, RequestId};
-use lapisrudder_codec::memcache::{MAX_LINE, MAX_WHOLE};
+use lapisrudder_codec::memcache::{MAX_BUFFERED_VALUE, MAX_LINE};
 use lapisrudder_io::{Look, Read, Written};
 use lapisrudder_limits::drain::State;
 use lapisrudder_limits::{Activity, ConnId};
@@ -39,7 +39,7 @@
 const COPIED: usize = 8 << 10;
 
 /// The room that one read needs at most: what is left of a command, and as much again to read into.
-pub const SCRATCH: usize = 2 * (MAX_LINE + MAX_WHOLE + 2);
+pub const SCRATCH: usize = 2 * (MAX_LINE + MAX_BUFFERED_VALUE + 2);
 
 /// A large value is read from its server while less than this is left of it for its client, or there is room for more
 /// of all clients'; and again from there on.
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -36,7 +36,7 @@
     #[error("name: {0}, and the fleet needs one")]
     Name(#[from] lapisrudder_membership::BadName),
     #[error("{}: {}", .0.key, .0.what)]
-    Keys(lapisrudder_config::Refusal),
+    Keys(lapisrudder_config::InvalidSetting),
 }
 
 impl Error {
@@ -132,7 +132,7 @@
         let mut rng = rand::rng();
         let config = Config {
             name,
-            at: section.reached_at(),
+            at: section.advertised_addr(),
             zone: section.zone.clone(),
             // Milliseconds since 1970, and chance where two begin within one. A clock that steps back is made up for.
             start: ((now / 1000) as u64) << 20 | u64::from(rng.random::<u32>() >> 12),
@@ -182,7 +182,7 @@
         for (key, differs) in [
             ("name", old.name != section.name),
             ("listen", old.listen != section.listen),
-            ("advertise", old.reached_at() != section.reached_at()),
+            ("advertise", old.advertised_addr() != section.advertised_addr()),
             ("zone", old.zone != section.zone),
             ("look", old.look != section.look),
         ] {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -203,7 +203,7 @@
     fn read(&mut self, until: Instant, node: &mut Node) {
         self.again = None;
         let path = self.sources.environment.config.as_deref().unwrap_or(Path::new(""));
-        let sound = |config: Config| config.platform.has_all_of(&self.force, path).map(|()| config);
+        let sound = |config: Config| config.platform.check_no_key_lost(&self.force, path).map(|()| config);
         match self.sources.reload().and_then(sound) {
             Ok(config) => {
                 self.force = config.platform.clone();
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -148,7 +148,7 @@
 impl Node {
     pub fn new(config: Config, handle: &Handle) -> Result<Node, super::Error> {
         let Config { platform: mut config, operators } = config;
-        let remembered = (config.remembered(), std::mem::take(&mut config.known));
+        let remembered = (config.known_revision(), std::mem::take(&mut config.known));
         let clock = Clock::default();
         let now = clock.now();
         let settings = config.options.on_sockets();
--- a/src/net/node/intake.rs
+++ b/src/net/node/intake.rs
@@ -6,7 +6,7 @@
 use lapisrudder::time_limits::RequestTime;
 use lapisrudder::wire::digest;
 use lapisrudder::{Micros, RequestId};
-use lapisrudder_codec::memcache::{MAX_WHOLE, OwnedRequest};
+use lapisrudder_codec::memcache::{MAX_BUFFERED_VALUE, OwnedRequest};
 use lapisrudder_engine::recorder::EndReason;
 use lapisrudder_engine::{LONGEST_HELD, Request, TakeError};
 use lapisrudder_limits::{Facts, Intake};
@@ -42,7 +42,7 @@
             return self.server.answer(client, id, &[b"SERVER_ERROR busy\r\n"], now);
         }
         let request = command.get();
-        let name = request.named(b"c").unwrap_or_default();
+        let name = request.parameter(b"c").unwrap_or_default();
         let Some(class) = self.classes.find(name, now) else {
             return self.server.reject(client, id, "unknown class", now);
         };
@@ -66,7 +66,7 @@
             "taken"
         );
         // Large values have a budget of their own.
-        let bytes = command.bytes().min(MAX_WHOLE);
+        let bytes = command.bytes().min(MAX_BUFFERED_VALUE);
         let facts = Facts { worth, left: due - now, bytes, class, recallable };
         let ticket = match self.server.intake(client, &facts, now) {
             Intake::Take { ticket } => ticket,
@@ -77,7 +77,7 @@
             }
         };
         let key = lapisrudder::Key(digest(&String::from_utf8_lossy(request.key)));
-        let repeated = request.named(b"r") == Some(b"1");
+        let repeated = request.parameter(b"r") == Some(b"1");
         let reserve = time.due - time.answer_by;
         let request = Request { repeated, reserve, ..Request::new(command, key, class, due) };
         match self.engine.take(now, id, request) {
--- a/src/net/node/report.rs
+++ b/src/net/node/report.rs
@@ -75,7 +75,7 @@
         let mut text = format!("#{}", id.0);
         if let Some(request) = self.engine.request(id) {
             let command = request.command.get();
-            let class = String::from_utf8_lossy(command.named(b"c").unwrap_or_default());
+            let class = String::from_utf8_lossy(command.parameter(b"c").unwrap_or_default());
             let name = String::from_utf8_lossy(command.id);
             let _ = write!(text, " id={name} class={class} left_ms={}", (request.due - now) / 1000);
         }
--- a/src/net/virtual_server.rs
+++ b/src/net/virtual_server.rs
@@ -594,7 +594,7 @@
                             let number = RequestId(self.next_request);
                             newest = Some(number);
                             client.slots.push_back(Slot::Waiting(number));
-                            if let Some(command) = OwnedRequest::of(&request, raw) {
+                            if let Some(command) = OwnedRequest::copy_of(&request, raw) {
                                 let news = News::Command { client: id, request: number, command, came_after };
                                 self.news.push_back(news);
                             }
@@ -629,7 +629,7 @@
             client.forget_arrival();
         }
         let rest = &buffer[taken..];
-        if let Some(total) = memcache::large_command(rest).filter(|_| client.room()) {
+        if let Some(total) = memcache::large_command_length(rest).filter(|_| client.room()) {
             let mut upload = Upload { bytes: rest.to_vec(), total, admitted: false };
             upload.admitted = self.uploads.ask(id, upload.needs());
             client.upload = Some(upload);
