--- a/crates/codec/src/catalog.rs
+++ b/crates/codec/src/catalog.rs
@@ -1,29 +1,30 @@
-//! Discovery's calls. Their answers are JSON, which belongs to whoever holds the list.
+//! The calls to discovery. The answers are JSON: the member lists that `lapisrudder_config` decodes.
 
-/// Where the list is.
+/// Path of the list of members.
 pub const PATH: &str = "/catalog/members";
 
-/// The longest that a watch may wait, in milliseconds.
+/// Maximum time for which discovery holds a watch open, in milliseconds.
 pub const MAX_HOLD_MS: u64 = 60_000;
 
-/// What a call asks for.
+/// A call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// The whole list, at once.
+    /// The complete list, answered immediately.
     Full,
-    /// A watch.
+    /// A watch (long poll), answered as soon as there is a version newer than `from`.
     Watch {
-        /// The version that the node has; something newer is waited for.
+        /// The version that the node has.
         from: u64,
-        /// How long, in milliseconds; [`MAX_HOLD_MS`] at most, 0 if it does not say.
+        /// How long to wait for a newer version, in milliseconds: at most [`MAX_HOLD_MS`], and 0 if not
+        /// stated.
         hold_ms: u64,
     },
 }
 
-/// What a path asks for.
+/// Parses the path and query of a request; `None` if it is not the path of the list.
 ///
 /// # Errors
-/// `None`: another path. `Some` error: a query that cannot be read; without `from` nothing else may be there.
+/// The query is invalid: a malformed or unknown parameter, or `hold_ms` without `from`.
 pub fn parse_path(path: &str) -> Option<Result<Call, &'static str>> {
     let query = match path.strip_prefix(PATH)? {
         "" => return Some(Ok(Call::Full)),
@@ -55,7 +56,7 @@
     use super::*;
 
     #[test]
-    fn calls_are_told_apart() {
+    fn parses_calls_and_rejects_invalid_queries() {
         let watch = |from, hold_ms| Some(Ok(Call::Watch { from, hold_ms }));
         let cases = [
             ("/catalog/members", Some(Ok(Call::Full))),
--- a/crates/codec/src/management.rs
+++ b/crates/codec/src/management.rs
@@ -1,24 +1,26 @@
-//! The operators' line protocol: one line to a connection, one line back that begins with `ok` or `fail`.
+//! The management protocol for operators: one call per connection, a line of text, answered by one line that
+//! begins with `ok` or `fail`.
 
 use std::fmt;
 
-/// Bytes of a call at the most, its end included. The longest call names a member, and ids are far shorter.
+/// Maximum length of a call in bytes, its line end included. The longest calls have a member's id, which is
+/// far shorter.
 pub const MAX_CALL: usize = 512;
 
-/// What an operator asks for.
+/// A management call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call<'a> {
-    /// Whether this process is ready to serve.
+    /// Asks whether this process is ready to serve.
     Status,
-    /// Take that member out.
+    /// Takes the member with this id out of service.
     MaintOn(&'a str),
-    /// That member may serve again.
+    /// Lets the member with this id serve again.
     MaintOff(&'a str),
-    /// Drain.
+    /// Starts a drain.
     Standby,
-    /// The end of the drain.
+    /// Ends the drain.
     Active,
-    /// Write the last steps of requests to the log.
+    /// Writes the most recent steps of requests to the log.
     History,
 }
 
@@ -35,34 +37,34 @@
     }
 }
 
-/// Why a call is none. Its text is what its caller is told.
+/// Why a call is invalid. The text is sent to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadCall {
     /// No line end within [`MAX_CALL`] bytes.
     #[error("line too long")]
     TooLong,
-    /// Its caller has left it without an end.
+    /// The caller closed the connection before the line end.
     #[error("the line has no end")]
     NoEnd,
-    /// Bytes that are no text.
+    /// The line is not UTF-8.
     #[error("not UTF-8")]
     NotText,
-    /// No such call.
+    /// The first word names no call.
     #[error("unknown call; status, maint-on ID, maint-off ID, standby, active and history are known")]
     Unknown,
-    /// A call that needs an id came without one.
+    /// A call that needs a member's id has none.
     #[error("the id is missing")]
     NoId,
-    /// More words than the call has.
+    /// More words than the call takes.
     #[error("surplus words")]
     Surplus,
 }
 
-/// The call at the start of a buffer, once its line end (LF or CRLF) has come; what stands behind is passed
-/// over.
+/// Parses the call at the start of a buffer; `None` until its line end (LF or CRLF) is there. Bytes after the
+/// line are ignored.
 ///
 /// # Errors
-/// The line is no call.
+/// The line is no valid call.
 pub fn parse(buffer: &[u8]) -> Result<Option<Call<'_>>, BadCall> {
     let Some(end) = buffer.iter().take(MAX_CALL).position(|b| *b == b'\n') else {
         return if buffer.len() >= MAX_CALL { Err(BadCall::TooLong) } else { Ok(None) };
@@ -82,12 +84,12 @@
 }
 
 /// The line that answers a call.
-pub fn answer(done: Result<impl fmt::Display, impl fmt::Display>) -> String {
-    // Guards the promise of one line: what is told may quote what was asked.
+pub fn answer(result: Result<impl fmt::Display, impl fmt::Display>) -> String {
+    // An answer may quote the call: without its control characters replaced it could take more than one line.
     let plain = |text: String| text.replace(char::is_control, "?");
-    match done {
-        Ok(what) => format!("ok {}\n", plain(what.to_string())),
-        Err(why) => format!("fail {}\n", plain(why.to_string())),
+    match result {
+        Ok(text) => format!("ok {}\n", plain(text.to_string())),
+        Err(reason) => format!("fail {}\n", plain(reason.to_string())),
     }
 }
 
@@ -96,7 +98,7 @@
     use super::*;
 
     #[test]
-    fn a_call_is_one_line_and_anything_else_is_told_apart() {
+    fn parses_single_line_calls_and_reports_invalid_ones() {
         let long = "x".repeat(MAX_CALL);
         type Case = (&'static [u8], Result<Option<Call<'static>>, BadCall>);
         let cases: [Case; 16] = [
--- a/crates/codec/tests/split_anywhere.rs
+++ b/crates/codec/tests/split_anywhere.rs
@@ -1,4 +1,4 @@
-//! Wherever the bytes of a stream are cut, its readers make the same of it.
+//! The parsers give the same messages and errors however the bytes of a stream are split into reads.
 
 use lapisrudder_codec::corrupt::{Corruption, Protocol, ValidResponse, noise, write};
 use lapisrudder_codec::http::{parse_response, server::parse_request};
@@ -6,9 +6,9 @@
 use proptest::prelude::*;
 use std::fmt::Debug;
 
-/// What an incremental reader makes of chunks: messages in order, then the error that ends it, if one does.
+/// Parses chunks incrementally: the messages in order, followed by the error that ended parsing, if any.
 fn read(chunks: &[&[u8]], parse: impl Fn(&[u8]) -> Parsed<String>) -> Vec<String> {
-    let (mut input, mut seen) = (Vec::new(), Vec::new());
+    let (mut input, mut parsed) = (Vec::new(), Vec::new());
     for chunk in chunks {
         input.extend_from_slice(chunk);
         loop {
@@ -16,21 +16,21 @@
                 Ok(Some((message, used))) => {
                     assert!(used > 0 && used <= input.len());
                     input.drain(..used);
-                    seen.push(message);
+                    parsed.push(message);
                 }
                 Ok(None) => break,
-                Err(why) => return [seen, vec![why.to_owned()]].concat(),
+                Err(error) => return [parsed, vec![error.to_owned()]].concat(),
             }
         }
     }
-    seen
+    parsed
 }
 
-fn told<T: Debug>(parsed: Parsed<T>) -> Parsed<String> {
+fn as_text<T: Debug>(parsed: Parsed<T>) -> Parsed<String> {
     Ok(parsed?.map(|(message, used)| (format!("{message:?}"), used)))
 }
 
-/// Some of the messages in a row, each perhaps damaged at one byte.
+/// One to five of the messages in a row, each with a probability of 0.1 that one byte is replaced.
 fn stream(messages: &'static [&'static str]) -> impl Strategy<Value = Vec<u8>> {
     let message =
         (0..messages.len(), prop::option::weighted(0.1, (any::<prop::sample::Index>(), any::<u8>())));
@@ -45,7 +45,7 @@
     prop::collection::vec(damaged, 1..6).prop_map(|all| all.concat())
 }
 
-fn cut<'a>(bytes: &'a [u8], cuts: &[prop::sample::Index]) -> Vec<&'a [u8]> {
+fn split<'a>(bytes: &'a [u8], cuts: &[prop::sample::Index]) -> Vec<&'a [u8]> {
     let mut at: Vec<usize> = cuts.iter().map(|cut| cut.index(bytes.len())).collect();
     at.extend([0, bytes.len()]);
     at.sort_unstable();
@@ -92,48 +92,50 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(400) })]
 
     #[test]
-    fn commands(bytes in stream(COMMANDS), cuts: [prop::sample::Index; 4]) {
-        let parse = |b: &[u8]| told(parse_command(b));
-        prop_assert_eq!(read(&cut(&bytes, &cuts), parse), read(&[&bytes], parse));
+    fn split_commands_parse_alike(bytes in stream(COMMANDS), cuts: [prop::sample::Index; 4]) {
+        let parse = |b: &[u8]| as_text(parse_command(b));
+        prop_assert_eq!(read(&split(&bytes, &cuts), parse), read(&[&bytes], parse));
     }
 
     #[test]
-    fn answers(bytes in stream(ANSWERS), cuts: [prop::sample::Index; 4], to_write: bool) {
-        let parse = |b: &[u8]| told(parse_answer(b, b"9", to_write));
-        prop_assert_eq!(read(&cut(&bytes, &cuts), parse), read(&[&bytes], parse));
+    fn split_answers_parse_alike(bytes in stream(ANSWERS), cuts: [prop::sample::Index; 4], to_write: bool) {
+        let parse = |b: &[u8]| as_text(parse_answer(b, b"9", to_write));
+        prop_assert_eq!(read(&split(&bytes, &cuts), parse), read(&[&bytes], parse));
     }
 
     #[test]
-    fn requests(bytes in stream(REQUESTS), cuts: [prop::sample::Index; 4]) {
-        let parse = |b: &[u8]| told(parse_request(b, 9));
-        prop_assert_eq!(read(&cut(&bytes, &cuts), parse), read(&[&bytes], parse));
+    fn split_requests_parse_alike(bytes in stream(REQUESTS), cuts: [prop::sample::Index; 4]) {
+        let parse = |b: &[u8]| as_text(parse_request(b, 9));
+        prop_assert_eq!(read(&split(&bytes, &cuts), parse), read(&[&bytes], parse));
     }
 
     #[test]
-    fn responses(bytes in stream(RESPONSES), cuts: [prop::sample::Index; 4]) {
-        let parse = |b: &[u8]| told(parse_response(b, false, 9));
-        prop_assert_eq!(read(&cut(&bytes, &cuts), parse), read(&[&bytes], parse));
+    fn split_responses_parse_alike(bytes in stream(RESPONSES), cuts: [prop::sample::Index; 4]) {
+        let parse = |b: &[u8]| as_text(parse_response(b, false, 9));
+        prop_assert_eq!(read(&split(&bytes, &cuts), parse), read(&[&bytes], parse));
     }
 
-    /// Also heads of any length, and each way to spoil an answer.
+    /// Each kind of corrupt response, followed by up to 40,000 random bytes (more than the limit of a head or
+    /// a line).
     #[test]
-    fn spoilt_and_long_ones(kind in prop::sample::select(&Corruption::ALL[..]), seed: u64, long in 0..40_000usize,
-                            cuts: [prop::sample::Index; 4]) {
+    fn split_corrupt_and_long_responses_parse_alike(kind in prop::sample::select(&Corruption::ALL[..]),
+                                                    seed: u64, noise_length in 0..40_000usize,
+                                                    cuts: [prop::sample::Index; 4]) {
         let mut state = seed;
         let mut draw = || { state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1); state >> 8 };
         let mut bytes = Vec::new();
-        let good = ValidResponse { protocol: Protocol::Http, bytes: RESPONSES[0].as_bytes(), id: b"9" };
-        write(kind, good, &mut draw, &mut bytes);
-        noise(long, &mut draw, &mut bytes);
+        let valid = ValidResponse { protocol: Protocol::Http, bytes: RESPONSES[0].as_bytes(), id: b"9" };
+        write(kind, valid, &mut draw, &mut bytes);
+        noise(noise_length, &mut draw, &mut bytes);
         bytes.extend_from_slice(b"\r\n\r\n");
-        let parse = |b: &[u8]| told(parse_response(b, false, 9));
-        prop_assert_eq!(read(&cut(&bytes, &cuts), parse), read(&[&bytes], parse));
+        let parse = |b: &[u8]| as_text(parse_response(b, false, 9));
+        prop_assert_eq!(read(&split(&bytes, &cuts), parse), read(&[&bytes], parse));
         let mut bytes = Vec::new();
-        let good = ValidResponse { protocol: Protocol::Memcache, bytes: ANSWERS[0].as_bytes(), id: b"9" };
-        write(kind, good, &mut draw, &mut bytes);
-        noise(long, &mut draw, &mut bytes);
+        let valid = ValidResponse { protocol: Protocol::Memcache, bytes: ANSWERS[0].as_bytes(), id: b"9" };
+        write(kind, valid, &mut draw, &mut bytes);
+        noise(noise_length, &mut draw, &mut bytes);
         bytes.extend_from_slice(b"\r\n");
-        let parse = |b: &[u8]| told(parse_answer(b, b"9", false));
-        prop_assert_eq!(read(&cut(&bytes, &cuts), parse), read(&[&bytes], parse));
+        let parse = |b: &[u8]| as_text(parse_answer(b, b"9", false));
+        prop_assert_eq!(read(&split(&bytes, &cuts), parse), read(&[&bytes], parse));
     }
 }
