--- a/crates/codec/tests/split_anywhere.rs
+++ b/crates/codec/tests/split_anywhere.rs
@@ -118,9 +118,10 @@
     /// Each kind of corrupt response, followed by up to 40,000 random bytes (more than the limit of a head or
     /// a line).
     #[test]
-    fn split_corrupt_and_long_responses_parse_alike(kind in prop::sample::select(&Corruption::ALL[..]),
-                                                    seed: u64, noise_length in 0..40_000usize,
-                                                    cuts: [prop::sample::Index; 4]) {
+    fn split_corrupt_and_long_responses_parse_alike(
+        kind in prop::sample::select(&Corruption::ALL[..]), seed: u64, noise_length in 0..40_000usize,
+        cuts: [prop::sample::Index; 4],
+    ) {
         let mut state = seed;
         let mut draw = || { state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1); state >> 8 };
         let mut bytes = Vec::new();
--- a/crates/config/src/effective.rs
+++ b/crates/config/src/effective.rs
@@ -1,4 +1,4 @@
-//! The settings that are in force, one by one, and where each came from.
+//! The settings in force as a flat list, each with its source.
 
 use crate::json;
 use crate::operators::Operators;
@@ -9,23 +9,23 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// Who says a setting.
+/// Who sets a setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Part {
-    /// The platform: variables and its JSON.
+pub enum Owner {
+    /// The platform, by environment variables and its JSON file.
     Platform,
-    /// The operators: their TOML and the command line.
+    /// The operators, by their TOML file and the command line.
     Operators,
 }
 
-/// Where a value came from.
+/// Where a value comes from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase", tag = "kind")]
 pub enum Source {
-    /// Nobody said anything.
+    /// It is the default.
     Default,
-    /// A variable of the environment.
+    /// An environment variable.
     Environment {
         /// Its name.
         variable: &'static str,
@@ -58,17 +58,18 @@
 /// One setting.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Setting {
-    /// Who says it.
-    pub part: Part,
-    /// Its key, as dotted words.
+    /// Who sets it.
+    #[serde(rename = "part")]
+    pub owner: Owner,
+    /// Its dotted key.
     pub key: String,
-    /// Its value; an array counts as one.
+    /// Its value; an array counts as one value.
     pub value: Value,
-    /// Where that came from.
+    /// Where the value comes from.
     pub source: Source,
 }
 
-/// Dotted keys and values of all that is no object.
+/// Appends the dotted keys and the values of everything that is not an object.
 fn flatten(value: Value, under: &str, out: &mut Vec<(String, Value)>) {
     match value {
         Value::Object(inner) => {
@@ -81,15 +82,15 @@
     }
 }
 
-/// Settings of any shape, flattened. What cannot be put in JSON is left out.
-fn flat(settings: &impl Serialize, under: &str) -> Vec<(String, Value)> {
+/// Settings of any shape as dotted keys and values. What cannot be converted to JSON is left out.
+fn flattened(settings: &impl Serialize, under: &str) -> Vec<(String, Value)> {
     let mut out = Vec::new();
     flatten(serde_json::to_value(settings).unwrap_or_default(), under, &mut out);
     out
 }
 
-/// What the platform says.
-pub(crate) fn of_platform(
+/// The platform's settings.
+pub(crate) fn platform_settings(
     platform: &Platform,
     text: &[u8],
     path: &Path,
@@ -99,7 +100,7 @@
         Some(line) => Source::File { file: path.into(), line },
         None => Source::Default,
     };
-    let or_file = |key: &str, variable: &'static str, said: &Option<String>| match said {
+    let variable_or_file = |key: &str, variable: &'static str, value: &Option<String>| match value {
         Some(_) => Source::Environment { variable },
         None => file(key),
     };
@@ -107,31 +108,32 @@
     let Environment { name, listen, discovery, management, .. } = environment;
     let at = platform.management.map_or_else(|| "none".to_string(), |at| at.to_string());
     let mut all = vec![
-        ("name", platform.name.as_str().into(), or_file("name", "EDGE_NAME", name)),
-        ("listen", platform.listen.to_string().into(), or_file("listen", "EDGE_LISTEN", listen)),
+        ("name", platform.name.as_str().into(), variable_or_file("name", "EDGE_NAME", name)),
+        ("listen", platform.listen.to_string().into(), variable_or_file("listen", "EDGE_LISTEN", listen)),
         (
             "discovery",
             platform.discovery.to_string().into(),
-            or_file("discovery", "EDGE_DISCOVERY", discovery),
+            variable_or_file("discovery", "EDGE_DISCOVERY", discovery),
         ),
-        ("management", at.into(), or_file("management", "EDGE_MANAGEMENT", management)),
+        ("management", at.into(), variable_or_file("management", "EDGE_MANAGEMENT", management)),
         ("seed", format!("{:x}", platform.seed).into(), file("seed")),
         ("limits.memory_mb", platform.memory_mb.into(), file("limits.memory_mb")),
         ("limits.sockets", platform.sockets.into(), file("limits.sockets")),
         ("known", known.into(), file("known")),
     ]
     .into_iter()
-    .map(|(key, value, source)| Setting { part: Part::Platform, key: key.into(), value, source })
+    .map(|(key, value, source)| Setting { owner: Owner::Platform, key: key.into(), value, source })
     .collect::<Vec<_>>();
-    all.extend(flat(&platform.options, "settings").into_iter().map(|(key, value)| {
+    all.extend(flattened(&platform.options, "settings").into_iter().map(|(key, value)| {
         let source = file(&key);
-        Setting { part: Part::Platform, key, value, source }
+        Setting { owner: Owner::Platform, key, value, source }
     }));
     all
 }
 
-/// What the operators say: by file (with the lines of the keys that it states) and by arguments.
-pub(crate) fn of_operators(
+/// The operators' settings. `lines` has the lines of the keys that their file sets, `arguments` the keys set
+/// on the command line with the argument's name.
+pub(crate) fn operator_settings(
     operators: &Operators,
     path: Option<&Path>,
     lines: &BTreeMap<String, usize>,
@@ -142,28 +144,28 @@
         (None, Some(path), Some(line)) => Source::File { file: path.into(), line: *line },
         _ => Source::Default,
     };
-    let all = flat(operators, "").into_iter();
-    all.map(|(key, value)| Setting { part: Part::Operators, source: source(&key), key, value }).collect()
+    let all = flattened(operators, "").into_iter();
+    all.map(|(key, value)| Setting { owner: Owner::Operators, source: source(&key), key, value }).collect()
 }
 
-/// The settings as TOML. The operators' part is a file that they could use, each key with its source behind it; the
-/// platform's part stands in comments before it.
+/// The settings as TOML. The operators' part is a valid operators' file in which a comment after each key
+/// names its source; the platform's part precedes it in comments.
 pub fn to_toml(settings: &[Setting]) -> String {
     let mut out = String::new();
     let line = |mark: &str, key: &str, setting: &Setting| {
         format!("{mark}{key} = {}  # {}\n", toml_value(&setting.value), setting.source)
     };
-    for setting in settings.iter().filter(|s| s.part == Part::Platform) {
+    for setting in settings.iter().filter(|s| s.owner == Owner::Platform) {
         out += &line("# platform: ", &setting.key, setting);
     }
-    let mut own: Vec<_> = settings.iter().filter(|s| s.part == Part::Operators).collect();
+    let mut operators: Vec<_> = settings.iter().filter(|s| s.owner == Owner::Operators).collect();
     let split = |s: &Setting| {
         let (table, key) = s.key.rsplit_once('.').unwrap_or(("", &s.key));
         (table.to_string(), key.to_string())
     };
-    own.sort_by_key(|s| split(s));
+    operators.sort_by_key(|s| split(s));
     let mut last = String::new();
-    for setting in own {
+    for setting in operators {
         let (table, key) = split(setting);
         if table != last {
             out += &format!("\n[{table}]\n");
@@ -177,7 +179,7 @@
 /// A value in TOML, on one line.
 fn toml_value(value: &Value) -> String {
     match value {
-        // JSON's escapes are TOML's.
+        // JSON's notation of these, escapes included, is valid TOML.
         Value::String(_) | Value::Bool(_) | Value::Number(_) => value.to_string(),
         Value::Null => "\"\"".into(),
         Value::Array(all) => {
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,4 +1,5 @@
-//! `[fleet]` of the operators' file: the node among its fellows. Without the section there is nothing of it.
+//! `[fleet]` of the operators' file: the node's membership in a fleet of nodes. Without the section the node
+//! is in none.
 
 use crate::operators::{InvalidSetting, Section};
 use lapisrudder_membership::{Key, MOST_SEEDS, Name, Settings};
@@ -6,36 +7,39 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-/// Keys of a file at a time: the one that seals, and the one before or after it.
-const MOST_KEYS: usize = 2;
+/// Maximum number of keys in a key file: the one that seals, and during a change of keys the previous or next
+/// one.
+const MAX_KEYS: usize = 2;
 
-/// Where a node meets the others of its fleet, and how many there are to be.
+/// How a node joins its fleet, and how many nodes the fleet has.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fleet {
-    /// The fleet's name. Datagrams of another one are passed over. Default `lapisrudder`.
+    /// The fleet's name. Datagrams of other fleets are ignored. Default `lapisrudder`.
     pub name: String,
-    /// Where datagrams of other nodes come in (UDP). Default `127.0.0.1:7946`.
+    /// The address on which datagrams of other nodes are received (UDP). Default `127.0.0.1:7946`.
     pub listen: SocketAddr,
-    /// Where others send them, if that is not where they come in.
+    /// The address to which other nodes send them, if it differs from `listen`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub advertise: Option<SocketAddr>,
-    /// Nodes to ask to be let in, at the start and whenever they are no members. Default none.
+    /// Nodes that this one asks to let it join, at the start and whenever they are no members. Default: none.
     pub seeds: Vec<SocketAddr>,
-    /// Nodes that there are to be: shares are never larger than those of so many. Default 1.
+    /// The expected number of nodes: this node's shares are never larger than those of one in so many nodes.
+    /// Default 1.
     pub expected: u32,
-    /// One that has left counts for shares for so many seconds more. Default 30.
+    /// For how many seconds a node that has left still counts when shares are computed. Default 30.
     pub hold_s: u32,
-    /// The node's zone, for others to see. Default none.
+    /// The node's zone, which it announces to the others. Default: none.
     pub zone: String,
-    /// A file with one key a line, 64 hexadecimal digits each, at most two: the first seals, both open. Without one only
-    /// loopback addresses may be used.
+    /// A file with one key per line, 64 hexadecimal digits each, at most two: the first seals datagrams, both
+    /// open them. Without a key file only loopback addresses may be used.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub key_file: Option<PathBuf>,
-    /// Where `lapisrudder fleet` looks inside (TCP, on loopback). Without one it cannot.
+    /// The address on which `lapisrudder fleet` reads the node's view of the fleet (TCP, on loopback).
+    /// Default: none, and the command does not work.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub look: Option<SocketAddr>,
-    /// Timers and numbers of the protocol.
+    /// Timers and counts of the membership protocol.
     pub timing: Settings,
 }
 
@@ -57,35 +61,35 @@
 }
 
 impl Fleet {
-    /// Where others reach the node.
+    /// The address to which other nodes send datagrams for this one.
     #[must_use]
     pub fn advertised_addr(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
 
-    /// The keys in the file that it names; none where it names none.
+    /// The keys in the key file; none if there is no key file.
     ///
     /// # Errors
-    /// The file cannot be read, or a line of it is no key.
+    /// The file cannot be read, a line of it is no key, or it has no key or more than two.
     pub fn keys(&self) -> Result<Vec<Key>, InvalidSetting> {
         let Some(path) = &self.key_file else { return Ok(Vec::new()) };
         let text = lapisrudder_io::read_text(path)
-            .map_err(|e| refusal("key_file", format!("cannot read {}: {e}", path.display())))?;
+            .map_err(|e| invalid("key_file", format!("cannot read {}: {e}", path.display())))?;
         let lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
         let keys: Vec<Key> = lines
             .map(|(n, line)| {
                 let what = format!("{}:{}: a key is 64 hexadecimal digits", path.display(), n + 1);
-                key(line.trim()).ok_or_else(|| refusal("key_file", what))
+                parse_key(line.trim()).ok_or_else(|| invalid("key_file", what))
             })
             .collect::<Result<_, _>>()?;
         match keys.len() {
-            1..=MOST_KEYS => Ok(keys),
-            n => Err(refusal("key_file", format!("{} has {n} keys, not 1 or 2", path.display()))),
+            1..=MAX_KEYS => Ok(keys),
+            n => Err(invalid("key_file", format!("{} has {n} keys, not 1 or 2", path.display()))),
         }
     }
 }
 
-fn key(text: &str) -> Option<Key> {
+fn parse_key(text: &str) -> Option<Key> {
     let mut key = Key::default();
     if text.len() != 2 * key.len() || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
         return None;
@@ -96,41 +100,41 @@
     Some(key)
 }
 
-fn refusal(key: &str, what: String) -> InvalidSetting {
+fn invalid(key: &str, what: String) -> InvalidSetting {
     InvalidSetting { key: format!("fleet.{key}"), what }
 }
 
 impl Section for Fleet {
     fn check(&self) -> Result<(), InvalidSetting> {
         if let Err(e) = self.name.parse::<Name>() {
-            return Err(refusal("name", e.to_string()));
+            return Err(invalid("name", e.to_string()));
         }
         if self.zone.len() > 32 || !self.zone.bytes().all(|b| b.is_ascii_graphic()) {
-            return Err(refusal(
+            return Err(invalid(
                 "zone",
                 format!("{:?} must have at most 32 visible ASCII characters", self.zone),
             ));
         }
         if !(1..=100_000).contains(&self.expected) {
-            return Err(refusal("expected", format!("{} is not within 1 to 100000", self.expected)));
+            return Err(invalid("expected", format!("{} is not within 1 to 100000", self.expected)));
         }
         if self.hold_s > 86_400 {
-            return Err(refusal("hold_s", format!("{} is not within 0 to 86400", self.hold_s)));
+            return Err(invalid("hold_s", format!("{} is not within 0 to 86400", self.hold_s)));
         }
         if self.seeds.len() > MOST_SEEDS {
-            return Err(refusal("seeds", format!("{} are more than {MOST_SEEDS}", self.seeds.len())));
+            return Err(invalid("seeds", format!("{} are more than {MOST_SEEDS}", self.seeds.len())));
         }
-        let unreachable =
+        let cannot_be_sent_to =
             |at: &SocketAddr| at.port() == 0 || at.ip().is_unspecified() || at.ip().is_multicast();
-        if unreachable(&self.advertised_addr()) {
+        if cannot_be_sent_to(&self.advertised_addr()) {
             let key = if self.advertise.is_some() { "advertise" } else { "listen" };
-            return Err(refusal(key, format!("others cannot send to {}", self.advertised_addr())));
+            return Err(invalid(key, format!("others cannot send to {}", self.advertised_addr())));
         }
-        if let Some(seed) = self.seeds.iter().find(|at| unreachable(at)) {
-            return Err(refusal("seeds", format!("nobody can send to {seed}")));
+        if let Some(seed) = self.seeds.iter().find(|at| cannot_be_sent_to(at)) {
+            return Err(invalid("seeds", format!("nobody can send to {seed}")));
         }
         if let Some(look) = self.look.filter(|at| !at.ip().is_loopback()) {
-            return Err(refusal("look", format!("{look} is not on loopback")));
+            return Err(invalid("look", format!("{look} is not on loopback")));
         }
         let reached = self.advertised_addr();
         for (key, at) in [("listen", &self.listen), ("advertise", &reached)]
@@ -138,7 +142,7 @@
             .chain(self.seeds.iter().map(|at| ("seeds", at)))
         {
             if self.key_file.is_none() && !at.ip().is_loopback() {
-                return Err(refusal(key, format!("{at} is not on loopback: that needs a key_file")));
+                return Err(invalid(key, format!("{at} is not on loopback: that needs a key_file")));
             }
         }
         self.timing
@@ -155,7 +159,7 @@
     use std::path::Path;
 
     #[test]
-    fn each_bad_value_is_told_with_its_line_and_key() {
+    fn each_invalid_value_is_reported_with_its_line_and_key() {
         let dir = std::env::temp_dir().join(format!("lapisrudder-keys-{}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
         let file = |name: &str, text: &str| {
@@ -191,9 +195,9 @@
             (&format!("key_file = \"{many}\""), &format!("fleet.key_file: {many} has 3 keys, not 1 or 2")),
             (&format!("key_file = \"{none}\""), &format!("fleet.key_file: {none} has 0 keys, not 1 or 2")),
         ] {
-            let told = Operators::parse(&format!("[fleet]\n{line}\n"), Path::new("t")).expect_err(line);
+            let problems = Operators::parse(&format!("[fleet]\n{line}\n"), Path::new("t")).expect_err(line);
             assert_eq!(
-                told.iter().map(ToString::to_string).collect::<Vec<_>>(),
+                problems.iter().map(ToString::to_string).collect::<Vec<_>>(),
                 [format!("t:2: {expected}")]
             );
         }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,9 @@
-//! What a node is told, checked: by the platform (variables and JSON), by its operators (TOML), and on the command
-//! line. [`Sources`] names them all and loads them; each problem is one line with file, line and key.
+//! A node's configuration, checked: the platform's part (environment variables and JSON), the operators' part
+//! (TOML), and the command line. [`Sources`] names these and loads them. Each problem is reported as one line with
+//! file, line and key.
 //!
-//! This crate only reads and checks. It does not decide what a setting does, it watches no file, and it keeps
-//! nothing: who wants to know again loads again.
+//! The crate only reads and checks. It does not implement what a setting does, does not watch files, and keeps no
+//! state: to see changes, callers load again.
 //!
 //! ```
 //! use lapisrudder_config::{Level, Operators};
@@ -29,12 +30,12 @@
 mod sections;
 mod sources;
 
-pub use effective::{Part, Setting, Source, to_toml};
+pub use effective::{Owner, Setting, Source, to_toml};
 pub use fleet::Fleet;
 pub use members::{ListError, MemberList, Target};
 pub use operators::{InvalidSetting, Operators, Section};
 pub use options::{Bounds, Customer, FamilyInfo, Options, RequestClass, Rules, digest, micros};
-pub use platform::{Environment, LEAST_SOCKETS, Platform};
-pub use problem::{Fault, Place, Problem, Problems};
-pub use sections::{Format, Level, Log, NoSuchWord};
+pub use platform::{Environment, MIN_SOCKETS, Platform};
+pub use problem::{Location, Problem, ProblemKind, Problems};
+pub use sections::{Format, Level, Log, UnknownWord};
 pub use sources::{Arguments, Config, Sources};
--- a/crates/config/src/members.rs
+++ b/crates/config/src/members.rs
@@ -1,4 +1,4 @@
-//! Discovery's lists of pool members, as it answers and as a node remembers them.
+//! Discovery's lists of pool members: its answers, and the list that a node remembers.
 
 use crate::options::{Options, digest};
 use lapisrudder_decisions::{Listed, Micros, ServerId, Stage};
@@ -6,61 +6,61 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A pool member as discovery has it.
+/// A pool member as discovery lists it.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// What the decisions take of it.
+    /// The properties that the decisions use.
     pub listed: Listed,
-    /// Where it answers.
+    /// The member's address.
     pub endpoint: SocketAddr,
 }
 
-/// One answer of discovery, or the remembered list, checked.
+/// An answer of discovery, or the remembered list, checked.
 #[derive(Clone, Debug, Default)]
 pub struct MemberList {
-    /// The version of the list that this brings it to.
+    /// The version of the list after this answer.
     pub revision: u64,
-    /// This is all of the list, and not only what changed.
+    /// Whether this is the complete list, and not only its changes.
     pub all: bool,
-    /// The members named.
+    /// The members in it.
     pub targets: Vec<Target>,
 }
 
-/// What is wrong with a list. Nothing of a bad one may be used.
+/// What is wrong with a list. An invalid list must not be used, not even in part.
 #[derive(Debug, Error)]
 pub enum ListError {
-    /// It cannot be read at all.
+    /// It is not valid JSON, or a value has the wrong type.
     #[error("bad JSON: {0}")]
     Json(#[from] simd_json::Error),
-    /// A member's state is none that there is.
+    /// A member's state is unknown.
     #[error("{uid}: unknown state {state:?}")]
     State {
         /// The member.
         uid: String,
-        /// What stands there.
+        /// The value found.
         state: String,
     },
-    /// A member's address is none.
+    /// A member's address is invalid.
     #[error("{uid}: bad endpoint {endpoint:?}")]
     Endpoint {
         /// The member.
         uid: String,
-        /// What stands there.
+        /// The value found.
         endpoint: String,
     },
-    /// A member's zone or kind is not among those that the settings name.
+    /// A member's zone or kind is not one of those in the settings.
     #[error("{uid}: unknown {what} {name:?}")]
     Name {
         /// The member.
         uid: String,
         /// `az` or `model`.
         what: &'static str,
-        /// What stands there.
+        /// The value found.
         name: String,
     },
 }
 
-/// A list as it is written.
+/// A list as it is written in JSON.
 #[derive(Deserialize, Default)]
 pub(crate) struct RawList {
     #[serde(default)]
@@ -88,38 +88,38 @@
 }
 
 impl MemberList {
-    /// Decodes discovery's JSON, in place. `options` tell the names of zones and kinds.
+    /// Decodes discovery's JSON, in place. `options` has the names of zones and kinds.
     ///
     /// # Errors
-    /// The first thing that is wrong, with the member in question.
+    /// The first problem, with the member that it is about.
     pub fn decode(text: &mut [u8], options: &Options) -> Result<MemberList, ListError> {
         MemberList::check(simd_json::from_slice(text)?, options)
     }
 
     pub(crate) fn check(raw: RawList, options: &Options) -> Result<MemberList, ListError> {
-        let targets = raw.targets.into_iter().map(|t| target(t, options)).collect::<Result<_, _>>()?;
+        let targets = raw.targets.into_iter().map(|t| member_target(t, options)).collect::<Result<_, _>>()?;
         Ok(MemberList { revision: raw.rev, all: raw.all, targets })
     }
 }
 
-fn target(t: RawTarget, options: &Options) -> Result<Target, ListError> {
+fn member_target(t: RawTarget, options: &Options) -> Result<Target, ListError> {
     let stage = match t.state.as_str() {
         "up" => Stage::Live,
         "draining" => Stage::Draining,
         "removed" => Stage::Gone,
         _ => return Err(ListError::State { uid: t.uid, state: t.state }),
     };
-    let index = |names: &[String], name: &str, what: &'static str| {
-        let place = names.iter().position(|n| n == name).map(|i| i as u32);
-        place.ok_or_else(|| ListError::Name { uid: t.uid.clone(), what, name: name.into() })
+    let index_of = |names: &[String], name: &str, what: &'static str| {
+        let index = names.iter().position(|n| n == name).map(|i| i as u32);
+        index.ok_or_else(|| ListError::Name { uid: t.uid.clone(), what, name: name.into() })
     };
     let Ok(endpoint) = t.endpoint.parse() else {
         return Err(ListError::Endpoint { uid: t.uid, endpoint: t.endpoint });
     };
     let listed = Listed {
         server: ServerId(digest(&t.uid)),
-        zone: index(&options.zones, &t.az, "az")?,
-        kind: index(&options.host_types, &t.model, "model")?,
+        zone: index_of(&options.zones, &t.az, "az")?,
+        kind: index_of(&options.host_types, &t.model, "model")?,
         cell: t.pod_group,
         stage,
         weight: t.capacity_hint.unwrap_or(1.0),
--- a/crates/config/src/operators.rs
+++ b/crates/config/src/operators.rs
@@ -1,9 +1,9 @@
-//! The operators' file: TOML, a section for each subsystem. A key that is left out has its default, one that
-//! there is not is refused.
+//! The operators' file: TOML with one section per subsystem. A key that is left out has its default; an
+//! unknown key is an error.
 
 use crate::fleet::Fleet;
 use crate::json::line_at;
-use crate::problem::{Fault, Place, Problem};
+use crate::problem::{Location, Problem, ProblemKind};
 use crate::sections::Log;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -14,43 +14,43 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// So much of a line is shown that is no TOML: there is no key to name.
-const SHOWN: usize = 60;
+/// A TOML syntax error has no key to name, so it quotes the line, up to this many characters.
+const MAX_SHOWN: usize = 60;
 
-/// Keys that there were once, and what to do with them.
+/// Keys that were removed, and what to do about them.
 const REMOVED: [(&str, &str); 1] = [(
     "limits.overload.give_up_late",
     "was removed: requests in hand are never given up for others; take the line out",
 )];
 
-/// Why a section refuses a value that has the right type.
+/// A setting of the right type whose value its section does not allow.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidSetting {
-    /// The key, as dotted words from the section's name on.
+    /// The dotted key, starting with the section's name.
     pub key: String,
     /// What is wrong, in one line.
     pub what: String,
 }
 
-/// A section of the operators' file. A subsystem's settings become one by this trait: all keys with defaults,
-/// unknown ones refused by serde, and the rest checked here.
+/// A section of the operators' file: a subsystem's settings. All keys have defaults, serde rejects unknown
+/// keys and wrong types, and [`Section::check`] does the rest.
 pub trait Section {
-    /// Refuses the first value that is out of range or contradicts another.
+    /// Checks that all values are within range and do not contradict each other.
     ///
     /// # Errors
-    /// The key in question, and what is wrong.
+    /// The first value that is not allowed.
     fn check(&self) -> Result<(), InvalidSetting>;
 }
 
-/// All that the operators' file may say.
+/// All settings of the operators' file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, expecting = "tables")]
 pub struct Operators {
-    /// `[limits]`: who gets in, and who keeps room.
+    /// `[limits]`: admission control, which limits connections and requests.
     pub limits: lapisrudder_limits::Settings,
-    /// `[log]`: what is told, and how.
+    /// `[log]`: what is logged, and how.
     pub log: Log,
-    /// `[fleet]`: the other nodes. Without the section this one knows of none.
+    /// `[fleet]`: the node's membership in a fleet of nodes. Without the section it knows no other nodes.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub fleet: Option<Fleet>,
 }
@@ -65,79 +65,83 @@
 }
 
 impl Operators {
-    /// Reads the file's text; gives the settings, and the line of each key that it states.
+    /// Parses the file's text into the settings and the line of each key that it sets.
     ///
     /// # Errors
-    /// All that is wrong, in the order of the lines.
+    /// All problems, in the order of their lines.
     pub fn parse(text: &str, path: &Path) -> Result<(Operators, BTreeMap<String, usize>), Vec<Problem>> {
         read(text, path)
     }
 }
 
-/// Reads any sections.
+/// Parses a file of any sections.
 fn read<T: Section + DeserializeOwned>(
     text: &str,
     path: &Path,
 ) -> Result<(T, BTreeMap<String, usize>), Vec<Problem>> {
-    let problem = |span: Option<Range<usize>>, key: String, fault: Fault| Problem {
-        place: Place::File { path: path.into(), line: span.map(|s| line_at(text, s.start)) },
+    let problem = |span: Option<Range<usize>>, key: String, kind: ProblemKind| Problem {
+        location: Location::File { path: path.into(), line: span.map(|s| line_at(text, s.start)) },
         key,
-        fault,
+        kind,
     };
-    let (root, broken) = DeTable::parse_recoverable(text);
-    if !broken.is_empty() {
-        let bad = |e: toml::de::Error| {
+    let (root, errors) = DeTable::parse_recoverable(text);
+    if !errors.is_empty() {
+        let syntax_problem = |e: toml::de::Error| {
             let at = e.span().map_or(0, |s| line_at(text, s.start));
-            let said = text.lines().nth(at.saturating_sub(1)).unwrap_or_default().trim();
-            let said: String = said.chars().take(SHOWN).collect();
-            problem(e.span(), String::new(), Fault::Toml(format!("{} in `{said}`", e.message())))
+            let line = text.lines().nth(at.saturating_sub(1)).unwrap_or_default().trim();
+            let line: String = line.chars().take(MAX_SHOWN).collect();
+            problem(e.span(), String::new(), ProblemKind::Toml(format!("{} in `{line}`", e.message())))
         };
-        return Err(one_a_line(broken.into_iter().map(bad).collect()));
+        return Err(one_per_line(errors.into_iter().map(syntax_problem).collect()));
     }
     let stated = entries(&root);
     let mut problems = Vec::new();
-    let mut without = Vec::<&Entry>::new();
-    // An entry that is refused is left out, and the rest read again, so that all problems are told at once.
+    let mut left_out = Vec::<&Entry>::new();
+    // serde stops at the first error. The entry in question is left out and the rest is read again, so that
+    // all problems are reported together.
     loop {
         let mut table = root.get_ref().clone();
-        without.iter().for_each(|e| remove(&mut table, &e.path));
-        let read = T::deserialize(toml::de::Deserializer::from(Spanned::new(root.span(), table)));
-        let (span, key, what) = match read {
+        left_out.iter().for_each(|e| remove(&mut table, &e.path));
+        let result = T::deserialize(toml::de::Deserializer::from(Spanned::new(root.span(), table)));
+        let (span, key, what) = match result {
             Err(e) => (e.span(), None, e.message().to_string()),
             Ok(settings) => match settings.check() {
                 Ok(()) if problems.is_empty() => {
-                    // The first of a path is the key itself, before what is in its array.
+                    // Keys within an array share its path. Reversed, so that the first entry of a path, which
+                    // is the key itself, overwrites the others.
                     let line = |e: &Entry| (e.path.join("."), line_at(text, e.key.start));
                     return Ok((settings, stated.iter().rev().map(line).collect()));
                 }
-                Ok(()) => return Err(one_a_line(problems)),
+                Ok(()) => return Err(one_per_line(problems)),
                 Err(InvalidSetting { key, what }) => (None, Some(key), what),
             },
         };
-        let left = stated.iter().filter(|e| !without.iter().any(|w| e.is_in(w)));
+        let remaining = stated.iter().filter(|e| !left_out.iter().any(|w| e.is_within(w)));
         let entry = match &key {
-            Some(key) => left.filter(|e| e.is(key)).min_by_key(|e| Reverse(e.path.len())),
-            None => {
-                left.filter_map(|e| Some((e.around(span.as_ref()?)?, e))).min_by_key(|(w, _)| *w).map(|w| w.1)
-            }
+            Some(key) => remaining.filter(|e| e.names(key)).min_by_key(|e| Reverse(e.path.len())),
+            None => remaining
+                .filter_map(|e| Some((e.enclosing_length(span.as_ref()?)?, e)))
+                .min_by_key(|(w, _)| *w)
+                .map(|w| w.1),
         };
         let Some(entry) = entry else {
-            // It is about a default, or about the file as a whole: there is nothing to leave out.
-            problems.push(problem(span, key.unwrap_or_default(), Fault::Refused(what)));
-            return Err(one_a_line(problems));
+            // The problem is about a default or about the whole file: there is no entry to leave out.
+            problems.push(problem(span, key.unwrap_or_default(), ProblemKind::InvalidSetting(what)));
+            return Err(one_per_line(problems));
         };
         let key = key.unwrap_or_else(|| entry.path.join("."));
         let removed = REMOVED.iter().find(|(old, _)| *old == key);
         let what = removed.map_or(what, |(_, why)| (*why).to_string());
-        // Left out, a key may still contradict another by its default: that was told.
+        // The default of a key that was left out may contradict another key, too. The key was reported
+        // already.
         if problems.iter().all(|p| p.key != key) {
-            problems.push(problem(Some(entry.key.clone()), key, Fault::Refused(what)));
+            problems.push(problem(Some(entry.key.clone()), key, ProblemKind::InvalidSetting(what)));
         }
-        without.push(entry);
+        left_out.push(entry);
     }
 }
 
-/// A key of the file, and where it and its value stand.
+/// A key of the file, and the byte ranges of the key and of its value.
 struct Entry {
     path: Vec<String>,
     key: Range<usize>,
@@ -145,18 +149,20 @@
 }
 
 impl Entry {
-    fn is_in(&self, other: &Entry) -> bool {
+    fn is_within(&self, other: &Entry) -> bool {
         self.path.starts_with(&other.path)
     }
 
-    /// It is what a dotted key names, or a table that it is in: `a.b` holds `a.b.c`, stated or not.
-    fn is(&self, key: &str) -> bool {
+    /// Whether a dotted key names this entry or something in it: the entry `a.b` holds `a.b.c`, even if that
+    /// is not in the file.
+    fn names(&self, key: &str) -> bool {
         let own = self.path.join(".");
         key == own || key.strip_prefix(&own).is_some_and(|rest| rest.starts_with('.'))
     }
 
-    /// The length of what there is of it around a span, if anything: the less, the nearer.
-    fn around(&self, span: &Range<usize>) -> Option<usize> {
+    /// The length of the key or value that encloses the start of a span, if one does. The entry with the
+    /// shortest one is the innermost.
+    fn enclosing_length(&self, span: &Range<usize>) -> Option<usize> {
         [&self.key, &self.value]
             .into_iter()
             .filter(|own| own.contains(&span.start))
@@ -165,26 +171,27 @@
     }
 }
 
-/// All keys, tables before what is in them. Keys within an array stand under its path: it counts as one value.
+/// All keys, each table before its content. Keys within an array have the array's path: it counts as one
+/// value.
 fn entries(root: &Spanned<DeTable<'_>>) -> Vec<Entry> {
-    fn add(value: &DeValue<'_>, under: &[String], in_array: bool, all: &mut Vec<Entry>) {
+    fn add_value(value: &DeValue<'_>, under: &[String], in_array: bool, entries: &mut Vec<Entry>) {
         match value {
-            DeValue::Table(table) => add_all(table, under, in_array, all),
-            DeValue::Array(array) => array.iter().for_each(|v| add(v.get_ref(), under, true, all)),
+            DeValue::Table(table) => add_table(table, under, in_array, entries),
+            DeValue::Array(array) => array.iter().for_each(|v| add_value(v.get_ref(), under, true, entries)),
             _ => {}
         }
     }
-    fn add_all(table: &DeTable<'_>, under: &[String], in_array: bool, all: &mut Vec<Entry>) {
+    fn add_table(table: &DeTable<'_>, under: &[String], in_array: bool, entries: &mut Vec<Entry>) {
         for (key, value) in table {
             let mut path = under.to_vec();
             path.extend(Some(key.get_ref().to_string()).filter(|_| !in_array));
-            all.push(Entry { path: path.clone(), key: key.span(), value: value.span() });
-            add(value.get_ref(), &path, in_array, all);
+            entries.push(Entry { path: path.clone(), key: key.span(), value: value.span() });
+            add_value(value.get_ref(), &path, in_array, entries);
         }
     }
-    let mut all = Vec::new();
-    add_all(root.get_ref(), &[], false, &mut all);
-    all
+    let mut entries = Vec::new();
+    add_table(root.get_ref(), &[], false, &mut entries);
+    entries
 }
 
 fn remove(table: &mut DeTable<'_>, path: &[String]) {
@@ -197,11 +204,12 @@
     }
 }
 
-/// In the order of the lines, and one for each: what follows on the same line is mostly a consequence.
-fn one_a_line(mut problems: Vec<Problem>) -> Vec<Problem> {
-    let line = |p: &Problem| match p.place {
-        Place::File { line, .. } => line,
-        Place::Variable(_) => None,
+/// Sorts problems by line and keeps the first of each line: others on the same line are mostly its
+/// consequences.
+fn one_per_line(mut problems: Vec<Problem>) -> Vec<Problem> {
+    let line = |p: &Problem| match p.location {
+        Location::File { line, .. } => line,
+        Location::Variable(_) => None,
     };
     problems.sort_by_key(line);
     problems.dedup_by(|b, a| line(a).is_some() && line(a) == line(b));
@@ -212,7 +220,8 @@
 mod tests {
     use super::*;
 
-    /// A section as subsystems have them: tables in tables, arrays of tables, keys that depend on each other.
+    /// A section with what subsystems use: nested tables, arrays of tables, and keys that depend on each
+    /// other.
     #[derive(Debug, Default, Deserialize)]
     #[serde(default, deny_unknown_fields)]
     struct Toy {
@@ -254,7 +263,7 @@
     }
 
     #[test]
-    fn keys_in_tables_and_arrays_are_found_though_they_are_not_stated() {
+    fn problems_name_keys_in_tables_and_arrays_even_if_not_set() {
         for (text, expected) in [
             ("[room]\nmost = 5\n", "t:1: room.least must not be above room.most"),
             ("[room]\nmost = 5\nleast = 6\n", "t:3: room.least must not be above room.most"),
@@ -274,9 +283,9 @@
                  `most`|t:4: weights: unknown field `height`, expected `prefix` or `weight`",
             ),
         ] {
-            let told = read::<Toy>(text, Path::new("t")).expect_err(text);
-            let told: Vec<String> = told.iter().map(Problem::to_string).collect();
-            assert_eq!(told.join("|"), expected, "{text}");
+            let problems = read::<Toy>(text, Path::new("t")).expect_err(text);
+            let problems: Vec<String> = problems.iter().map(Problem::to_string).collect();
+            assert_eq!(problems.join("|"), expected, "{text}");
         }
     }
 }
--- a/crates/config/src/options.rs
+++ b/crates/config/src/options.rs
@@ -1,50 +1,51 @@
-//! The settings that the platform gives each instance, in its names and units: the same object in a node's
+//! The settings that the platform gives each node, with its names and units: the same JSON object in a node's
 //! configuration and in the first message on the simulator's wire.
 //!
-//! Every key may be left out, and what this build does not know is passed over: the platform may be newer.
+//! Every key is optional here, and unknown keys are ignored, since the platform may be newer than this build.
+//! (A node's configuration requires some of the keys, see [`Platform::parse`](crate::Platform::parse).)
 
 use lapisrudder_decisions::{Budget, Class, Effect, Group, Micros, Mode, Settings, Tenant};
 use rustc_hash::FxHasher;
 use serde::{Deserialize, Serialize};
 use std::hash::Hasher;
 
-/// Seconds, as the settings tell times, to the decisions' unit.
+/// Converts seconds, the settings' unit of time, to microseconds.
 pub fn micros(seconds: f64) -> Micros {
     (seconds * 1e6).round() as Micros
 }
 
-/// A text id as a number that every node computes alike.
+/// A number for a text id: every node computes the same one.
 pub fn digest(text: &str) -> u64 {
     let mut hasher = FxHasher::default();
     hasher.write(text.as_bytes());
     hasher.finish()
 }
 
-/// All settings. [`Settings::from`] gives what the decisions take of them.
+/// All settings of the platform. [`Settings::from`] gives those of the decisions.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct Options {
-    /// This node's zone, as a place in `zones`.
+    /// This node's zone, as an index into `zones`.
     pub az: u32,
     /// Names of the zones.
     pub zones: Vec<String>,
-    /// Names of the kinds of member.
+    /// Names of the kinds of members.
     pub host_types: Vec<String>,
-    /// How many nodes serve together, this one included. Default 1.
+    /// Number of nodes that share the load, this one included. Default 1.
     pub siblings: u32,
-    /// `subscribe` where discovery must be asked for the list of members; else it is pushed.
+    /// `subscribe` if nodes must ask discovery for the list of members; with any other value it is pushed.
     pub discovery: String,
-    /// What requests there are.
+    /// The classes of requests.
     pub request_classes: Vec<RequestClass>,
-    /// Tenants and their shares.
+    /// The tenants and their quotas.
     pub customers: Vec<Customer>,
-    /// Share of its worth that a request over its tenant's share keeps. Default 1.
+    /// The fraction of its worth that a request above its tenant's quota keeps. Default 1.
     pub over_share_worth: f64,
-    /// Who fetches what a cache server lacks.
+    /// Who fetches misses from the origin.
     pub family_info: FamilyInfo,
-    /// What a node may do.
+    /// What a node may do, and how much of it.
     pub bounds: Bounds,
-    /// What a node must keep to.
+    /// Rules that a node has to observe.
     pub rules: Rules,
 }
 
@@ -52,19 +53,21 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct RequestClass {
-    /// Its name, as clients tell it.
+    /// Its name, which clients send with each request.
     pub name: String,
     /// Clients give up after this many seconds.
     pub give_up_s: f64,
-    /// Full worth is earned within this many seconds.
+    /// Latency target: an answer within this many seconds has its full worth.
     pub slo_s: f64,
-    /// Whether a request may run more than once: `free`, `guarded` (repeats are dropped), else never.
+    /// Whether a request may run more than once: `free` (it may), `guarded` (members drop repeats), else
+    /// never.
     pub effect: String,
-    /// The members that share the memory of a guarded request: `zone`, `cell`, else all.
+    /// The members among which repeats of a guarded request are recognized: those of a `zone`, of a `cell`,
+    /// else all.
     pub group: String,
     /// For how many seconds repeats of a guarded request are dropped.
     pub window_s: f64,
-    /// What one request is worth.
+    /// The worth of one request.
     pub worth: f64,
 }
 
@@ -72,66 +75,68 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct Customer {
-    /// Requests a second inside its share, over all nodes.
+    /// Its quota in requests per second, over all nodes.
     pub quota_per_s: f64,
 }
 
-/// Who fetches what a cache server lacks.
+/// Who fetches misses from the origin.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct FamilyInfo {
-    /// `aside` where nodes fetch from the origin; else the cache servers do.
+    /// `aside` if nodes fetch from the origin; with any other value the cache servers do.
     pub mode: String,
-    /// The origin's kind, as a place in `host-types`; negative for none.
+    /// The origin's kind, as an index into `host-types`; negative for none.
     pub origin_kind: i64,
 }
 
-/// What a node may do.
+/// What a node may do, and how much of it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct Bounds {
     /// Members close connections that are idle for this many seconds. Default 60.
     pub conn_idle_s: f64,
-    /// A connect is given up after this many seconds. Default 0.25.
+    /// Timeout of a connect in seconds. Default 0.25.
     pub connect_timeout_s: f64,
-    /// Requests that a node may hold at a time. Default 20,000.
+    /// Maximum number of requests that a node has open at a time. Default 20,000.
     pub most_held: usize,
-    /// Requests that may be on one connection to a member at a time. Default 1.
+    /// Maximum number of requests on one connection to a member at a time. Default 1.
     pub multiplex: usize,
-    /// Attempts for one request, the first included. Default 1.
+    /// Maximum number of attempts for one request, the first included. Default 1.
     pub attempts_cap: u32,
-    /// Attempts may be called off. Default false.
+    /// Whether attempts may be cancelled. Default false.
     pub cancel: bool,
-    /// A second attempt may be sent while the first runs. Default false.
+    /// Whether a hedged attempt may be sent while the first still runs. Default false.
     pub second_copies: bool,
-    /// Clients may be told to come back after at most this many seconds. Default 0: not at all.
+    /// Maximum time in seconds after which a rejected client may be asked to retry. Default 0: not at all.
     pub max_retry_after_s: f64,
 }
 
-/// What a node must keep to.
+/// Rules that a node has to observe.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct Rules {
-    /// The list of members must be asked for within this many seconds. Default 10.
+    /// A node that subscribes must ask for the list of members within this many seconds. Default 10.
     pub ask_within_s: f64,
-    /// A member is warm this many seconds after its start. Default 0.
+    /// A member's cache is warm this many seconds after its start. Default 0.
     pub cold_s: f64,
-    /// A cold member falls over if overdriven for this many seconds. Default 1.
+    /// A cold member fails after it was overloaded for this many seconds. Default 1.
     pub fall_s: f64,
-    /// Share of its capacity with which a member starts. Default 1.
+    /// Fraction of its capacity with which a member starts. Default 1.
     pub start_capacity: f64,
-    /// A cold member is overdriven at this multiple of its present capacity. Default 1.
+    /// A cold member is overloaded at this multiple of its current capacity. Default 1.
     pub tip_multiple: f64,
-    /// Attempts beyond the first that are free in any `resend-span-s`.
+    /// Number of retries and hedged attempts that are allowed in any `resend-span-s`, whatever the number of
+    /// requests.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub budget_free: Option<f64>,
-    /// Attempts beyond the first that each request adds.
+    /// Number of retries and hedged attempts that each request adds to those allowed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub extra_ratio: Option<f64>,
-    /// The window, in seconds, that further attempts are counted in.
+    /// The window, in seconds, in which retries and hedged attempts are counted.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub resend_span_s: Option<f64>,
-    /// Only a member listed as draining is closed to new work. Default false.
+    /// Only a member listed as draining is closed to new work. One listed as removed, or no longer listed,
+    /// stays in use but is doubted, and its answers decide. Default false: both are closed to new work, too.
     pub gone_is_advice: bool,
 }
 
@@ -184,11 +189,12 @@
     }
 }
 
-/// The budget of further attempts; one that is stated in part counts what is missing as nothing.
+/// The budget of retries and hedged attempts; `None` if none of its keys is set. If some are set, a missing
+/// count is 0, and a missing window never ends.
 fn budget(rules: &Rules) -> Option<Budget> {
     let (free, share) = (rules.budget_free, rules.extra_ratio);
-    let stated = free.is_some() || share.is_some() || rules.resend_span_s.is_some();
-    stated.then(|| Budget {
+    let is_set = free.is_some() || share.is_some() || rules.resend_span_s.is_some();
+    is_set.then(|| Budget {
         free: free.unwrap_or(0.0),
         share: share.unwrap_or(0.0),
         span: rules.resend_span_s.map_or(Micros::MAX, micros),
@@ -196,7 +202,7 @@
 }
 
 impl RequestClass {
-    /// A request of the class may run more than once, and be refused at any time.
+    /// Whether a request of the class may run more than once, and be rejected at any time.
     pub fn may_repeat(&self) -> bool {
         self.effect == "free"
     }
@@ -223,18 +229,19 @@
     }
 }
 
-/// Where lists are pushed the node asks its agent again within a third of this. The agent is the node's own, so that no call
-/// waits for another node's, and what it has counts as told though the node has not heard of it: half a second later nothing
-/// may go to a member that drains there.
-const AGENT_ASKED_WITHIN: Micros = 300_000;
+/// On sockets, where discovery would push its list: the node polls its agent within a third of this time. The
+/// agent belongs to this node alone, so no call waits for another node's. What the agent has counts as known
+/// to the node even before the node has polled it: half a second later, nothing may be sent to a member that
+/// is listed as draining.
+const AGENT_POLL_WITHIN: Micros = 300_000;
 
 impl Options {
-    /// The settings of a node on sockets. On the simulator's wire lists that are pushed come by themselves ([`Settings::from`]);
-    /// on sockets whoever has them must be asked, always.
+    /// The settings of a node that runs on sockets. On the simulator's wire, pushed lists arrive unasked
+    /// ([`Settings::from`]); on sockets, the node always has to ask for its list.
     pub fn on_sockets(&self) -> Settings {
         let settings = Settings::from(self);
         let pushed = !settings.must_ask;
-        let ask_within = if pushed { AGENT_ASKED_WITHIN } else { settings.ask_within };
+        let ask_within = if pushed { AGENT_POLL_WITHIN } else { settings.ask_within };
         Settings { must_ask: true, ask_within, ..settings }
     }
 }
@@ -270,13 +277,14 @@
 mod tests {
     use super::*;
 
-    /// Guards drains: a pushed list counts as told whether or not anybody asked for it.
+    /// A pushed list counts as known to the node whether or not the node has asked for it. If the node polled
+    /// too rarely, it would send requests to a draining member after the drain has become binding.
     #[test]
-    fn on_sockets_lists_are_asked_for_and_pushed_ones_again_before_a_drain_binds() {
+    fn on_sockets_pushed_lists_are_polled_often_enough_for_drains() {
         let options = |discovery: &str| Options { discovery: discovery.into(), ..Options::default() };
-        let (asked, pushed) = (options("subscribe").on_sockets(), options("automatic").on_sockets());
-        assert!(asked.must_ask && pushed.must_ask && !Settings::from(&options("automatic")).must_ask);
-        assert_eq!(asked.ask_within, 10_000_000);
+        let (subscribed, pushed) = (options("subscribe").on_sockets(), options("automatic").on_sockets());
+        assert!(subscribed.must_ask && pushed.must_ask && !Settings::from(&options("automatic")).must_ask);
+        assert_eq!(subscribed.ask_within, 10_000_000);
         assert!(pushed.ask_within / 3 <= 100_000, "{}", pushed.ask_within);
     }
 }
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -1,24 +1,26 @@
-//! What the platform tells a node: `EDGE_` variables, and the JSON file that `EDGE_CONFIG` names.
+//! The platform's configuration of a node: `EDGE_` environment variables, and the JSON file that
+//! `EDGE_CONFIG` names.
 
 use crate::json;
 use crate::members::{MemberList, RawList, Target};
 use crate::options::{Options, digest};
-use crate::problem::{Fault, Place, Problem, Problems};
+use crate::problem::{Location, Problem, ProblemKind, Problems};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::env;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Fewest descriptors with which a node can serve: those of the loop, and some for each side.
-pub const LEAST_SOCKETS: usize = 64;
+/// Minimum number of descriptors with which a node can serve: those of the event loop, and some for
+/// connections to clients and to members.
+pub const MIN_SOCKETS: usize = 64;
 
-/// A class waits for at most this long, in s: no transaction is held for longer.
-const LONGEST_S: f64 = 3600.0;
-/// Attempts for one request at the most.
-const MOST_ATTEMPTS: f64 = 1000.0;
+/// Maximum of a class's `give-up-s` and `slo-s`, in seconds: no transaction is held for longer.
+const MAX_CLASS_TIME_S: f64 = 3600.0;
+/// Maximum of `attempts-cap`: attempts for one request.
+const MAX_ATTEMPTS: f64 = 1000.0;
 
-/// The variables that a node is told by. All but the first go before what the file says.
+/// The platform's environment variables. All but `EDGE_CONFIG` take precedence over the platform's file.
 #[derive(Clone, Debug, Default)]
 pub struct Environment {
     /// `EDGE_CONFIG`: the platform's file.
@@ -34,7 +36,7 @@
 }
 
 impl Environment {
-    /// Those of this process.
+    /// The variables of this process.
     pub fn from_process() -> Environment {
         Environment {
             config: env::var_os("EDGE_CONFIG").map(PathBuf::from),
@@ -46,51 +48,53 @@
     }
 }
 
-/// Everything that the platform tells a node, checked.
+/// The platform's configuration, checked.
 #[derive(Clone, Debug)]
 pub struct Platform {
     /// The node's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which the node accepts clients.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Where operators call; nowhere by default.
+    /// The address for management calls. Default: none.
     pub management: Option<SocketAddr>,
-    /// For random numbers; new with each start.
+    /// Seed of random numbers; the platform gives a new one at each start.
     pub seed: u64,
-    /// Over this the node is killed. Default 192.
+    /// Memory limit in MB; a node above it is killed. Default 192.
     pub memory_mb: u64,
-    /// Descriptors that the node may hold. Default 1024.
+    /// Descriptors that the node may have open. Default 1024.
     pub sockets: usize,
-    /// The version of the list of members as last held. See [`Platform::known_revision`].
+    /// The version of the remembered list of members. See [`Platform::known_revision`].
     pub revision: u64,
-    /// The list of members as last held.
+    /// The remembered list of members: the one that the node had last.
     pub known: Vec<Target>,
     /// The settings.
     pub options: Options,
-    /// All keys that the file has.
+    /// All keys of the file.
     keys: BTreeSet<String>,
 }
 
 impl Platform {
-    /// What the file of an earlier reading had and this one lacks. The remembered list is nobody's setting.
+    /// Checks that the file still has every key that it had at an earlier reading. Keys of the remembered
+    /// list (`known`) do not count: that is no setting.
     ///
     /// # Errors
-    /// A problem for each key.
+    /// A problem for each missing key.
     pub fn check_no_key_lost(&self, earlier: &Platform, path: &Path) -> Result<(), Problems> {
-        let lost =
+        let missing =
             earlier.keys.difference(&self.keys).filter(|key| key.split(['.', '[']).next() != Some("known"));
         let problem = |key: &String| Problem {
-            place: Place::File { path: path.into(), line: None },
+            location: Location::File { path: path.into(), line: None },
             key: key.clone(),
-            fault: Fault::Vanished,
+            kind: ProblemKind::KeyLost,
         };
-        let problems: Vec<Problem> = lost.map(problem).collect();
+        let problems: Vec<Problem> = missing.map(problem).collect();
         if problems.is_empty() { Ok(()) } else { Err(Problems::new(problems)) }
     }
 
-    /// The version that a watch may continue: none where no list is held. A list that is held may be the first, 0.
+    /// The version of the remembered list, from which a watch may continue; `None` if there is no remembered
+    /// list. Version 0 is valid: it is that of the first list.
     pub fn known_revision(&self) -> Option<u64> {
         Some(self.revision).filter(|_| !self.known.is_empty())
     }
@@ -123,7 +127,7 @@
     }
 }
 
-/// The file's text, and what is found to be wrong with what it says.
+/// The file's text, and the problems found in it.
 struct Findings<'t> {
     text: &'t [u8],
     path: &'t Path,
@@ -131,123 +135,131 @@
 }
 
 impl Findings<'_> {
-    fn at(&mut self, key: &str, fault: Fault) {
-        let place = Place::File { path: self.path.into(), line: json::line_of(self.text, key) };
-        self.problems.push(Problem { place, key: key.into(), fault });
+    fn report(&mut self, key: &str, kind: ProblemKind) {
+        let location = Location::File { path: self.path.into(), line: json::line_of(self.text, key) };
+        self.problems.push(Problem { location, key: key.into(), kind });
     }
 
-    /// What a class must say. Guards open requests, too: a file that says less is refused as a whole.
-    fn classes(&mut self, options: &Options) {
-        self.lacks("settings.bounds.attempts-cap");
-        for (place, class) in options.request_classes.iter().enumerate() {
-            let key = |name: &str| format!("settings.request-classes.{place}.{name}");
+    /// Checks the request classes. This also protects open requests at a reload: a file that lacks a required
+    /// key is rejected as a whole, and the settings in force stay.
+    fn check_classes(&mut self, options: &Options) {
+        self.report_if_missing("settings.bounds.attempts-cap");
+        for (index, class) in options.request_classes.iter().enumerate() {
+            let key = |name: &str| format!("settings.request-classes.{index}.{name}");
             for (name, value) in [("give-up-s", class.give_up_s), ("slo-s", class.slo_s)] {
-                if !self.lacks(&key(name)) {
-                    self.positive(&key(name), value, LONGEST_S);
+                if !self.report_if_missing(&key(name)) {
+                    self.check_positive(&key(name), value, MAX_CLASS_TIME_S);
                 }
             }
-            if !self.lacks(&key("effect")) && !["free", "guarded", "single_shot"].contains(&&*class.effect) {
-                self.at(&key("effect"), Fault::Effect { value: class.effect.clone() });
+            if !self.report_if_missing(&key("effect"))
+                && !["free", "guarded", "single_shot"].contains(&&*class.effect)
+            {
+                self.report(&key("effect"), ProblemKind::Effect { value: class.effect.clone() });
             }
-            let twin = options.request_classes.iter().take(place).any(|other| other.name == class.name);
-            if !self.lacks(&key("name")) && twin {
-                self.at(&key("name"), Fault::Twice { name: class.name.clone() });
+            let duplicate = options.request_classes.iter().take(index).any(|other| other.name == class.name);
+            if !self.report_if_missing(&key("name")) && duplicate {
+                self.report(&key("name"), ProblemKind::DuplicateName { name: class.name.clone() });
             }
         }
     }
 
-    /// A number must be above 0 and no more than that.
-    fn positive(&mut self, key: &str, value: f64, most: f64) {
+    /// Checks that a number is above 0 and at most `max`.
+    fn check_positive(&mut self, key: &str, value: f64, max: f64) {
         if !value.is_finite() || value <= 0.0 {
-            self.at(key, Fault::NotPositive { value });
-        } else if value > most {
-            self.at(key, Fault::TooMuch { value, most });
+            self.report(key, ProblemKind::NotPositive { value });
+        } else if value > max {
+            self.report(key, ProblemKind::TooLarge { value, max });
         }
     }
 
-    /// A key that there must be is missing; that is told.
-    fn lacks(&mut self, key: &str) -> bool {
-        let lacks = json::line_of(self.text, key).is_none();
-        if lacks {
+    /// Reports a required key if it is missing; whether it is.
+    fn report_if_missing(&mut self, key: &str) -> bool {
+        let missing = json::line_of(self.text, key).is_none();
+        if missing {
             let line = key.rsplit_once('.').and_then(|(whole, _)| json::line_of(self.text, whole));
-            let place = Place::File { path: self.path.into(), line };
-            self.problems.push(Problem { place, key: key.into(), fault: Fault::Lacks });
+            let location = Location::File { path: self.path.into(), line };
+            self.problems.push(Problem { location, key: key.into(), kind: ProblemKind::MissingKey });
         }
-        lacks
+        missing
     }
 
-    /// An address that there must be.
-    fn address(&mut self, said: Said) -> Option<SocketAddr> {
-        if said.value().is_none() {
-            self.at(said.key, Fault::Missing { variable: said.variable });
+    /// Parses a required address.
+    fn required_address(&mut self, setting: AddressSetting) -> Option<SocketAddr> {
+        if setting.value().is_none() {
+            self.report(setting.key, ProblemKind::MissingAddress { variable: setting.variable });
         }
-        self.address_if_any(said)
+        self.optional_address(setting)
     }
 
-    /// One that there need not be.
-    fn address_if_any(&mut self, said: Said) -> Option<SocketAddr> {
-        let value = said.value()?;
+    /// Parses an address that need not be set.
+    fn optional_address(&mut self, setting: AddressSetting) -> Option<SocketAddr> {
+        let value = setting.value()?;
         let address = value.parse().ok();
         if address.is_none() {
-            let fault = Fault::Address { value: value.clone() };
-            match said.in_env {
+            let kind = ProblemKind::Address { value: value.clone() };
+            match setting.in_env {
                 Some(_) => self.problems.push(Problem {
-                    place: Place::Variable(said.variable),
+                    location: Location::Variable(setting.variable),
                     key: String::new(),
-                    fault,
+                    kind,
                 }),
-                None => self.at(said.key, fault),
+                None => self.report(setting.key, kind),
             }
         }
         address
     }
 }
 
-/// What is said under a key: the variable goes before the file.
+/// An address setting with its values in the environment and in the file. The variable takes precedence.
 #[derive(Clone, Copy)]
-struct Said<'s> {
+struct AddressSetting<'s> {
     key: &'static str,
     variable: &'static str,
     in_env: Option<&'s String>,
     in_file: Option<&'s String>,
 }
 
-impl<'s> Said<'s> {
+impl<'s> AddressSetting<'s> {
     fn value(&self) -> Option<&'s String> {
         self.in_env.or(self.in_file)
     }
 }
 
 impl Platform {
-    /// Checks what the platform's file says, together with the variables. On a reread (`again`), `EDGE_DISCOVERY`
-    /// is that of the start: it must not pin what the file says by now.
+    /// Checks the platform's file together with the variables. On a reload, the file takes precedence over
+    /// `EDGE_DISCOVERY`: the variable has the address of the start and must not hide the file's current one.
     ///
     /// # Errors
-    /// All that is wrong, or the first thing where the file cannot be read as what it should be.
-    pub fn parse(text: &[u8], path: &Path, env: &Environment, again: bool) -> Result<Platform, Vec<Problem>> {
+    /// All problems, or only the first if the file cannot be decoded.
+    pub fn parse(
+        text: &[u8],
+        path: &Path,
+        env: &Environment,
+        reload: bool,
+    ) -> Result<Platform, Vec<Problem>> {
         let raw: RawConfig = match simd_json::from_slice(&mut text.to_vec()) {
             Ok(raw) => raw,
             Err(e) => return Err(vec![unreadable(text, path, &e)]),
         };
         let mut found = Findings { text, path, problems: Vec::new() };
-        let pinned = again && raw.discovery.is_some();
-        let in_env = env.discovery.as_ref().filter(|_| !pinned);
+        let file_has_precedence = reload && raw.discovery.is_some();
+        let in_env = env.discovery.as_ref().filter(|_| !file_has_precedence);
         let options = raw.settings;
         if options.request_classes.is_empty() {
-            found.at("settings.request-classes", Fault::NoClasses);
+            found.report("settings.request-classes", ProblemKind::NoClasses);
         }
-        found.classes(&options);
+        found.check_classes(&options);
         let bounds = &options.bounds;
-        for (key, value, most) in [
-            ("settings.bounds.attempts-cap", bounds.attempts_cap.into(), MOST_ATTEMPTS),
+        for (key, value, max) in [
+            ("settings.bounds.attempts-cap", bounds.attempts_cap.into(), MAX_ATTEMPTS),
             ("settings.bounds.connect-timeout-s", bounds.connect_timeout_s, f64::INFINITY),
             ("settings.bounds.multiplex", bounds.multiplex as f64, f64::INFINITY),
         ] {
-            found.positive(key, value, most);
+            found.check_positive(key, value, max);
         }
         let rules = &options.rules;
         for (key, value) in [
-            // None: connections are used once.
+            // 0 is valid: each connection is used once.
             ("settings.bounds.conn-idle-s", bounds.conn_idle_s),
             ("settings.bounds.max-retry-after-s", bounds.max_retry_after_s),
             ("settings.rules.ask-within-s", rules.ask_within_s),
@@ -257,21 +269,27 @@
             ("settings.rules.tip-multiple", rules.tip_multiple),
         ] {
             if !value.is_finite() || value < 0.0 {
-                found.at(key, Fault::Negative { value });
+                found.report(key, ProblemKind::Negative { value });
             }
         }
         let RawLimits { memory_mb, sockets } = raw.limits;
-        if sockets < LEAST_SOCKETS {
-            found.at("limits.sockets", Fault::Sockets { value: sockets, least: LEAST_SOCKETS });
+        if sockets < MIN_SOCKETS {
+            found.report("limits.sockets", ProblemKind::Sockets { value: sockets, min: MIN_SOCKETS });
         }
-        let said = |key, variable, in_env, in_file| Said { key, variable, in_env, in_file };
-        let listen = found.address(said("listen", "EDGE_LISTEN", env.listen.as_ref(), raw.listen.as_ref()));
-        let discovery = found.address(said("discovery", "EDGE_DISCOVERY", in_env, raw.discovery.as_ref()));
+        let setting = |key, variable, in_env, in_file| AddressSetting { key, variable, in_env, in_file };
+        let listen = found.required_address(setting(
+            "listen",
+            "EDGE_LISTEN",
+            env.listen.as_ref(),
+            raw.listen.as_ref(),
+        ));
+        let discovery =
+            found.required_address(setting("discovery", "EDGE_DISCOVERY", in_env, raw.discovery.as_ref()));
         let in_env = env.management.as_ref().filter(|a| !a.is_empty());
         let management =
-            found.address_if_any(said("management", "EDGE_MANAGEMENT", in_env, raw.management.as_ref()));
+            found.optional_address(setting("management", "EDGE_MANAGEMENT", in_env, raw.management.as_ref()));
         let known = MemberList::check(raw.known.unwrap_or_default(), &options).unwrap_or_else(|e| {
-            found.at("known", e.into());
+            found.report("known", e.into());
             MemberList::default()
         });
         let (Some(listen), Some(discovery), true) = (listen, discovery, found.problems.is_empty()) else {
@@ -293,11 +311,11 @@
     }
 }
 
-/// Why a file could not be decoded.
+/// The problem with a file that could not be decoded.
 fn unreadable(text: &[u8], path: &Path, error: &simd_json::Error) -> Problem {
     let (line, key, what) = match json::diagnose::<RawConfig>(text) {
         Some((line, key, what)) => (Some(line), key, what),
         None => (None, String::new(), error.to_string()),
     };
-    Problem { place: Place::File { path: path.into(), line }, key, fault: Fault::Json(what) }
+    Problem { location: Location::File { path: path.into(), line }, key, kind: ProblemKind::Json(what) }
 }
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a configuration: one line a problem, with the place, the key and the value.
+//! Problems of a configuration, each reported as one line with its location, key and value.
 
 use crate::members::ListError;
 use std::fmt;
@@ -6,141 +6,144 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Where a problem is.
+/// Where a problem was found.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
-    /// In a variable of the environment.
+pub enum Location {
+    /// An environment variable.
     Variable(&'static str),
-    /// In a file; the line counts from 1 and may not be known.
+    /// A file.
     File {
-        /// The file.
+        /// Its path.
         path: PathBuf,
-        /// The line.
+        /// The line, from 1, if it is known.
         line: Option<usize>,
     },
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Place::Variable(name) => f.write_str(name),
-            Place::File { path, line: None } => write!(f, "{}", path.display()),
-            Place::File { path, line: Some(line) } => write!(f, "{}:{line}", path.display()),
+            Location::Variable(name) => f.write_str(name),
+            Location::File { path, line: None } => write!(f, "{}", path.display()),
+            Location::File { path, line: Some(line) } => write!(f, "{}:{line}", path.display()),
         }
     }
 }
 
-/// What is wrong there.
+/// What is wrong.
 #[derive(Debug, Error)]
-pub enum Fault {
-    /// A variable that there must be is missing.
+pub enum ProblemKind {
+    /// A required variable is not set.
     #[error("is not set")]
     Unset,
     /// The file cannot be read.
     #[error("cannot read it: {0}")]
     Read(#[from] io::Error),
-    /// The platform's file is no JSON, or a value in it is of the wrong type.
+    /// The platform's file is not valid JSON, or a value in it has the wrong type.
     #[error("bad JSON: {0}")]
     Json(String),
-    /// The operators' file is no TOML.
+    /// The operators' file is not valid TOML.
     #[error("bad TOML: {0}")]
     Toml(String),
-    /// A key that there must be is missing, and so is the variable that may stand for it.
+    /// A required address is set neither in the file nor by its variable.
     #[error("is stated neither here nor by {variable}")]
-    Missing {
+    MissingAddress {
         /// The variable.
         variable: &'static str,
     },
-    /// An address that is none.
+    /// A value that is not an address with a port.
     #[error("{value:?} is no address and port")]
     Address {
-        /// What stands there.
+        /// The value found.
         value: String,
     },
-    /// Without classes nothing can be served.
+    /// There is no request class; without one nothing can be served.
     #[error("there are no request classes")]
     NoClasses,
-    /// A key that there must be is missing.
+    /// A required key is missing.
     #[error("is missing")]
-    Lacks,
-    /// A file that is read again lacks a key that the one in force has.
+    MissingKey,
+    /// On a reload, the file lacks a key that the file in force has.
     #[error("is missing, and the file in force has it")]
-    Vanished,
-    /// No such effect.
+    KeyLost,
+    /// An unknown `effect` of a request class.
     #[error("{value:?} is none of free, guarded, single_shot")]
     Effect {
-        /// What stands there.
+        /// The value found.
         value: String,
     },
-    /// Two classes of one name.
+    /// Two classes have the same name.
     #[error("{name:?} names another class, too")]
-    Twice {
+    DuplicateName {
         /// The name.
         name: String,
     },
-    /// A number beyond all use.
-    #[error("{value} must be at most {most}")]
-    TooMuch {
-        /// What stands there.
+    /// A number above its maximum.
+    #[error("{value} must be at most {max}")]
+    TooLarge {
+        /// The value found.
         value: f64,
-        /// The most.
-        most: f64,
+        /// The maximum.
+        max: f64,
     },
-    /// A number that must be 0 or more.
+    /// A number that must be 0 or more is negative or not finite.
     #[error("{value} must be 0 or more")]
     Negative {
-        /// What stands there.
+        /// The value found.
         value: f64,
     },
-    /// A number that must be above 0.
+    /// A number that must be above 0 is 0, negative or not finite.
     #[error("{value} must be above 0")]
     NotPositive {
-        /// What stands there.
+        /// The value found.
         value: f64,
     },
-    /// Too few descriptors to serve with.
-    #[error("{value}: sockets must be at least {least}")]
+    /// Fewer descriptors than a node needs to serve.
+    #[error("{value}: sockets must be at least {min}")]
     Sockets {
-        /// What stands there.
+        /// The value found.
         value: usize,
-        /// The least.
-        least: usize,
+        /// The minimum.
+        min: usize,
     },
-    /// The remembered list of members cannot be used.
+    /// The remembered list of members is invalid.
     #[error(transparent)]
     Members(#[from] ListError),
-    /// An operators' setting has an unknown key, a wrong type, or a value that it cannot have.
+    /// A setting of the operators has an unknown key, a wrong type, or a value that is not allowed.
     #[error("{0}")]
-    Refused(String),
+    InvalidSetting(String),
 }
 
-/// One problem. Its text is one line: place, key, and what is wrong.
+/// One problem. Its text is one line: location, key, and what is wrong.
 #[derive(Debug)]
 pub struct Problem {
-    /// Where it is.
-    pub place: Place,
-    /// The key in question, as dotted words; empty where it is about a whole file or a variable.
+    /// Where it was found.
+    pub location: Location,
+    /// The dotted key; empty if the problem is about a whole file or a variable.
     pub key: String,
     /// What is wrong.
-    pub fault: Fault,
+    pub kind: ProblemKind,
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Problem { place, key, fault } = self;
-        // Guards the promise of one line: messages of parsers may have more.
-        let fault = fault.to_string().replace(['\n', '\r'], " ");
-        match (place, key.is_empty() || fault.starts_with(key.as_str())) {
-            (Place::Variable(_), true) if matches!(self.fault, Fault::Unset) => write!(f, "{place} {fault}"),
-            (_, true) => write!(f, "{place}: {fault}"),
-            (_, false) => write!(f, "{place}: {key}: {fault}"),
+        let Problem { location, key, kind } = self;
+        // Messages of parsers may have several lines, but a problem is one line.
+        let message = kind.to_string().replace(['\n', '\r'], " ");
+        match (location, key.is_empty() || message.starts_with(key.as_str())) {
+            (Location::Variable(_), true) if matches!(self.kind, ProblemKind::Unset) => {
+                write!(f, "{location} {message}")
+            }
+            (_, true) => write!(f, "{location}: {message}"),
+            (_, false) => write!(f, "{location}: {key}: {message}"),
         }
     }
 }
 
 impl std::error::Error for Problem {}
 
-/// All problems of a configuration, at least one. Its text is one line about the first and how many more there are.
+/// All problems of a configuration, at least one. Its text is one line about the first and how many more
+/// there are.
 #[derive(Debug)]
 pub struct Problems(Vec<Problem>);
 
@@ -149,10 +152,11 @@
         Problems(problems)
     }
 
-    /// A file could not be read, and the next try may work: nothing is known of what it says.
+    /// Whether a file could not be read for a reason that may pass, so that a retry can succeed. Nothing is
+    /// known then of what the file says.
     pub fn is_momentary(&self) -> bool {
-        let momentary = |e| lapisrudder_io::is_momentary(lapisrudder_io::Operation::File, e);
-        self.iter().any(|problem| matches!(&problem.fault, Fault::Read(e) if momentary(e)))
+        let transient = |e| lapisrudder_io::is_momentary(lapisrudder_io::Operation::File, e);
+        self.iter().any(|problem| matches!(&problem.kind, ProblemKind::Read(e) if transient(e)))
     }
 
     /// Each problem, in the order of the files.
--- a/crates/config/src/sections.rs
+++ b/crates/config/src/sections.rs
@@ -1,4 +1,4 @@
-//! The sections of the operators' file that are no subsystem's own.
+//! `[log]` and its words, and the check of `[limits]`, whose settings are those of another crate.
 
 use crate::operators::{InvalidSetting, Section};
 use serde::{Deserialize, Serialize};
@@ -10,99 +10,99 @@
     }
 }
 
-/// How grave what is told must be.
+/// Severity of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", try_from = "String")]
 pub enum Level {
-    /// The node cannot do what it was told to.
+    /// The node cannot do what it was configured or called to do.
     Error,
-    /// Something that others did wrong, or that serving suffers from.
+    /// A fault of a client, server or other peer, or one that impairs serving.
     Warn,
-    /// What the node does at the word of others: starts, stops, moves.
+    /// What the node does at the request of others: starts, stops, moves.
     Info,
-    /// For those who look into a fault.
+    /// Details for the analysis of faults.
     Debug,
-    /// All there is.
+    /// Everything.
     Trace,
 }
 
-/// How a line is written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", try_from = "String")]
 pub enum Format {
-    /// For people.
+    /// Plain text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// A word that is none of those that there are.
+/// A word that is not one of those allowed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{word:?} is none of {words}")]
-pub struct NoSuchWord {
-    /// What was said.
+pub struct UnknownWord {
+    /// The word found.
     pub word: String,
-    /// What may be.
+    /// The words allowed.
     pub words: &'static str,
 }
 
 impl FromStr for Level {
-    type Err = NoSuchWord;
+    type Err = UnknownWord;
 
-    fn from_str(word: &str) -> Result<Level, NoSuchWord> {
+    fn from_str(word: &str) -> Result<Level, UnknownWord> {
         Ok(match word {
             "error" => Level::Error,
             "warn" => Level::Warn,
             "info" => Level::Info,
             "debug" => Level::Debug,
             "trace" => Level::Trace,
-            _ => return Err(NoSuchWord { word: word.into(), words: "error, warn, info, debug, trace" }),
+            _ => return Err(UnknownWord { word: word.into(), words: "error, warn, info, debug, trace" }),
         })
     }
 }
 
 impl FromStr for Format {
-    type Err = NoSuchWord;
+    type Err = UnknownWord;
 
-    fn from_str(word: &str) -> Result<Format, NoSuchWord> {
+    fn from_str(word: &str) -> Result<Format, UnknownWord> {
         Ok(match word {
             "text" => Format::Text,
             "json" => Format::Json,
-            _ => return Err(NoSuchWord { word: word.into(), words: "text, json" }),
+            _ => return Err(UnknownWord { word: word.into(), words: "text, json" }),
         })
     }
 }
 
 impl TryFrom<String> for Level {
-    type Error = NoSuchWord;
+    type Error = UnknownWord;
 
-    fn try_from(word: String) -> Result<Level, NoSuchWord> {
+    fn try_from(word: String) -> Result<Level, UnknownWord> {
         word.parse()
     }
 }
 
 impl TryFrom<String> for Format {
-    type Error = NoSuchWord;
+    type Error = UnknownWord;
 
-    fn try_from(word: String) -> Result<Format, NoSuchWord> {
+    fn try_from(word: String) -> Result<Format, UnknownWord> {
         word.parse()
     }
 }
 
-/// `[log]`: what is told on standard error, and how.
+/// `[log]`: what is logged on standard error, and how.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, expecting = "a table")]
 pub struct Log {
-    /// The least grave that is told. Default `info`.
+    /// The least severe level that is logged. Default `info`.
     pub level: Level,
-    /// Default `text`.
+    /// The format of lines. Default `text`.
     pub format: Format,
-    /// The time, in ms, that repeats are counted in. Default 60,000.
+    /// The window, in ms, in which lines are counted. Default 60,000.
     pub window_ms: u32,
-    /// Lines about one matter (one message about one address, say) within that time; further ones are counted,
-    /// and told in one line when it is over. Default 5.
+    /// Maximum number of lines with the same message and subject (such as an address) in a window. Further
+    /// ones are counted, and their number is logged in one line after the window. Default 5.
     pub repeats: u32,
-    /// Lines of one message within that time, whatever they are about. Default 100.
+    /// Maximum number of lines with the same message in a window, whatever their subjects. Default 100.
     pub lines: u32,
 }
 
@@ -114,13 +114,13 @@
 
 impl Section for Log {
     fn check(&self) -> Result<(), InvalidSetting> {
-        for (key, value, least, most) in [
+        for (key, value, min, max) in [
             ("log.window_ms", self.window_ms, 100, 86_400_000),
             ("log.repeats", self.repeats, 1, 10_000),
             ("log.lines", self.lines, 1, 10_000),
         ] {
-            if !(least..=most).contains(&value) {
-                let what = format!("{value} is not within {least} to {most}");
+            if !(min..=max).contains(&value) {
+                let what = format!("{value} is not within {min} to {max}");
                 return Err(InvalidSetting { key: key.into(), what });
             }
         }
--- a/crates/config/src/sources.rs
+++ b/crates/config/src/sources.rs
@@ -1,15 +1,15 @@
-//! All that tells a node something, and what it says together.
+//! The sources of a node's configuration, and the configuration that they give together.
 
-use crate::effective::{Setting, of_operators, of_platform};
+use crate::effective::{Setting, operator_settings, platform_settings};
 use crate::operators::Operators;
 use crate::platform::{Environment, Platform};
-use crate::problem::{Fault, Place, Problem, Problems};
+use crate::problem::{Location, Problem, ProblemKind, Problems};
 use crate::sections::{Format, Level};
 use lapisrudder_io::read_file;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// What the command line says of single settings. It goes before the operators' file, at reloads too.
+/// Settings on the command line. They take precedence over the operators' file, at reloads too.
 #[derive(Clone, Debug, Default)]
 pub struct Arguments {
     /// `--log-level`.
@@ -18,31 +18,31 @@
     pub log_format: Option<Format>,
 }
 
-/// Who tells a node something.
+/// The sources of a node's configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Sources {
     /// The platform's variables, one of which names its file.
     pub environment: Environment,
-    /// The operators' file (`--config`); without one all their settings are at their defaults.
+    /// The operators' file (`--config`); without one all its settings have their defaults.
     pub operators: Option<PathBuf>,
-    /// What the command line says.
+    /// Settings on the command line.
     pub arguments: Arguments,
 }
 
-/// All that a node is told, checked.
+/// A node's configuration, checked.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// By the platform.
+    /// The platform's part.
     pub platform: Platform,
-    /// By its operators.
+    /// The operators' part.
     pub operators: Operators,
 }
 
-/// The operators' settings, and the line of each that their file states.
-type Stated = (Operators, BTreeMap<String, usize>);
+/// The operators' settings, and the line of each key that their file sets.
+type ParsedOperators = (Operators, BTreeMap<String, usize>);
 
 impl Sources {
-    /// Reads and checks everything.
+    /// Reads and checks all sources.
     ///
     /// # Errors
     /// All problems of both files and the variables.
@@ -50,7 +50,8 @@
         self.read(false)
     }
 
-    /// The same for a node that runs. `EDGE_DISCOVERY` is that of its start, and does not go before the file.
+    /// Like [`Sources::load`], for a running node: `EDGE_DISCOVERY` has the value of its start and does not
+    /// take precedence over the platform's file.
     ///
     /// # Errors
     /// As for [`Sources::load`].
@@ -58,7 +59,7 @@
         self.read(true)
     }
 
-    /// The operators' part alone, for those who have their file at hand but not the platform's.
+    /// Loads the operators' part alone, for commands that run without the platform's file.
     ///
     /// # Errors
     /// All problems of their file.
@@ -66,50 +67,55 @@
         self.operators().map(|(operators, _)| operators).map_err(Problems::new)
     }
 
-    /// Each setting in force, and where it came from. Without `EDGE_CONFIG` there are only the operators'.
+    /// All settings in force, each with its source. Without `EDGE_CONFIG` these are the operators' settings
+    /// alone.
     ///
     /// # Errors
-    /// As for [`Sources::load`], but for the want of `EDGE_CONFIG`.
+    /// As for [`Sources::load`], but an unset `EDGE_CONFIG` is no error.
     pub fn explain(&self) -> Result<Vec<Setting>, Problems> {
         let platform = self.environment.config.as_ref().map(|path| {
             let text = read(path)?;
             let platform = Platform::parse(&text, path, &self.environment, false)?;
-            Ok(of_platform(&platform, &text, path, &self.environment))
+            Ok(platform_settings(&platform, &text, path, &self.environment))
         });
         let operators = self.operators().map(|(operators, lines)| {
             let Arguments { log_level, log_format } = &self.arguments;
             let level = log_level.map(|_| ("log.level", "--log-level"));
             let format = log_format.map(|_| ("log.format", "--log-format"));
-            let said = level.into_iter().chain(format).collect();
-            of_operators(&operators, self.operators.as_deref(), &lines, &said)
+            let arguments = level.into_iter().chain(format).collect();
+            operator_settings(&operators, self.operators.as_deref(), &lines, &arguments)
         });
         let (platform, operators) = both(platform.unwrap_or_else(|| Ok(Vec::new())), operators)?;
         Ok(platform.into_iter().chain(operators).collect())
     }
 
-    fn read(&self, again: bool) -> Result<Config, Problems> {
+    fn read(&self, reload: bool) -> Result<Config, Problems> {
         let platform = match &self.environment.config {
             None => Err(vec![Problem {
-                place: Place::Variable("EDGE_CONFIG"),
+                location: Location::Variable("EDGE_CONFIG"),
                 key: String::new(),
-                fault: Fault::Unset,
+                kind: ProblemKind::Unset,
             }]),
-            Some(path) => read(path).and_then(|text| Platform::parse(&text, path, &self.environment, again)),
+            Some(path) => read(path).and_then(|text| Platform::parse(&text, path, &self.environment, reload)),
         };
         let (platform, (operators, _)) = both(platform, self.operators())?;
         Ok(Config { platform, operators })
     }
 
-    fn operators(&self) -> Result<Stated, Vec<Problem>> {
+    fn operators(&self) -> Result<ParsedOperators, Vec<Problem>> {
         let (mut operators, lines) = match &self.operators {
-            None => Stated::default(),
+            None => ParsedOperators::default(),
             Some(path) => {
                 let text = read(path)?;
                 let text = String::from_utf8(text).map_err(|e| {
-                    let good = &e.as_bytes()[..e.utf8_error().valid_up_to()];
-                    let line = Some(1 + good.iter().filter(|b| **b == b'\n').count());
-                    let place = Place::File { path: path.into(), line };
-                    vec![Problem { place, key: String::new(), fault: Fault::Toml("it is not UTF-8".into()) }]
+                    let valid = &e.as_bytes()[..e.utf8_error().valid_up_to()];
+                    let line = Some(1 + valid.iter().filter(|b| **b == b'\n').count());
+                    let location = Location::File { path: path.into(), line };
+                    vec![Problem {
+                        location,
+                        key: String::new(),
+                        kind: ProblemKind::Toml("it is not UTF-8".into()),
+                    }]
                 })?;
                 Operators::parse(&text, path)?
             }
@@ -122,11 +128,11 @@
 }
 
 fn read(path: &Path) -> Result<Vec<u8>, Vec<Problem>> {
-    let place = || Place::File { path: path.into(), line: None };
-    read_file(path).map_err(|e| vec![Problem { place: place(), key: String::new(), fault: e.into() }])
+    let location = || Location::File { path: path.into(), line: None };
+    read_file(path).map_err(|e| vec![Problem { location: location(), key: String::new(), kind: e.into() }])
 }
 
-/// Both, or the problems of both.
+/// Both results, or the problems of both.
 fn both<A, B>(a: Result<A, Vec<Problem>>, b: Result<B, Vec<Problem>>) -> Result<(A, B), Problems> {
     match (a, b) {
         (Ok(a), Ok(b)) => Ok((a, b)),
--- a/crates/config/tests/problems.rs
+++ b/crates/config/tests/problems.rs
@@ -1,9 +1,9 @@
-//! Bad files, and the one line that each problem of theirs is told in.
+//! Invalid files, and the line that reports each of their problems.
 
 use lapisrudder_config::{Environment, ListError, MemberList, Operators, Options, Platform, Problem};
 use std::path::Path;
 
-const GOOD: &str = r#"{
+const VALID: &str = r#"{
   "name": "n0", "listen": "127.0.0.1:0",
   "discovery": "127.0.0.1:1",
   "limits": {"cores": 0.5, "sockets": 1024},
@@ -17,18 +17,18 @@
   }
 }"#;
 
-fn told(problems: Vec<Problem>) -> Vec<String> {
+fn lines(problems: Vec<Problem>) -> Vec<String> {
     problems.iter().map(Problem::to_string).collect()
 }
 
-fn platform(text: &str, env: &Environment) -> Vec<String> {
-    Platform::parse(text.as_bytes(), Path::new("p.json"), env, false).map_or_else(told, |_| Vec::new())
+fn platform_problems(text: &str, env: &Environment) -> Vec<String> {
+    Platform::parse(text.as_bytes(), Path::new("p.json"), env, false).map_or_else(lines, |_| Vec::new())
 }
 
 #[test]
-fn the_platforms_file() {
+fn platform_file_problems_have_line_and_key() {
     let none = Environment::default();
-    assert_eq!(platform(GOOD, &none), Vec::<String>::new());
+    assert_eq!(platform_problems(VALID, &none), Vec::<String>::new());
     type Changes = &'static [(&'static str, &'static str)];
     let cases: &[(Changes, &[&str])] = &[
         (&[("127.0.0.1:0", "nowhere")], &[r#"p.json:2: listen: "nowhere" is no address and port"#]),
@@ -106,40 +106,44 @@
         ),
     ];
     for (changes, expected) in cases {
-        let text = changes.iter().fold(GOOD.to_string(), |text, (from, to)| text.replace(from, to));
-        assert_ne!(text, GOOD);
-        assert_eq!(platform(&text, &none), *expected, "{changes:?}");
+        let text = changes.iter().fold(VALID.to_string(), |text, (from, to)| text.replace(from, to));
+        assert_ne!(text, VALID);
+        assert_eq!(platform_problems(&text, &none), *expected, "{changes:?}");
     }
     for text in ["", "{", "[1", "\u{feff}{}", "{\"settings\":{}} x", "nul"] {
-        let told = platform(text, &none);
+        let problems = platform_problems(text, &none);
         assert!(
-            told.len() == 1 && told[0].starts_with("p.json:1: ") && told[0].contains("bad JSON"),
-            "{told:?}"
+            problems.len() == 1 && problems[0].starts_with("p.json:1: ") && problems[0].contains("bad JSON"),
+            "{problems:?}"
         );
     }
 }
 
 #[test]
-fn variables_go_before_the_file_but_do_not_pin_discovery_at_a_reload() {
+fn variables_take_precedence_except_discovery_on_reload() {
     let env = Environment {
         listen: Some("10.0.0.1".into()),
         discovery: Some("127.0.0.1:9".into()),
         ..Environment::default()
     };
-    assert_eq!(platform(GOOD, &env), [r#"EDGE_LISTEN: "10.0.0.1" is no address and port"#]);
+    assert_eq!(platform_problems(VALID, &env), [r#"EDGE_LISTEN: "10.0.0.1" is no address and port"#]);
     let env = Environment { listen: None, name: Some("other".into()), ..env };
-    let discovery = |text: &str, again| {
-        let platform = Platform::parse(text.as_bytes(), Path::new("p"), &env, again).expect("sound");
+    let discovery = |text: &str, reload| {
+        let platform = Platform::parse(text.as_bytes(), Path::new("p"), &env, reload).expect("sound");
         assert_eq!(platform.name, "other");
         platform.discovery.port()
     };
-    assert_eq!(discovery(GOOD, false), 9);
-    assert_eq!(discovery(GOOD, true), 1);
-    assert_eq!(discovery(&GOOD.replace("\"discovery\"", "\"was\""), true), 9, "the file does not say");
+    assert_eq!(discovery(VALID, false), 9);
+    assert_eq!(discovery(VALID, true), 1);
+    assert_eq!(
+        discovery(&VALID.replace("\"discovery\"", "\"was\""), true),
+        9,
+        "the file does not set discovery"
+    );
 }
 
 #[test]
-fn the_operators_file() {
+fn operators_file_problems_have_line_and_key() {
     let cases: &[(&str, &[&str])] = &[
         ("", &[]),
         ("# nothing\n[log]\n[limits]\n", &[]),
@@ -192,13 +196,13 @@
         ),
     ];
     for (text, expected) in cases {
-        let told = Operators::parse(text, Path::new("o.toml")).map_or_else(told, |_| Vec::new());
-        assert_eq!(told, *expected, "{text}");
+        let problems = Operators::parse(text, Path::new("o.toml")).map_or_else(lines, |_| Vec::new());
+        assert_eq!(problems, *expected, "{text}");
     }
 }
 
 #[test]
-fn discoverys_lists() {
+fn invalid_member_lists_are_rejected() {
     let options = Options { zones: vec!["z".into()], host_types: vec!["cache".into()], ..Options::default() };
     let list = |entry: &str| {
         let text = format!(r#"{{"rev":7,"all":true,"new":0,"targets":[{entry}]}}"#);
@@ -206,9 +210,9 @@
     };
     const ENTRY: &str =
         r#"{"uid":"a","endpoint":"[::1]:5","az":"z","model":"cache","state":"up","boot_ms":1500}"#;
-    let good = list(ENTRY).expect("sound");
-    assert!(good.revision == 7 && good.all && good.targets[0].endpoint.port() == 5);
-    assert_eq!(good.targets[0].listed.since, Some(1_500_000));
+    let valid = list(ENTRY).expect("sound");
+    assert!(valid.revision == 7 && valid.all && valid.targets[0].endpoint.port() == 5);
+    assert_eq!(valid.targets[0].listed.since, Some(1_500_000));
     type Is = fn(&ListError) -> bool;
     let cases: [(&str, &str, Is); 5] = [
         ("\"up\"", "\"UP\"", |e| matches!(e, ListError::State { state, .. } if state == "UP")),
@@ -224,19 +228,19 @@
 }
 
 #[test]
-fn a_file_that_is_read_again_may_not_lack_what_the_one_in_force_has() {
+fn reloaded_file_must_have_all_keys_of_the_one_in_force() {
     let parse = |text: &str| {
         Platform::parse(text.as_bytes(), Path::new("p.json"), &Environment::default(), true).expect("sound")
     };
-    let force = parse(GOOD);
-    let lost = |from: &str, to: &str| {
-        assert!(GOOD.contains(from));
-        let again = parse(&GOOD.replace(from, to)).check_no_key_lost(&force, Path::new("p.json"));
-        again.map_or_else(|e| e.iter().map(Problem::to_string).collect(), |()| Vec::new())
+    let in_force = parse(VALID);
+    let lost_keys = |from: &str, to: &str| {
+        assert!(VALID.contains(from));
+        let result = parse(&VALID.replace(from, to)).check_no_key_lost(&in_force, Path::new("p.json"));
+        result.map_or_else(|e| e.iter().map(Problem::to_string).collect(), |()| Vec::new())
     };
-    let vanished = |key: &str| vec![format!("p.json: {key}: is missing, and the file in force has it")];
-    assert_eq!(lost(r#", "worth": 5"#, ""), vanished("settings.request-classes[].worth"));
-    assert_eq!(lost(r#""zones": ["z"],"#, r#""zones": ["z"], "new": 1,"#), Vec::<String>::new());
-    assert_eq!(lost(r#""cores": 0.5, "#, ""), vanished("limits.cores"));
-    assert_eq!(lost(r#""rev": 4, "#, ""), Vec::<String>::new(), "the remembered list is no setting");
+    let expected = |key: &str| vec![format!("p.json: {key}: is missing, and the file in force has it")];
+    assert_eq!(lost_keys(r#", "worth": 5"#, ""), expected("settings.request-classes[].worth"));
+    assert_eq!(lost_keys(r#""zones": ["z"],"#, r#""zones": ["z"], "new": 1,"#), Vec::<String>::new());
+    assert_eq!(lost_keys(r#""cores": 0.5, "#, ""), expected("limits.cores"));
+    assert_eq!(lost_keys(r#""rev": 4, "#, ""), Vec::<String>::new(), "the remembered list is no setting");
 }
--- a/crates/config/tests/sources.rs
+++ b/crates/config/tests/sources.rs
@@ -1,15 +1,15 @@
-//! What all sources say together, where each setting came from, and the operators' file that is delivered.
+//! The configuration from all sources, the source of each setting, and the operators' file that is shipped.
 
 #![allow(clippy::disallowed_methods)]
 
 use lapisrudder_config::{
-    Arguments, Environment, Fleet, Format, Level, Operators, Part, Setting, Source, Sources, to_toml,
+    Arguments, Environment, Fleet, Format, Level, Operators, Owner, Setting, Source, Sources, to_toml,
 };
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// A file with this text, in the tests' own folder.
+/// Writes a file with this text to the tests' own directory.
 fn file(name: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}", std::process::id()));
     fs::write(&path, text).expect("a file");
@@ -58,7 +58,7 @@
         let setting = find(&settings, key);
         assert_eq!((setting.value.to_string().as_str(), &setting.source), (value, &source), "{key}");
     }
-    assert_eq!(find(&settings, "log.repeats").part, Part::Operators);
+    assert_eq!(find(&settings, "log.repeats").owner, Owner::Operators);
     let text = to_toml(&settings);
     assert!(text.contains("# platform: name = \"n7\"  # environment EDGE_NAME\n"), "{text}");
     assert!(text.contains(&format!("repeats = 7  # {}:4\n", toml.display())), "{text}");
@@ -68,66 +68,66 @@
 }
 
 #[test]
-fn problems_of_both_files_are_told_together_and_a_mended_file_is_read() {
+fn problems_of_both_files_are_reported_together_and_corrected_files_load() {
     let sources = sources("both", "[log]\nlines = 0\nx = 1\n");
     let json = sources.environment.config.clone().expect("a file");
     let toml = sources.operators.clone().expect("a file");
     fs::write(&json, PLATFORM.replace("127.0.0.1:0", "here")).expect("written");
     let problems = sources.reload().expect_err("bad");
-    let told: Vec<String> = problems.iter().map(ToString::to_string).collect();
+    let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
     let (json, toml) = (json.display(), toml.display());
-    assert_eq!(told[0], format!("{json}:1: listen: \"here\" is no address and port"));
-    assert_eq!(told[1], format!("{toml}:2: log.lines: 0 is not within 1 to 10000"));
+    assert_eq!(lines[0], format!("{json}:1: listen: \"here\" is no address and port"));
+    assert_eq!(lines[1], format!("{toml}:2: log.lines: 0 is not within 1 to 10000"));
     assert!(
-        told[2].starts_with(&format!("{toml}:3: log.x: unknown field `x`")) && told.len() == 3,
-        "{told:?}"
+        lines[2].starts_with(&format!("{toml}:3: log.x: unknown field `x`")) && lines.len() == 3,
+        "{lines:?}"
     );
-    assert_eq!(problems.to_string(), format!("{} (and 2 more, see `check-config`)", told[0]));
+    assert_eq!(problems.to_string(), format!("{} (and 2 more, see `check-config`)", lines[0]));
     fs::write(json.to_string(), PLATFORM).expect("written");
     fs::write(toml.to_string(), "[log]\nlines = 3\n").expect("written");
     assert_eq!(sources.reload().expect("sound").operators.log.lines, 3);
 }
 
 #[test]
-fn what_is_missing_or_no_text_is_told() {
-    let told = |sources: &Sources| sources.load().expect_err("bad").to_string();
-    assert_eq!(told(&Sources::default()), "EDGE_CONFIG is not set");
+fn missing_and_non_utf8_files_are_reported() {
+    let problems = |sources: &Sources| sources.load().expect_err("bad").to_string();
+    assert_eq!(problems(&Sources::default()), "EDGE_CONFIG is not set");
     let mut sources = sources("missing", "");
     sources.operators = Some("/nonexistent/o.toml".into());
-    assert_eq!(told(&sources), "/nonexistent/o.toml: cannot read it: No such file or directory (os error 2)");
+    assert_eq!(
+        problems(&sources),
+        "/nonexistent/o.toml: cannot read it: No such file or directory (os error 2)"
+    );
     let path = file("latin.toml", "");
     fs::write(&path, b"# one\n# caf\xe9\n").expect("written");
     sources.operators = Some(path.clone());
-    assert_eq!(told(&sources), format!("{}:2: bad TOML: it is not UTF-8", path.display()));
+    assert_eq!(problems(&sources), format!("{}:2: bad TOML: it is not UTF-8", path.display()));
     sources = Sources { operators: None, ..sources };
     assert_eq!(sources.load().expect("sound").operators, Operators::default());
 }
 
-/// The delivered file states each key as a comment (`#key = value`, no blank) with the default as its value.
+/// The shipped file has each key as a comment (`#key = value`, without a space) with its default as the
+/// value.
 #[test]
-fn the_delivered_operators_file_holds_each_key_at_its_default() {
+fn shipped_operators_file_has_each_key_with_its_default() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/lapisrudder.toml");
     let text = fs::read_to_string(&path).expect("the file");
     let (operators, stated) = Operators::parse(&text, &path).expect("sound");
-    assert_eq!(operators, Operators::default(), "as delivered it changes nothing");
+    assert_eq!(operators, Operators::default(), "as shipped it changes nothing");
     let is_key = |c: char| c.is_ascii_lowercase() || c == '[';
     let uncommented: Vec<&str> = text
         .lines()
         .map(|line| line.strip_prefix('#').filter(|l| l.starts_with(is_key)).unwrap_or(line))
         .collect();
-    let (all, lines) =
-        Operators::parse(&uncommented.join("\n"), &path).expect("each key is one that there is");
-    // The section on the fleet is off where it is not there at all.
-    let on = Operators { fleet: Some(Fleet::default()), ..Operators::default() };
-    assert_eq!(all, on, "each value is the default");
+    let (all, lines) = Operators::parse(&uncommented.join("\n"), &path).expect("each key exists");
+    // `[fleet]` is commented out in the shipped file, so that by default it does not exist.
+    let expected = Operators { fleet: Some(Fleet::default()), ..Operators::default() };
+    assert_eq!(all, expected, "each value is the default");
     let whole = file("whole.toml", "[fleet]");
     let whole = Sources { operators: Some(whole), ..Sources::default() };
     let settings = whole.explain().expect("defaults");
-    let there_are: BTreeSet<&str> = settings.iter().map(|s| s.key.as_str()).collect();
-    assert!(
-        stated.keys().all(|key| !there_are.contains(key.as_str())),
-        "it states sections only: {stated:?}"
-    );
-    let held: BTreeSet<&str> = lines.keys().map(String::as_str).filter(|k| there_are.contains(k)).collect();
-    assert_eq!(held, there_are, "each key that there is, is explained");
+    let existing: BTreeSet<&str> = settings.iter().map(|s| s.key.as_str()).collect();
+    assert!(stated.keys().all(|key| !existing.contains(key.as_str())), "it sets no key: {stated:?}");
+    let present: BTreeSet<&str> = lines.keys().map(String::as_str).filter(|k| existing.contains(k)).collect();
+    assert_eq!(present, existing, "it has all keys");
 }
