--- a/crates/log/src/format.rs
+++ b/crates/log/src/format.rs
@@ -1,6 +1,6 @@
-//! Text or JSON, by the settings of the moment.
+//! Formats lines as text or JSON, whichever is configured at the time.
 
-use crate::gate::Shared;
+use crate::layer::Shared;
 use std::fmt;
 use std::sync::Arc;
 use tracing::{Event, Subscriber};
@@ -8,20 +8,21 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-pub(crate) struct Either {
+/// Formats an event in the format that is set when it is logged.
+pub(crate) struct ConfiguredFormat {
     shared: Arc<Shared>,
     text: Format<Full>,
     json: Format<Json>,
 }
 
-impl Either {
-    pub(crate) fn new(shared: Arc<Shared>) -> Either {
+impl ConfiguredFormat {
+    pub(crate) fn new(shared: Arc<Shared>) -> ConfiguredFormat {
         let json = format().json().flatten_event(true).with_current_span(false).with_span_list(false);
-        Either { shared, text: format().with_ansi(false), json }
+        ConfiguredFormat { shared, text: format().with_ansi(false), json }
     }
 }
 
-impl<S, N> FormatEvent<S, N> for Either
+impl<S, N> FormatEvent<S, N> for ConfiguredFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,34 +1,37 @@
-//! Where the events of [`tracing`] go: one line each, as text or JSON, to a stream that may be a pipe nobody reads.
+//! Writes the events of [`tracing`] as lines of text or JSON to a stream, without ever blocking the thread that
+//! logs.
 //!
-//! Two things are guarded against. A storm of faults: of one message about one matter only so many lines are told
-//! within a time, and of one message in all; the rest is counted, and told in one line when the time is over
-//! ([`Cap`]). And a reader that stalls: lines wait in a bounded queue for a thread that writes them, and what finds
-//! no room there is dropped and counted. Whoever logs never waits.
+//! - Rate limits ([`RateLimiter`]): a burst of faults must not fill the disk. In each window, the number of lines
+//!   with the same message is limited, and that of lines with the same message and subject. Further lines are
+//!   counted, and their number is logged in one line after the window.
+//! - A bounded queue: the stream may be a pipe whose reader stalls. Lines are queued for a thread that writes
+//!   them; lines that do not fit in the queue are dropped and counted.
 //!
-//! What an event is about is its field `about`; an event without one is about its message alone:
+//! The subject of an event is its field `about`; events without one share a subject per message:
 //!
 //! ```
 //! use lapisrudder_log::{Bounds, Format, Log, Settings};
 //!
 //! let bounds = Bounds { window: 60_000_000, repeats: 5, lines: 100 };
-//! let log = Log::start(Settings { level: tracing::Level::INFO, format: Format::Text, bounds }, std::io::stderr());
+//! let settings = Settings { level: tracing::Level::INFO, format: Format::Text, bounds };
+//! let log = Log::start(settings, std::io::stderr());
 //! # let log = log.unwrap();
 //! tracing::warn!(about = %"10.0.0.7:11211", "cannot connect");
 //! drop(log); // Waits a moment for the lines to be written.
 //! ```
 //!
-//! This is no filter by target or span, and it rotates no files: standard error is for the platform to keep.
+//! There is no filter by target or span, and no rotation of files: the platform stores standard error.
 #![forbid(unsafe_code)]
 #![warn(missing_docs, unreachable_pub)]
 
-mod cap;
 mod format;
-mod gate;
+mod layer;
 mod queue;
+mod rate_limit;
 
-pub use cap::{Bounds, Cap, Held, Verdict};
-use gate::{Gate, Shared};
+use layer::{LimitLayer, Shared};
 use queue::Queue;
+pub use rate_limit::{Bounds, RateLimiter, Suppressed, Verdict};
 use std::io::{self, Write};
 use std::sync::Arc;
 use std::time::Instant;
@@ -39,10 +42,10 @@
 /// Microseconds, as a point on the caller's clock or as a length.
 pub type Micros = i64;
 
-/// Tells the time, from any point on; it never goes back.
+/// A monotonic clock with an arbitrary origin.
 pub type Clock = Arc<dyn Fn() -> Micros + Send + Sync>;
 
-/// How a line is written.
+/// Format of lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
     /// Time, level, module, message, then fields.
@@ -51,29 +54,30 @@
     Json,
 }
 
-/// What is told, and how.
+/// What is logged, and how.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// The least grave level that is told.
+    /// The least severe level that is logged.
     pub level: Level,
-    /// How lines are written.
+    /// The format of lines.
     pub format: Format,
-    /// How many.
+    /// The rate limits.
     pub bounds: Bounds,
 }
 
-/// Why logging could not begin.
+/// Why logging could not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The thread that writes could not be started.
+    /// The writer thread could not be started.
     #[error("cannot start the thread that writes the log: {0}")]
     Thread(#[from] io::Error),
-    /// Events go elsewhere already.
+    /// The process already has a global `tracing` subscriber.
     #[error("events of this process are logged already")]
     Taken,
 }
 
-/// The log of a process. Dropped, it tells what was held back, and waits a moment for all lines to be written.
+/// The log of a process. When dropped, it logs the numbers of suppressed lines and waits up to 200 ms until all
+/// lines are written.
 pub struct Log {
     shared: Arc<Shared>,
     queue: Queue,
@@ -81,13 +85,13 @@
 }
 
 impl Log {
-    /// Takes all events of this process from now on.
+    /// Logs all events of this process from now on.
     ///
-    /// Danger: the thread that writes takes the signal mask of the caller. Block signals first that the process
-    /// means to handle by itself.
+    /// The writer thread inherits the caller's signal mask. Signals that the process handles itself must be
+    /// blocked before this call, or they may be delivered to that thread.
     ///
     /// # Errors
-    /// There is no thread to be had, or events go elsewhere already.
+    /// The writer thread cannot be started, or the process already has a global `tracing` subscriber.
     pub fn start(settings: Settings, out: impl Write + Send + 'static) -> Result<Log, StartError> {
         let began = Instant::now();
         let clock: Clock = Arc::new(move || began.elapsed().as_micros() as Micros);
@@ -96,28 +100,28 @@
         Ok(log)
     }
 
-    /// A log that gets only the events that are sent to its [`Log::dispatch`].
+    /// Creates a log that gets only the events sent to its [`Log::dispatch`].
     ///
     /// # Errors
-    /// There is no thread to be had.
+    /// The writer thread cannot be started.
     pub fn new(settings: Settings, out: impl Write + Send + 'static, clock: Clock) -> io::Result<Log> {
         let shared = Arc::new(Shared::new(settings, clock));
         let (queue, writer) = queue::queue();
         let lines = tracing_subscriber::fmt::layer()
-            .event_format(format::Either::new(shared.clone()))
+            .event_format(format::ConfiguredFormat::new(shared.clone()))
             .with_writer(queue.clone());
-        let gate = Gate::new(shared.clone(), queue.clone());
-        let dispatch = Dispatch::new(tracing_subscriber::registry().with(gate).with(lines));
+        let layer = LimitLayer::new(shared.clone(), queue.clone());
+        let dispatch = Dispatch::new(tracing_subscriber::registry().with(layer).with(lines));
         writer.start(out, shared.clone(), dispatch.clone())?;
         Ok(Log { shared, queue, dispatch })
     }
 
-    /// Where events for this log go.
+    /// The dispatcher of events to this log.
     pub fn dispatch(&self) -> &Dispatch {
         &self.dispatch
     }
 
-    /// Other settings from now on. What was held back stays counted.
+    /// Replaces the settings. Suppressed lines stay counted.
     pub fn apply(&self, settings: Settings) {
         self.shared.apply(settings);
         tracing::callsite::rebuild_interest_cache();
@@ -126,9 +130,9 @@
 
 impl Drop for Log {
     fn drop(&mut self) {
-        // In a step of its own, so that the lock is free again.
-        let held = self.shared.cap().all();
-        gate::tell_held(&self.dispatch, held);
+        // A statement of its own, which releases the limiter's lock before the events are logged.
+        let suppressed = self.shared.limiter().take_all();
+        layer::log_suppressed(&self.dispatch, suppressed);
         self.queue.finish();
     }
 }
--- a/crates/log/src/queue.rs
+++ b/crates/log/src/queue.rs
@@ -1,6 +1,6 @@
-//! The way of lines to the stream: a bounded queue, and a thread that writes. Whoever logs never waits.
+//! A bounded queue of lines, and the thread that writes them to the stream. A thread that logs never waits.
 
-use crate::gate::{Shared, tell_dropped, tell_held};
+use crate::layer::{Shared, log_dropped, log_suppressed};
 use std::io::{self, Write};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -10,25 +10,25 @@
 use tracing::Dispatch;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Lines, and bytes of them, that wait at most. Guards memory where nobody reads.
-const MOST_LINES: usize = 1024;
-const MOST_BYTES: usize = 256 << 10;
-/// The end of a program waits so long for its last lines.
-const FAREWELL: Duration = Duration::from_millis(200);
-/// The thread that writes is tried to be had for this long.
-const START_PATIENCE: Duration = Duration::from_secs(10);
-/// The thread needs little: it writes, and formats a line now and then.
-const STACK: usize = 256 << 10;
+/// Maximum number of queued lines, and of their bytes: memory stays bounded if the stream is not read.
+const MAX_LINES: usize = 1024;
+const MAX_BYTES: usize = 256 << 10;
+/// For how long the end of the program waits until its last lines are written.
+const FINISH_TIMEOUT: Duration = Duration::from_millis(200);
+/// For how long the start of the writer thread is retried.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Stack size of the writer thread: small, since it only writes, and formats a line now and then.
+const STACK_BYTES: usize = 256 << 10;
 
 enum Message {
     Line(Vec<u8>),
-    /// Look again at what is due.
+    /// Recheck when suppressed lines are due.
     Wake,
-    /// All is said; tell here once it is written.
+    /// No more lines follow; signal the sender once all are written.
     Finish(SyncSender<()>),
 }
 
-/// The end that lines go in at.
+/// The sending end of the queue.
 #[derive(Clone)]
 pub(crate) struct Queue {
     sender: SyncSender<Message>,
@@ -37,20 +37,20 @@
 
 #[derive(Default)]
 struct Counts {
-    /// Bytes that wait.
+    /// Bytes of queued lines.
     bytes: AtomicUsize,
-    /// Lines that found no room and have not been told of.
+    /// Lines that were dropped because the queue was full, and not yet reported.
     dropped: AtomicU64,
 }
 
-/// The other end.
+/// The receiving end of the queue.
 pub(crate) struct Writer {
     receiver: Receiver<Message>,
     counts: Arc<Counts>,
 }
 
 pub(crate) fn queue() -> (Queue, Writer) {
-    let (sender, receiver) = sync_channel(MOST_LINES);
+    let (sender, receiver) = sync_channel(MAX_LINES);
     let counts = Arc::<Counts>::default();
     (Queue { sender, counts: counts.clone() }, Writer { receiver, counts })
 }
@@ -59,36 +59,38 @@
     fn push(&self, line: &[u8]) {
         let length = line.len();
         let waiting = self.counts.bytes.fetch_add(length, Ordering::Relaxed) + length;
-        let sent = waiting <= MOST_BYTES && self.sender.try_send(Message::Line(one_line(line))).is_ok();
+        let sent = waiting <= MAX_BYTES && self.sender.try_send(Message::Line(one_line(line))).is_ok();
         if !sent {
             self.counts.bytes.fetch_sub(length, Ordering::Relaxed);
             self.counts.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Makes the thread look at what is due. If there is no room it looks anyway, once it has written what waits.
+    /// Makes the writer thread recheck what is due. If the queue is full this is not needed: the thread
+    /// rechecks once it has written the queued lines.
     pub(crate) fn wake(&self) {
         let _ = self.sender.try_send(Message::Wake);
     }
 
-    /// Waits until all is written, but not for long.
+    /// Waits until all lines are written, for at most [`FINISH_TIMEOUT`].
     pub(crate) fn finish(&self) {
-        let until = Instant::now() + FAREWELL;
-        let (tell, told) = sync_channel(1);
-        let mut message = Message::Finish(tell);
+        let deadline = Instant::now() + FINISH_TIMEOUT;
+        let (done, done_receiver) = sync_channel(1);
+        let mut message = Message::Finish(done);
         while let Err(e) = self.sender.try_send(message) {
             let (TrySendError::Full(back) | TrySendError::Disconnected(back)) = e;
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return;
             }
             message = back;
             thread::sleep(Duration::from_millis(5));
         }
-        let _ = told.recv_timeout(until.saturating_duration_since(Instant::now()));
+        let _ = done_receiver.recv_timeout(deadline.saturating_duration_since(Instant::now()));
     }
 }
 
-/// Guards the promise of one line an event: what others sent may be told, and may have line ends in it.
+/// Replaces line ends within a line by spaces. An event may quote what a peer sent, line ends included, but
+/// must stay one line.
 fn one_line(line: &[u8]) -> Vec<u8> {
     let mut line = line.to_vec();
     if let Some((_, inner)) = line.split_last_mut() {
@@ -97,7 +99,7 @@
     line
 }
 
-/// The formatter gives a whole line at a time.
+/// The formatter writes a complete line at a time.
 impl Write for &Queue {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         self.push(line);
@@ -118,15 +120,15 @@
 }
 
 impl Writer {
-    /// Begins to write, on a thread of its own.
+    /// Starts the writer thread.
     pub(crate) fn start(
         self,
         out: impl Write + Send + 'static,
         shared: Arc<Shared>,
         dispatch: Dispatch,
     ) -> io::Result<()> {
-        let builder = || thread::Builder::new().name("log".into()).stack_size(STACK);
-        lapisrudder_io::spawn(START_PATIENCE, builder, move || self.run(out, &shared, &dispatch))
+        let builder = || thread::Builder::new().name("log".into()).stack_size(STACK_BYTES);
+        lapisrudder_io::spawn(START_TIMEOUT, builder, move || self.run(out, &shared, &dispatch))
     }
 
     fn run(self, mut out: impl Write, shared: &Shared, dispatch: &Dispatch) {
@@ -141,30 +143,31 @@
             };
             match message {
                 Message::Line(line) => {
-                    // Nobody can be told that this failed.
+                    // An error is ignored: there is nowhere to report it.
                     let _ = lapisrudder_io::write_line(&mut out, &line);
                     self.counts.bytes.fetch_sub(line.len(), Ordering::Relaxed);
                 }
                 Message::Wake => {}
-                Message::Finish(tell) => {
+                Message::Finish(done) => {
                     let _ = out.flush();
-                    let _ = tell.send(());
+                    let _ = done.send(());
                     return;
                 }
             }
         }
     }
 
-    /// Everything is written: tells what is due, and waits for more. `None` once nobody can log any more.
+    /// Called when the queue is empty: logs what is due, and waits for the next message. `None` once all
+    /// senders are gone.
     fn wait(&self, shared: &Shared, dispatch: &Dispatch) -> Option<Message> {
         let dropped = self.counts.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
-            tell_dropped(dispatch, dropped);
+            log_dropped(dispatch, dropped);
         }
         let now = shared.now();
-        let over = shared.cap().over(now);
-        tell_held(dispatch, over);
-        let next = shared.cap().next();
+        let expired = shared.limiter().take_expired(now);
+        log_suppressed(dispatch, expired);
+        let next = shared.limiter().next_due();
         let Some(next) = next else { return self.receiver.recv().ok() };
         let wait = Duration::from_micros(next.saturating_sub(now).max(0) as u64);
         match self.receiver.recv_timeout(wait) {
--- a/crates/log/tests/storm.rs
+++ b/crates/log/tests/storm.rs
@@ -1,4 +1,4 @@
-//! Storms of events, and streams that nobody reads.
+//! Bursts of events, and streams that are not read.
 
 use lapisrudder_log::{Bounds, Clock, Format, Log, Micros, Settings};
 use std::io::{self, Write};
@@ -7,21 +7,21 @@
 use std::time::{Duration, Instant};
 use tracing::{Level, dispatcher, error, info, warn};
 
-/// Longer than anything here takes, on any machine.
-const WIDE: Duration = Duration::from_secs(60);
+/// A generous limit, which no step of these tests reaches on any machine.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 const BOUNDS: Bounds = Bounds { window: 1_000_000, repeats: 3, lines: 10 };
 const SETTINGS: Settings = Settings { level: Level::INFO, format: Format::Text, bounds: BOUNDS };
 
-/// A stream that keeps what is written, and takes nothing while its gate is shut.
+/// A stream that records what is written, and blocks writes while it is blocked.
 #[derive(Clone, Default)]
 struct Stream(Arc<Inner>);
 
-/// Whether the gate is shut, and what was written.
+/// Whether writes block, and what was written.
 type Inner = (Mutex<(bool, Vec<u8>)>, Condvar);
 
 impl Stream {
-    fn shut(&self, shut: bool) {
-        self.0.0.lock().unwrap().0 = shut;
+    fn set_blocked(&self, blocked: bool) {
+        self.0.0.lock().unwrap().0 = blocked;
         self.0.1.notify_all();
     }
 
@@ -30,11 +30,11 @@
         text.lines().map(str::to_string).collect()
     }
 
-    /// Waits until a line has this in it.
+    /// Waits until a line contains `part`.
     fn await_line(&self, part: &str) {
         let began = Instant::now();
         while !self.lines().iter().any(|l| l.contains(part)) {
-            assert!(began.elapsed() < WIDE, "{part} is not told");
+            assert!(began.elapsed() < TEST_TIMEOUT, "no line contains {part}");
             std::thread::sleep(Duration::from_millis(1));
         }
     }
@@ -42,8 +42,8 @@
 
 impl Write for Stream {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let mut held = self.0.1.wait_while(self.0.0.lock().unwrap(), |held| held.0).unwrap();
-        held.1.extend_from_slice(bytes);
+        let mut state = self.0.1.wait_while(self.0.0.lock().unwrap(), |state| state.0).unwrap();
+        state.1.extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// A log on a clock that the test turns.
+/// A log with a clock that the test sets.
 fn log(settings: Settings) -> (Log, Stream, Arc<AtomicI64>) {
     let (stream, time) = (Stream::default(), Arc::new(AtomicI64::new(0)));
     let clock: Clock = Arc::new({
@@ -63,12 +63,13 @@
 }
 
 #[test]
-fn a_storm_of_a_million_events_takes_a_few_lines_and_says_how_many_more_there_were() {
+fn burst_of_events_takes_few_lines_and_reports_the_suppressed_count() {
     let (log, stream, time) = log(SETTINGS);
     let began = Instant::now();
     dispatcher::with_default(log.dispatch(), || {
         for n in 0..1_000_000i64 {
-            // Two windows of 500,000 events, about ever other matters and about one.
+            // Two windows of 500,000 iterations, each with an event about a new subject and one about the
+            // same subject.
             time.store(n * 2, Ordering::SeqCst);
             warn!(about = n, "cannot reach {n}");
             error!(about = "one", "always the same");
@@ -83,67 +84,67 @@
     let count = |part: &str| lines.iter().filter(|l| l.contains(part)).count();
     assert_eq!((count("WARN storm: cannot reach"), count("ERROR storm: always")), (20, 6), "{lines:?}");
     assert_eq!(count("something else"), 1);
-    let held = |word: &str| -> u64 {
+    let suppressed = |word: &str| -> u64 {
         let of = lines.iter().filter(|l| l.contains(word)).filter_map(|l| l.split("held=").nth(1));
         of.filter_map(|rest| rest.split(' ').next()?.parse::<u64>().ok()).sum()
     };
-    assert_eq!(held("like=\"cannot reach"), 1_000_000 - 20, "{lines:?}");
-    assert_eq!(held("like=\"always"), 1_000_000 - 6, "{lines:?}");
+    assert_eq!(suppressed("like=\"cannot reach"), 1_000_000 - 20, "{lines:?}");
+    assert_eq!(suppressed("like=\"always"), 1_000_000 - 6, "{lines:?}");
     assert!(lines.len() <= 20 + 6 + 1 + 4, "{lines:?}");
-    // Far more than it takes: what is held must cost next to nothing.
+    // Far above what it takes: a suppressed event must cost next to nothing.
     assert!(took.as_secs() < 20, "{took:?}");
     println!("{} ns an event", took.as_nanos() / 2_000_000);
 }
 
 #[test]
-fn what_was_held_is_told_when_its_window_is_over_though_nothing_more_happens() {
+fn suppressed_count_is_logged_after_the_window_without_further_events() {
     let (log, stream, time) = log(SETTINGS);
-    let tell =
+    let log_times =
         |times: usize| dispatcher::with_default(log.dispatch(), || (0..times).for_each(|_| info!("again")));
-    tell(3);
+    log_times(3);
     stream.await_line("again");
-    // The thread that writes has nothing left to do: it must be told that there is something to tell of.
+    // The writer thread waits without a timeout by now: it must be woken for the suppressed lines.
     std::thread::sleep(Duration::from_millis(50));
-    tell(7);
+    log_times(7);
     time.store(1_000_000, Ordering::SeqCst);
     stream.await_line("INFO lapisrudder_log: more lines were held back held=7 like=\"again\"");
 }
 
 #[test]
-fn a_stream_that_takes_nothing_holds_up_nobody_and_the_loss_is_told() {
+fn blocked_stream_does_not_block_logging_and_dropped_lines_are_reported() {
     let bounds = Bounds { repeats: u32::MAX, lines: u32::MAX, ..BOUNDS };
     let (log, stream, _) = log(Settings { bounds, ..SETTINGS });
-    stream.shut(true);
+    stream.set_blocked(true);
     dispatcher::with_default(log.dispatch(), || {
         (0..2_000).for_each(|n| info!("{n}{}", " long".repeat(1_000)));
         (0..20_000).for_each(|n| info!("line {n}"));
     });
-    stream.shut(false);
+    stream.set_blocked(false);
     stream.await_line("lines were dropped");
     let lines = stream.lines();
     let dropped = lines.iter().find_map(|l| l.split("lines=").nth(1)?.parse::<usize>().ok()).unwrap();
     assert_eq!(lines.len() - 1 + dropped, 22_000);
-    assert!(lines.iter().map(String::len).sum::<usize>() < 300 << 10, "what waits is bounded in bytes");
-    stream.shut(true);
+    assert!(lines.iter().map(String::len).sum::<usize>() < 300 << 10, "queued bytes are bounded");
+    stream.set_blocked(true);
     dispatcher::with_default(log.dispatch(), || info!("last"));
-    // It ends though nobody reads.
+    // The drop must return although the stream is still blocked.
     drop(log);
 }
 
 #[test]
-fn level_format_and_bounds_change_while_it_runs_and_an_event_is_one_line() {
+fn settings_apply_at_runtime_and_each_event_is_one_line() {
     let (log, stream, _) = log(SETTINGS);
-    let tell = |what: &str| {
+    let log_events = |what: &str| {
         dispatcher::with_default(log.dispatch(), || {
             tracing::debug!(about = %"10.0.0.1:1", "fine {what}");
             warn!(about = %"10.0.0.1:1", count = 3, "grave {what}");
         })
     };
-    tell("a\nb\r\n");
+    log_events("a\nb\r\n");
     log.apply(Settings { level: Level::DEBUG, format: Format::Json, ..SETTINGS });
-    tell("c\nd");
+    log_events("c\nd");
     log.apply(Settings { level: Level::ERROR, bounds: Bounds { repeats: 1, ..BOUNDS }, ..SETTINGS });
-    tell("e");
+    log_events("e");
     drop(log);
     let lines: Vec<String> = stream.lines();
     assert_eq!(lines.len(), 3, "{lines:?}");
