--- a/crates/codec/src/memcache.rs
+++ b/crates/codec/src/memcache.rs
@@ -1,9 +1,10 @@
 //! The memcache meta protocol: incremental parsers, which take a buffer that may hold only part of a message,
 //! and writers.
 //!
-//! A request is a meta get (`mg`) or meta set (`ms`) with two flags: `O` carries the request's id (the opaque
-//! token), and `P` carries parameters as `name=value` pairs, separated by commas: `c` the class, `d` the
-//! milliseconds for which the client waits, `k` the idempotency key, `r=1` on a repeated request.
+//! A request is a meta get (`mg`) or meta set (`ms`). Two of its flags matter here: `O` carries the request's
+//! id (the opaque token), and `P` carries parameters as `name=value` pairs, separated by commas: `c` the
+//! class, `d` the milliseconds for which the client waits, `k` the idempotency key, `r=1` on a repeated
+//! request.
 
 mod answer;
 mod owned;
@@ -102,7 +103,7 @@
     Failed,
 }
 
-/// The first line of a buffer, without its line end, and its length with it.
+/// The first line of a buffer without its line end, and the line's length including the line end.
 fn split_line(buffer: &[u8]) -> Parsed<&[u8]> {
     match buffer.iter().take(MAX_LINE).position(|b| *b == b'\n') {
         Some(end) => Ok(Some((buffer[..end].strip_suffix(b"\r").unwrap_or(&buffer[..end]), end + 1))),
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,9 +1,9 @@
 //! A node's configuration, checked: the platform's part (environment variables and JSON), the operators' part
-//! (TOML), and the command line. [`Sources`] names these and loads them. Each problem is reported as one line with
-//! file, line and key.
+//! (TOML), and the command line. [`Sources`] names these and loads them. Each problem is reported as one line
+//! with file, line and key.
 //!
-//! The crate only reads and checks. It does not implement what a setting does, does not watch files, and keeps no
-//! state: to see changes, callers load again.
+//! The crate only reads and checks. It does not implement what a setting does, does not watch files, and
+//! keeps no state: to see changes, callers load again.
 //!
 //! ```
 //! use lapisrudder_config::{Level, Operators};
--- a/crates/config/src/operators.rs
+++ b/crates/config/src/operators.rs
@@ -94,7 +94,7 @@
         };
         return Err(one_per_line(errors.into_iter().map(syntax_problem).collect()));
     }
-    let stated = entries(&root);
+    let all_entries = entries(&root);
     let mut problems = Vec::new();
     let mut left_out = Vec::<&Entry>::new();
     // serde stops at the first error. The entry in question is left out and the rest is read again, so that
@@ -110,15 +110,15 @@
                     // Keys within an array share its path. Reversed, so that the first entry of a path, which
                     // is the key itself, overwrites the others.
                     let line = |e: &Entry| (e.path.join("."), line_at(text, e.key.start));
-                    return Ok((settings, stated.iter().rev().map(line).collect()));
+                    return Ok((settings, all_entries.iter().rev().map(line).collect()));
                 }
                 Ok(()) => return Err(one_per_line(problems)),
                 Err(InvalidSetting { key, what }) => (None, Some(key), what),
             },
         };
-        let remaining = stated.iter().filter(|e| !left_out.iter().any(|w| e.is_within(w)));
+        let remaining = all_entries.iter().filter(|e| !left_out.iter().any(|w| e.is_within(w)));
         let entry = match &key {
-            Some(key) => remaining.filter(|e| e.names(key)).min_by_key(|e| Reverse(e.path.len())),
+            Some(key) => remaining.filter(|e| e.covers(key)).min_by_key(|e| Reverse(e.path.len())),
             None => remaining
                 .filter_map(|e| Some((e.enclosing_length(span.as_ref()?)?, e)))
                 .min_by_key(|(w, _)| *w)
@@ -153,9 +153,9 @@
         self.path.starts_with(&other.path)
     }
 
-    /// Whether a dotted key names this entry or something in it: the entry `a.b` holds `a.b.c`, even if that
-    /// is not in the file.
-    fn names(&self, key: &str) -> bool {
+    /// Whether this entry is what a dotted key names, or a table that contains it: `a.b` covers `a.b.c`, even
+    /// if that is not in the file.
+    fn covers(&self, key: &str) -> bool {
         let own = self.path.join(".");
         key == own || key.strip_prefix(&own).is_some_and(|rest| rest.starts_with('.'))
     }
@@ -194,6 +194,7 @@
     entries
 }
 
+/// Removes the entry at a path from a table.
 fn remove(table: &mut DeTable<'_>, path: &[String]) {
     let Some((first, rest)) = path.split_first() else { return };
     let Some(key) = table.keys().find(|k| k.get_ref() == first).cloned() else { return };
--- a/crates/config/src/options.rs
+++ b/crates/config/src/options.rs
@@ -229,10 +229,10 @@
     }
 }
 
-/// On sockets, where discovery would push its list: the node polls its agent within a third of this time. The
-/// agent belongs to this node alone, so no call waits for another node's. What the agent has counts as known
-/// to the node even before the node has polled it: half a second later, nothing may be sent to a member that
-/// is listed as draining.
+/// On sockets, where discovery would push its list: the node polls its discovery agent within a third of this
+/// time. The agent belongs to this node alone, so no call waits for another node's. What the agent has counts
+/// as known to the node even before the node has polled it: half a second later, nothing may be sent to a
+/// member that is listed as draining.
 const AGENT_POLL_WITHIN: Micros = 300_000;
 
 impl Options {
--- a/crates/log/src/layer.rs
+++ b/crates/log/src/layer.rs
@@ -162,6 +162,6 @@
 pub(crate) fn log_dropped(dispatch: &Dispatch, lines: u64) {
     dispatcher::with_default(
         dispatch,
-        || tracing::warn!(target: OWN_TARGET, lines, "lines were dropped: the log stream was not read in time"),
+        || tracing::warn!(target: OWN_TARGET, lines, "lines were dropped: the log was not read in time"),
     );
 }
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,9 +1,9 @@
-//! Writes the events of [`tracing`] as lines of text or JSON to a stream, without ever blocking the thread that
-//! logs.
+//! Writes the events of [`tracing`] as lines of text or JSON to a stream, without ever blocking the thread
+//! that logs.
 //!
-//! - Rate limits ([`RateLimiter`]): a burst of faults must not fill the disk. In each window, the number of lines
-//!   with the same message is limited, and that of lines with the same message and subject. Further lines are
-//!   counted, and their number is logged in one line after the window.
+//! - Rate limits ([`RateLimiter`]): a burst of faults must not fill the disk. In each window, the number of
+//!   lines with the same message is limited, and that of lines with the same message and subject. Further
+//!   lines are counted, and their number is logged in one line after the window.
 //! - A bounded queue: the stream may be a pipe whose reader stalls. Lines are queued for a thread that writes
 //!   them; lines that do not fit in the queue are dropped and counted.
 //!
@@ -76,8 +76,8 @@
     Taken,
 }
 
-/// The log of a process. When dropped, it logs the numbers of suppressed lines and waits up to 200 ms until all
-/// lines are written.
+/// The log of a process. When dropped, it logs the numbers of suppressed lines and waits up to 200 ms until
+/// all lines are written.
 pub struct Log {
     shared: Arc<Shared>,
     queue: Queue,
