--- a/crates/codec/src/memcache/owned.rs
+++ b/crates/codec/src/memcache/owned.rs
@@ -62,7 +62,7 @@
     /// Composes a command from its parts.
     ///
     /// # Errors
-    /// The same texts that a memcache client gets for an invalid command.
+    /// What is wrong with the parts, as a text for the client.
     pub fn compose(parts: &RequestParts) -> Result<OwnedRequest, &'static str> {
         let RequestParts { key, id, class, wait_ms, value, idempotency, repeated } = *parts;
         if key.is_empty() {
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Reports a required key if it is missing; whether it is.
+    /// Reports a required key if it is missing. Returns whether it is.
     fn report_if_missing(&mut self, key: &str) -> bool {
         let missing = json::line_of(self.text, key).is_none();
         if missing {
