--- a/crates/engine/src/connection.rs
+++ b/crates/engine/src/connection.rs
@@ -4,7 +4,7 @@
 use crate::deadlines::Key;
 use crate::flow::{Flow, FlowId};
 use lapisrudder_codec::http;
-use lapisrudder_codec::memcache::{self, Answer, MAX_LINE, MAX_VALUE, MAX_WHOLE, ReadNote};
+use lapisrudder_codec::memcache::{self, Answer, MAX_LINE, MAX_VALUE, MAX_BUFFERED_VALUE, ReadNote};
 use lapisrudder_decisions::permit::{Begin, Denial, Violations};
 use lapisrudder_decisions::{Micros, Outcome, RequestId, ServerId};
 use std::collections::VecDeque;
@@ -15,7 +15,7 @@
 const MAX_RETAINED_CAPACITY: usize = 4 << 10;
 /// Maximum number of buffered bytes of incomplete answers: a peer may send endlessly although no answer is
 /// pending.
-const MAX_BUFFERED: usize = 2 * (MAX_LINE + MAX_WHOLE + 2);
+const MAX_BUFFERED: usize = 2 * (MAX_LINE + MAX_BUFFERED_VALUE + 2);
 /// This many new bytes are first appended to an incomplete answer, to see whether they complete it; then
 /// twice as many each time.
 const FIRST_STEP: usize = 4 << 10;
@@ -431,20 +431,20 @@
             let command = &slot.flow.shared.request.command;
             let mut pass = |answer| !slot.abandoned && answered(&slot.flow, AnswerPart::Answer(answer));
             taken += if self.origin {
-                let response = http::parse_response_or_head(rest, ended, MAX_WHOLE, MAX_VALUE)?;
+                let response = http::parse_response_or_head(rest, ended, MAX_BUFFERED_VALUE, MAX_VALUE)?;
                 let Some((response, used)) = response else { break };
-                if response.behind > 0 {
-                    let (left, keep) = (response.behind, response.keep);
+                if response.remaining_body > 0 {
+                    let (left, keep) = (response.remaining_body, response.keep_alive);
                     if response.status != 200 || command.is_write() {
                         return Err("body too long");
                     }
                     self.last_unnamed = Some(now);
-                    let wanted = pass(Answer::Begins { length: left, note: None });
+                    let wanted = pass(Answer::LargeValue { length: left, note: None });
                     self.start_body(Body { left, tail: b"", note: None, keep }, wanted);
                     taken += used;
                     continue;
                 }
-                (keep, self.last_unnamed) = (response.keep, Some(now));
+                (keep, self.last_unnamed) = (response.keep_alive, Some(now));
                 pass(match response.status {
                     200 if command.is_write() && !memcache::is_receipt(&response.body) => {
                         return Err("bad receipt");
@@ -468,13 +468,13 @@
                 };
                 let Some((answer, used)) = parsed? else { break };
                 if copy {
-                    if matches!(answer, Answer::Begins { .. }) {
+                    if matches!(answer, Answer::LargeValue { .. }) {
                         return Err("second copy of a large answer");
                     }
                     taken += used;
                     continue;
                 }
-                if let Answer::Begins { length, note } = answer {
+                if let Answer::LargeValue { length, note } = answer {
                     (self.last_unnamed, self.ambiguous) = (None, false);
                     let wanted = pass(answer);
                     self.start_body(Body { left: length, tail: b"\r\n", note, keep: true }, wanted);
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -283,7 +283,7 @@
             };
             let (outcome, note) = flow_outcome(&answer);
             let request = &flow.shared.request;
-            if let memcache::Answer::Begins { length, .. } = answer
+            if let memcache::Answer::LargeValue { length, .. } = answer
                 && !flow.shared.answered()
                 && !answers.begins(id, request, length)
             {
@@ -296,7 +296,7 @@
                 transactions.open -= 1;
                 transactions.answered.push(id);
                 match answer {
-                    memcache::Answer::Begins { .. } => {
+                    memcache::Answer::LargeValue { .. } => {
                         begun.push(flow.id);
                         return true;
                     }
@@ -311,7 +311,7 @@
             }
             ended.push((flow.id, outcome, note));
             // A large value for which no client waits is not read.
-            !matches!(answer, memcache::Answer::Begins { .. })
+            !matches!(answer, memcache::Answer::LargeValue { .. })
         });
         // A flow that ended here is still out on the connection. Where a second copy is not allowed, the
         // connection closes before the request is sent elsewhere.
@@ -659,7 +659,7 @@
     note.map(|note| match note {
         ReadNote::Hit => CacheNote::Hit,
         ReadNote::Fetched => CacheNote::Fetched,
-        ReadNote::OthersFetch => CacheNote::FetchInProgress,
+        ReadNote::FetchInProgress => CacheNote::FetchInProgress,
     })
 }
 
@@ -667,7 +667,7 @@
 fn flow_outcome(answer: &memcache::Answer) -> (Outcome, Option<CacheNote>) {
     match answer {
         memcache::Answer::Value { note, .. }
-        | memcache::Answer::Begins { note, .. }
+        | memcache::Answer::LargeValue { note, .. }
         | memcache::Answer::Receipt { note, .. } => (Outcome::Served, cache_note(note)),
         memcache::Answer::Miss { note } => (Outcome::Miss, cache_note(note)),
         memcache::Answer::Busy => (Outcome::Full, None),
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -58,7 +58,7 @@
 impl From<CommonArgs> for Sources {
     fn from(common: CommonArgs) -> Sources {
         Sources {
-            environment: Environment::of_process(),
+            environment: Environment::from_process(),
             operators: common.config,
             arguments: Arguments { log_level: common.log_level, log_format: common.log_format },
         }
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -5,7 +5,7 @@
 use lapisrudder::permit::{Close, Denial};
 use lapisrudder::time_limits::MAX_STALL;
 use lapisrudder::{Micros, RequestId};
-use lapisrudder_codec::memcache::{MAX_LINE, MAX_WHOLE};
+use lapisrudder_codec::memcache::{MAX_LINE, MAX_BUFFERED_VALUE};
 use lapisrudder_io::{Probe, Read, Written};
 use lapisrudder_limits::drain::State;
 use lapisrudder_limits::{Activity, ConnId};
@@ -41,7 +41,7 @@
 const MAX_COPIED_ANSWER: usize = 8 << 10;
 
 /// Size of the read buffer: an incomplete command, and as much again to read into.
-pub const SCRATCH: usize = 2 * (MAX_LINE + MAX_WHOLE + 2);
+pub const SCRATCH: usize = 2 * (MAX_LINE + MAX_BUFFERED_VALUE + 2);
 
 /// A large value is read from its server while less than the high mark of it waits for its client, or while
 /// all clients' answers together leave space. A paused one is read on below the low mark.
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -36,7 +36,7 @@
     #[error("name: {0}; a member of a fleet needs a valid name")]
     Name(#[from] lapisrudder_membership::BadName),
     #[error("{}: {}", .0.key, .0.what)]
-    Keys(lapisrudder_config::Refusal),
+    Keys(lapisrudder_config::InvalidSetting),
 }
 
 impl Error {
@@ -133,7 +133,7 @@
         let mut rng = rand::rng();
         let config = Config {
             name,
-            at: section.reached_at(),
+            at: section.advertised_addr(),
             zone: section.zone.clone(),
             // Milliseconds since 1970, and random bits in case two processes start within the same one. The
             // membership raises the start if the clock was set back.
@@ -188,7 +188,7 @@
         for (key, differs) in [
             ("name", old.name != section.name),
             ("listen", old.listen != section.listen),
-            ("advertise", old.reached_at() != section.reached_at()),
+            ("advertise", old.advertised_addr() != section.advertised_addr()),
             ("zone", old.zone != section.zone),
             ("look", old.look != section.look),
         ] {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -210,7 +210,7 @@
     fn read(&mut self, give_up_at: Instant, node: &mut Node) {
         self.retry = None;
         let path = self.sources.environment.config.as_deref().unwrap_or(Path::new(""));
-        let check = |config: Config| config.platform.has_all_of(&self.platform, path).map(|()| config);
+        let check = |config: Config| config.platform.check_no_key_lost(&self.platform, path).map(|()| config);
         match self.sources.reload().and_then(check) {
             Ok(config) => {
                 self.platform = config.platform.clone();
--- a/src/net/virtual_server.rs
+++ b/src/net/virtual_server.rs
@@ -619,7 +619,7 @@
                             let number = RequestId(self.next_request);
                             newest = Some(number);
                             client.slots.push_back(Slot::Waiting(number));
-                            if let Some(command) = OwnedRequest::of(&request, raw) {
+                            if let Some(command) = OwnedRequest::copy_of(&request, raw) {
                                 let event =
                                     ClientEvent::Command { client: id, request: number, command, came_after };
                                 self.events.push_back(event);
@@ -655,7 +655,7 @@
             client.forget_arrival();
         }
         let rest = &buffer[taken..];
-        if let Some(total) = memcache::large_command(rest).filter(|_| client.can_take_command()) {
+        if let Some(total) = memcache::large_command_length(rest).filter(|_| client.can_take_command()) {
             let mut upload = Upload { bytes: rest.to_vec(), total, admitted: false };
             upload.admitted = self.upload_budget.acquire(id, upload.needs());
             client.upload = Some(upload);
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -125,17 +125,17 @@
 
 /// Makes calls fail at random, three in a row each time.
 fn often(call: Call, error: i32) -> Rule {
-    Rule { burst: 3, ..Rule::often(call, error, 0.1) }
+    Rule { burst: 3, ..Rule::with_rate(call, error, 0.1) }
 }
 
 /// Makes the next three calls fail.
 fn first(call: Call, error: i32) -> Rule {
-    Rule { burst: 3, most: 3, ..Rule::always(call, error) }
+    Rule { burst: 3, max_failures: 3, ..Rule::always(call, error) }
 }
 
 /// Makes three calls in ten transfer a single byte.
 fn one_byte(call: Call) -> Rule {
-    Rule { error: faults::ONE_BYTE, ..Rule::often(call, 0, 0.3) }
+    Rule { error: faults::ONE_BYTE, ..Rule::with_rate(call, 0, 0.3) }
 }
 
 /// Runs all cases, a few at a time; gives a message for each that lost a request or injected no fault.
@@ -213,7 +213,7 @@
     node.wait_ready();
     let mut kept: Vec<Client> = (0..40).map(|_| node.client()).collect();
     kept.iter_mut().for_each(|client| assert_eq!(client.ask("mn\r\n"), "MN\r\n"));
-    control.add(Rule::often(Call::Accept, EMFILE, 0.8).on(&[Descriptor::Listener])).expect("a rule");
+    control.add(Rule::with_rate(Call::Accept, EMFILE, 0.8).on(&[Descriptor::Listener])).expect("a rule");
     control.add(Rule::short(Call::Recv, 0.3)).expect("a rule");
     assert_eq!(node.call("standby\n"), "ok draining\n");
     let drain_start = Instant::now();
@@ -325,7 +325,7 @@
         assert!(seen > 0 || matches!(call, Call::Fcntl | Call::Ioctl), "{call:?} is never called");
         runs.extend((0..seen.min(MAX_PER_CALL)).map(|skip| Rule {
             burst: 2,
-            most: 2,
+            max_failures: 2,
             skip,
             ..Rule::always(call, error)
         }));
@@ -421,7 +421,7 @@
     );
     control.clear().expect("cleared");
     // More failures than one read of the file retries.
-    control.add(Rule { most: 40, ..Rule::always(Call::Open, EIO) }).expect("a rule");
+    control.add(Rule { max_failures: 40, ..Rule::always(Call::Open, EIO) }).expect("a rule");
     node.reload(|text| text.replace(r#""name":"put""#, r#""name":"book""#));
     wait_until(|| {
         let answer = node.client().ask("mg k0 v O0 Pc=book,d=1000\r\n");
@@ -444,7 +444,7 @@
     let node = start_node(world.addresses().discovery(0).expect("discovery"), &control);
     node.wait_ready();
     let mut kept: Vec<Client> = (0..KEPT).map(|_| node.client()).collect();
-    control.add(Rule::often(Call::Accept, ENFILE, 0.7).on(&[Descriptor::Listener])).expect("a rule");
+    control.add(Rule::with_rate(Call::Accept, ENFILE, 0.7).on(&[Descriptor::Listener])).expect("a rule");
     for round in 0..ROUNDS {
         let mut ids = (round * (KEPT + 1)..).map(|id| id.to_string());
         let new = std::iter::once(node.client());
