--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -20,7 +20,7 @@
     /// So many matching calls pass first.
     pub skip: u64,
     /// It strikes so many calls at the most; 0 is no limit.
-    pub most: u64,
+    pub max_failures: u64,
     /// Kinds of descriptor, as bits of [`Descriptor`]; 0 is all.
     pub kinds: u64,
     /// It holds in the first part of each period of the machine's monotonic clock: period and part in milliseconds.
@@ -31,11 +31,11 @@
     /// Each call gives this error.
     pub fn always(call: Call, error: i32) -> Rule {
         let error = u64::from(error.unsigned_abs());
-        Rule { call, error, rate: 1.0, burst: 1, skip: 0, most: 0, kinds: 0, window_ms: None }
+        Rule { call, error, rate: 1.0, burst: 1, skip: 0, max_failures: 0, kinds: 0, window_ms: None }
     }
 
     /// The same, of so many calls of 1.
-    pub fn often(call: Call, error: i32, rate: f64) -> Rule {
+    pub fn with_rate(call: Call, error: i32, rate: f64) -> Rule {
         Rule { rate, ..Rule::always(call, error) }
     }
 
@@ -117,7 +117,7 @@
             (rule::RATE, (added.rate * 1e6) as u64),
             (rule::BURST, added.burst),
             (rule::SKIP, added.skip),
-            (rule::MOST, added.most),
+            (rule::MOST, added.max_failures),
             (rule::KINDS, added.kinds),
             (rule::MATCHED, 0),
             (rule::STRUCK, 0),
--- a/crates/lab/src/soak/system_calls.rs
+++ b/crates/lab/src/soak/system_calls.rs
@@ -74,7 +74,7 @@
         let burst = draws.random_range(1..=5);
         if draws.random_bool(SWITCHED_ON) && !leave_out.contains(call) {
             let window_ms = Some((period, lasts));
-            rules.push(Rule { error: how.word(), burst, window_ms, ..Rule::often(*call, 0, rate) });
+            rules.push(Rule { error: how.word(), burst, window_ms, ..Rule::with_rate(*call, 0, rate) });
         }
     }
     rules
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -122,16 +122,16 @@
 
 /// One call in five fails so, and three in a row at a time.
 fn often(call: Call, error: i32) -> Rule {
-    Rule { burst: 3, ..Rule::often(call, error, 0.1) }
+    Rule { burst: 3, ..Rule::with_rate(call, error, 0.1) }
 }
 
 /// The first calls from here on fail so, as many as burst in a row.
 fn first(call: Call, error: i32) -> Rule {
-    Rule { burst: 3, most: 3, ..Rule::always(call, error) }
+    Rule { burst: 3, max_failures: 3, ..Rule::always(call, error) }
 }
 
 fn one_byte(call: Call) -> Rule {
-    Rule { error: faults::ONE_BYTE, ..Rule::often(call, 0, 0.3) }
+    Rule { error: faults::ONE_BYTE, ..Rule::with_rate(call, 0, 0.3) }
 }
 
 /// Plays all cases, a few at a time, and gives what is wrong with each.
@@ -207,7 +207,7 @@
     node.until_ready();
     let mut kept: Vec<Client> = (0..40).map(|_| node.client()).collect();
     kept.iter_mut().for_each(|client| assert_eq!(client.ask("mn\r\n"), "MN\r\n"));
-    control.add(Rule::often(Call::Accept, EMFILE, 0.8).on(&[Descriptor::Listener])).expect("a rule");
+    control.add(Rule::with_rate(Call::Accept, EMFILE, 0.8).on(&[Descriptor::Listener])).expect("a rule");
     control.add(Rule::short(Call::Recv, 0.3)).expect("a rule");
     assert_eq!(node.call("standby\n"), "ok draining\n");
     let told = Instant::now();
@@ -315,7 +315,7 @@
         assert!(seen > 0 || matches!(call, Call::Fcntl | Call::Ioctl), "{call:?} is not reached");
         plays.extend((0..seen.min(MOST)).map(|skip| Rule {
             burst: 2,
-            most: 2,
+            max_failures: 2,
             skip,
             ..Rule::always(call, error)
         }));
@@ -408,7 +408,7 @@
     );
     control.clear().expect("cleared");
     // Longer than one reading of the file tries again.
-    control.add(Rule { most: 40, ..Rule::always(Call::Open, EIO) }).expect("a rule");
+    control.add(Rule { max_failures: 40, ..Rule::always(Call::Open, EIO) }).expect("a rule");
     node.reload(|text| text.replace(r#""name":"put""#, r#""name":"book""#));
     until(|| {
         let answer = node.client().ask("mg k0 v O0 Pc=book,d=1000\r\n");
@@ -430,7 +430,7 @@
     let node = start(world.addresses().discovery(0).expect("discovery"), &control);
     node.until_ready();
     let mut kept: Vec<Client> = (0..KEPT).map(|_| node.client()).collect();
-    control.add(Rule::often(Call::Accept, ENFILE, 0.7).on(&[Descriptor::Listener])).expect("a rule");
+    control.add(Rule::with_rate(Call::Accept, ENFILE, 0.7).on(&[Descriptor::Listener])).expect("a rule");
     for round in 0..ROUNDS {
         let mut ids = (round * (KEPT + 1)..).map(|id| id.to_string());
         let new = std::iter::once(node.client());
