--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -1,4 +1,4 @@
-//! The handle that callers have.
+//! [`Client`], the handle through which callers send requests to the thread of the plug-in.
 
 use crate::builder::{Builder, ClassName};
 use crate::future::ResponseFuture;
@@ -21,19 +21,22 @@
 use tower_service::Service;
 use tracing::{Span, debug_span, field::Empty};
 
-/// What clients and their thread share.
+/// State that all clones of a client share.
 pub(crate) struct Shared {
     pub name: String,
     pub queue: Arc<Queue>,
-    pub places: Arc<Semaphore>,
+    /// One permit for each request that may be in flight.
+    pub permits: Arc<Semaphore>,
     pub clock: Clock,
     pub classes: Vec<ClassName>,
-    /// Requests taken; each is a number, and with `salt` an id that no other copy has.
-    pub taken: AtomicU64,
-    pub salt: u64,
+    /// The number of the next request. With `id_salt` it makes an id that no other instance of the service
+    /// uses.
+    pub next_number: AtomicU64,
+    pub id_salt: u64,
 }
 
-/// Goes with the last clone, and has the thread end once all is answered.
+/// Owned by all clones together. Dropping it with the last clone makes the thread end once all requests are
+/// answered.
 pub(crate) struct Handle {
     pub shared: Shared,
     pub stats: watch::Receiver<Stats>,
@@ -43,7 +46,7 @@
 impl Handle {
     fn close(&self) {
         if !self.shared.queue.is_forked() && !self.closing.swap(true, Ordering::AcqRel) {
-            self.shared.places.close();
+            self.shared.permits.close();
             self.shared.queue.push(Command::Close);
         }
     }
@@ -55,93 +58,96 @@
     }
 }
 
-/// The plug-in, as a [`Service`]. Clones are cheap and share one thread, one set of connections and one limit of
-/// requests in flight. See the [crate](crate) for an example.
+/// The plug-in, as a [`Service`]. Clones are cheap and share one thread, one set of connections and one limit
+/// of requests in flight. See the [crate](crate) for an example.
 pub struct Client {
     handle: Arc<Handle>,
-    places: PollSemaphore,
-    /// A place kept for the next call.
-    place: Option<OwnedSemaphorePermit>,
+    permits: PollSemaphore,
+    /// The permit that `poll_ready` has reserved for the next call.
+    reserved: Option<OwnedSemaphorePermit>,
 }
 
 impl Client {
-    /// What is to be told before the start.
+    /// Returns a builder with the default configuration.
     pub fn builder() -> Builder {
         Builder::default()
     }
 
     pub(crate) fn new(shared: Shared, stats: watch::Receiver<Stats>) -> Client {
-        let places = PollSemaphore::new(shared.places.clone());
+        let permits = PollSemaphore::new(shared.permits.clone());
         let handle = Arc::new(Handle { shared, stats, closing: AtomicBool::new(false) });
-        Client { handle, places, place: None }
+        Client { handle, permits, reserved: None }
     }
 
-    /// Asks, when there is room: [`poll_ready`](Service::poll_ready) and [`call`](Service::call) in one.
+    /// Sends a request as soon as the limit of requests in flight allows: [`poll_ready`](Service::poll_ready)
+    /// and [`call`](Service::call) in one.
     ///
     /// # Errors
-    /// As the call.
+    /// Those of [`call`](Service::call).
     pub async fn ask(&self, request: Request) -> Result<Response, Error> {
         let mut client = self.clone();
         poll_fn(|cx| client.poll_ready(cx)).await?;
         client.call(request).await
     }
 
-    /// Waits until a list names a server that may be used: for a readiness probe. Requests need not wait for it.
+    /// Waits until the list of members names a server that may get new requests, for use in a readiness
+    /// probe. Requests may be sent before that.
     ///
     /// # Errors
-    /// If the plug-in has been closed.
+    /// [`Error::Closed`] if the plug-in has been closed.
     pub async fn listed(&self) -> Result<(), Error> {
         let mut stats = self.handle.stats.clone();
         let usable = stats.wait_for(|stats| stats.phase == Phase::Serving && stats.any_open()).await;
         usable.map(drop).map_err(|_| Error::Closed)
     }
 
-    /// What it does, as of a tenth of a second ago at most.
+    /// Returns the counters of the plug-in, at most 100 ms old.
     pub fn stats(&self) -> Stats {
         self.handle.stats.borrow().clone()
     }
 
-    /// The same whenever it changes, at most ten times a second. Ends with the plug-in.
+    /// Returns a receiver of the counters, updated when they change, at most ten times a second. The channel
+    /// closes when the plug-in ends.
     pub fn watch(&self) -> watch::Receiver<Stats> {
         self.handle.stats.clone()
     }
 
-    /// Takes no more requests, by any clone, and waits until all that were taken are answered, each by its deadline.
-    /// A closed plug-in does not open again.
+    /// Closes the plug-in for all clones. The future waits until all requests accepted before are answered,
+    /// each by its deadline. A closed plug-in cannot be reopened.
     pub fn close(&self) -> impl Future<Output = ()> + Send + use<> {
         self.handle.close();
         let forked = self.handle.shared.queue.is_forked();
         let mut stats = self.handle.stats.clone();
         async move {
-            // Its sender goes with the thread.
+            // The thread owns the sender, so the channel closes when the thread ends.
             while !forked && stats.changed().await.is_ok() {}
         }
     }
 
-    fn take(&mut self, request: Request, span: impl FnOnce(&str, &str) -> Span) -> ResponseFuture {
+    fn submit(&mut self, request: Request, span: impl FnOnce(&str, &str) -> Span) -> ResponseFuture {
         let Handle { shared, .. } = &*self.handle;
-        let number = shared.taken.fetch_add(1, Ordering::Relaxed);
-        let id = format!("{:016x}", shared.salt.wrapping_add(number).wrapping_mul(ODD));
+        let number = shared.next_number.fetch_add(1, Ordering::Relaxed);
+        let id = format!("{:016x}", shared.id_salt.wrapping_add(number).wrapping_mul(ID_MULTIPLIER));
         let name = request.class.as_deref();
         let classes = &shared.classes;
         let class = name.map_or(Some(0), |name| classes.iter().position(|c| *c.name == *name));
         let span = span(&id, name.unwrap_or_default());
         match self.compose(request, &id, class) {
-            Ok((composed, place)) => {
+            Ok((composed, permit)) => {
                 let Handle { shared, .. } = &*self.handle;
                 let number = RequestId(number);
-                let (to, answered) = oneshot::channel();
-                let reply = Reply { to, permit: place };
-                match shared.queue.push(Command::Take { id: number, request: composed, reply }) {
-                    true => ResponseFuture::waits(number, answered, shared.queue.clone(), span),
-                    false => ResponseFuture::refused(Error::Closed, span),
+                let (sender, receiver) = oneshot::channel();
+                let reply = Reply { sender, permit };
+                match shared.queue.push(Command::Submit { id: number, request: composed, reply }) {
+                    true => ResponseFuture::pending(number, receiver, shared.queue.clone(), span),
+                    false => ResponseFuture::rejected(Error::Closed, span),
                 }
             }
-            Err(error) => ResponseFuture::refused(error, span),
+            Err(error) => ResponseFuture::rejected(error, span),
         }
     }
 
-    /// The request in the engine's form, and the place kept for it.
+    /// Converts the request to the form of the engine, and takes the permit for it.
     fn compose(
         &mut self,
         request: Request,
@@ -149,9 +155,9 @@
         class: Option<usize>,
     ) -> Result<(engine::Request, OwnedSemaphorePermit), Error> {
         let Handle { shared, .. } = &*self.handle;
-        let place = match self.place.take() {
-            Some(place) => place,
-            None => shared.places.clone().try_acquire_owned().map_err(|e| match e {
+        let permit = match self.reserved.take() {
+            Some(permit) => permit,
+            None => shared.permits.clone().try_acquire_owned().map_err(|e| match e {
                 tokio::sync::TryAcquireError::Closed => Error::Closed,
                 tokio::sync::TryAcquireError::NoPermits => Error::NotReady,
             })?,
@@ -159,12 +165,12 @@
         let class = class.ok_or(BadRequest::UnknownClass)?;
         let name = shared.classes.get(class).ok_or(BadRequest::UnknownClass)?;
         let now = shared.clock.now();
-        let due = request.due.map_or(now + name.give_up, |due| shared.clock.at(due));
+        let deadline = request.deadline.map_or(now + name.default_timeout, |at| shared.clock.at(at));
         let parts = Parts {
             key: &request.key,
             id: request.id.as_deref().unwrap_or(id.as_bytes()),
             class: name.name.as_bytes(),
-            wait_ms: (due - now).max(0) as u64 / 1000,
+            wait_ms: (deadline - now).max(0) as u64 / 1000,
             value: request.value.as_deref(),
             idempotency: request.idempotency.as_deref(),
             repeated: request.repeated,
@@ -172,33 +178,34 @@
         let command = OwnedRequest::compose(&parts).map_err(BadRequest::Command)?;
         let key = Key(digest(&String::from_utf8_lossy(&request.key)));
         let repeated = request.repeated;
-        Ok((engine::Request { repeated, ..engine::Request::new(command, key, class, due) }, place))
+        Ok((engine::Request { repeated, ..engine::Request::new(command, key, class, deadline) }, permit))
     }
 }
 
-/// Makes numbers in a row look unlike each other, and stays a bijection: SplitMix64's step (Steele, Lea, Flood 2014).
-const ODD: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Multiplier that spreads consecutive numbers over 64 bits: the increment of SplitMix64 (Steele, Lea, Flood
+/// 2014). It is odd, so the product stays a bijection and no two requests of one client get the same id.
+const ID_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl Service<Request> for Client {
     type Response = Response;
     type Error = Error;
     type Future = ResponseFuture;
 
-    /// There is room for one more request in flight; those who wait get room in the order in which they came. The
-    /// room is kept until the call, or until this clone is dropped.
+    /// Reserves a permit for one request in flight. Clones that wait for a permit get one in first-in,
+    /// first-out order. The permit is kept until the next call, or until this clone is dropped.
     fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), Error>> {
         if self.handle.shared.queue.is_forked() {
             return Poll::Ready(Err(Error::Closed));
         }
-        if self.place.is_none() {
-            self.place = ready!(self.places.poll_acquire(cx));
+        if self.reserved.is_none() {
+            self.reserved = ready!(self.permits.poll_acquire(cx));
         }
-        Poll::Ready(self.place.as_ref().map(drop).ok_or(Error::Closed))
+        Poll::Ready(self.reserved.as_ref().map(drop).ok_or(Error::Closed))
     }
 
     fn call(&mut self, request: Request) -> ResponseFuture {
         let (write, name) = (request.is_write(), self.handle.shared.name.clone());
-        self.take(
+        self.submit(
             request,
             |id, class| debug_span!("lapisrudder", service = %name, id, class, write, outcome = Empty),
         )
@@ -206,9 +213,9 @@
 }
 
 impl Clone for Client {
-    /// The clone has its own turn when there is no room.
+    /// The clone has no permit reserved, and queues for one by itself.
     fn clone(&self) -> Self {
-        Client { handle: self.handle.clone(), places: self.places.clone(), place: None }
+        Client { handle: self.handle.clone(), permits: self.permits.clone(), reserved: None }
     }
 }
 
--- a/crates/client/src/future.rs
+++ b/crates/client/src/future.rs
@@ -1,6 +1,6 @@
-//! The future of one request.
+//! [`ResponseFuture`]: the future of one request.
 
-use crate::queue::{Answer, Answered, Command, Queue};
+use crate::queue::{Answer, AnswerReceiver, Command, Queue};
 use crate::response::Error;
 use lapisrudder_decisions::RequestId;
 use std::fmt;
@@ -10,37 +10,44 @@
 use std::task::{Context, Poll, ready};
 use tracing::{Span, debug};
 
-/// The answer to one request. Dropping it calls the request off: an attempt that is out is closed, or its answer is
-/// thrown away where others are on the same connection; a write may have run all the same.
-#[must_use = "a request is called off when its future is dropped"]
+/// Resolves to the answer to one request. Dropping it cancels the request: the connection of an open attempt
+/// is closed, or its answer is discarded where other attempts share the connection. A cancelled write may
+/// still have run.
+#[must_use = "a request is cancelled when its future is dropped"]
 pub struct ResponseFuture {
     state: State,
     span: Span,
 }
 
 enum State {
-    Waits(Waiter),
-    /// It was not taken.
-    Refused(Error),
+    Pending(PendingAnswer),
+    /// The request was not queued.
+    Rejected(Error),
     Done,
 }
 
-struct Waiter {
+struct PendingAnswer {
     id: RequestId,
-    answered: Answered,
+    receiver: AnswerReceiver,
     queue: Arc<Queue>,
 }
 
 impl ResponseFuture {
-    pub(crate) fn waits(id: RequestId, answered: Answered, queue: Arc<Queue>, span: Span) -> ResponseFuture {
-        ResponseFuture { state: State::Waits(Waiter { id, answered, queue }), span }
+    pub(crate) fn pending(
+        id: RequestId,
+        receiver: AnswerReceiver,
+        queue: Arc<Queue>,
+        span: Span,
+    ) -> ResponseFuture {
+        ResponseFuture { state: State::Pending(PendingAnswer { id, receiver, queue }), span }
     }
 
-    pub(crate) fn refused(error: Error, span: Span) -> ResponseFuture {
-        ResponseFuture { state: State::Refused(error), span }
+    pub(crate) fn rejected(error: Error, span: Span) -> ResponseFuture {
+        ResponseFuture { state: State::Rejected(error), span }
     }
 
-    fn tell(&self, answer: &Answer) {
+    /// Records the outcome in the tracing span of the request.
+    fn record_outcome(&self, answer: &Answer) {
         if self.span.is_disabled() {
             return;
         }
@@ -64,31 +71,32 @@
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Answer> {
         let answer = match &mut self.state {
-            State::Waits(waiter) => match ready!(Pin::new(&mut waiter.answered).poll(cx)) {
-                // The place in flight is free from here on.
+            State::Pending(pending) => match ready!(Pin::new(&mut pending.receiver).poll(cx)) {
+                // Dropping the permit here allows another request in flight.
                 Ok((answer, _permit)) => answer,
-                // The thread has ended over it: a defect. What came of the request nobody knows.
+                // The thread has panicked while the request was pending, so whether the request ran is
+                // unknown.
                 Err(_) => Err(Error::Failed { may_have_run: true }),
             },
-            State::Refused(error) => Err(*error),
-            // Polled after its end, which futures need not bear; it has no other answer to give.
+            State::Rejected(error) => Err(*error),
+            // Polled again after completion, for which the contract of futures promises nothing.
             State::Done => Err(Error::NotReady),
         };
-        // There is nothing to call off any more.
+        // Completed, so the drop has nothing to cancel.
         self.state = State::Done;
-        self.tell(&answer);
+        self.record_outcome(&answer);
         Poll::Ready(answer)
     }
 }
 
 impl Drop for ResponseFuture {
     fn drop(&mut self) {
-        if let State::Waits(waiter) = &mut self.state {
-            waiter.answered.close();
-            // An answer that nobody looked at is no reason to call anything off.
-            if waiter.answered.try_recv().is_err() {
+        if let State::Pending(pending) = &mut self.state {
+            pending.receiver.close();
+            // If the answer has arrived unread, the request is complete and needs no cancelling.
+            if pending.receiver.try_recv().is_err() {
                 self.span.record("outcome", "left");
-                waiter.queue.push(Command::Left(waiter.id));
+                pending.queue.push(Command::Cancel(pending.id));
             }
         }
     }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,11 +1,13 @@
-//! The plug-in: the engine of a lapisrudder node inside a service, behind [tower](tower_service)'s `Service`.
+//! The client-side plug-in: the engine of a lapisrudder node embedded in a service, behind
+//! [tower](tower_service)'s `Service`.
 //!
-//! A service that uses cache servers ("rooster servers") through a node pays for a hop. With the plug-in it asks them
-//! itself, and keeps what the node gives: a key's server is the one that all nodes and copies agree on, cold servers
-//! are spared, further attempts keep to a budget, drains are kept to, a write that may have run is not sent again,
-//! and each request gets one answer by its deadline.
+//! A service that reaches its cache servers through a node pays for a network hop. With the plug-in it sends
+//! requests to the servers itself and keeps the guarantees of the node: all nodes and all instances of the
+//! service agree on which server holds a key, servers with a cold cache get a reduced load, retries and
+//! hedged attempts keep to a budget, draining servers get no new requests, a write that may have run is not
+//! sent again, and each request gets one answer by its deadline.
 //!
-//! # An example
+//! # Example
 //!
 //! ```
 //! use lapisrudder_client::{Class, Client, FixedMember, Request, Response};
@@ -19,9 +21,9 @@
 //! let read = Class { aim: 750_000, worth: 1.0, ..Class::default() };
 //! let client = Client::builder()
 //!     .name("lessons")
-//!     // Or `discovery(address)`, which follows the list of members.
+//!     // Or `discovery(address)`, which follows the list of members as it changes.
 //!     .members([FixedMember::cache("s-1", address)])
-//!     // Or `settings_json(text)`, with all classes as nodes have them.
+//!     // Or `settings_json(text)`, with all request classes, in the format that nodes use.
 //!     .class("read", read, Duration::from_millis(900))
 //!     .copies(3)
 //!     .start()?;
@@ -34,35 +36,37 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 //!
-//! [`Client`] is a tower `Service<Request>`, so that tower's layers go round it: timeouts, limits, retries, tracing.
-//! It works on any async runtime, and on none.
+//! [`Client`] is a tower `Service<Request>`, so tower's layers for timeouts, limits, retries and tracing can
+//! be stacked on it. It works with any async runtime, and without one.
 //!
-//! # What it promises
+//! # Guarantees
 //!
-//! - **One answer for each request**: the future of a call ends with a [`Response`] of a server that made it for this
-//!   request, or with an [`Error`] that tells whether it may have run; at the latest 10 ms after its deadline, unless
-//!   thread or runtime are late themselves.
-//! - **Dropping a future calls its request off**, whether it was written or not.
-//! - **Back-pressure**: [`poll_ready`](tower_service::Service::poll_ready) waits, first come, first served, while as
-//!   many requests are in flight as the [builder](Builder::in_flight) allows. An answer counts until its caller has
-//!   taken it, so that nothing piles up while a runtime stalls.
-//! - **No list yet**: until discovery has answered for the first time, requests wait within their deadlines, and end
-//!   as [`Error::Overdue`] that has not run. [`Client::listed`] tells when there is a list. Once there is one, a list
-//!   without a usable server refuses requests at once.
-//! - **The end**: [`Client::close`] and the drop of the last clone take no more, and answer all that was taken.
+//! - **One answer for each request**: the future of a call resolves to a [`Response`] that a server made for
+//!   this request, or to an [`Error`] that says whether the request may have run. It resolves at the latest
+//!   10 ms after the deadline, unless the plug-in's thread or the caller's runtime are delayed themselves.
+//! - **Dropping a future cancels its request**, whether it was written to a server or not.
+//! - **Back-pressure**: [`poll_ready`](tower_service::Service::poll_ready) waits, in first-in, first-out
+//!   order, while as many requests are in flight as [`Builder::in_flight`] allows. A request counts as in
+//!   flight until its caller has taken the answer, so that answers do not accumulate while a runtime stalls.
+//! - **Before the first list of members**: until discovery has answered for the first time, requests wait
+//!   within their deadlines; those whose deadlines pass end as [`Error::Overdue`] with `may_have_run: false`.
+//!   [`Client::listed`] waits for a list. When the list has no usable server, requests are refused at once.
+//! - **Shutdown**: after [`Client::close`], or after the last clone is dropped, no request is accepted, and
+//!   all requests accepted before are answered.
 //!
-//! # What it is not
+//! # Limitations
 //!
-//! Not a cache, and not a pool for other protocols. It does not retry what a caller should decide on: a refused
-//! request, or a write that may have run. It does nothing after a `fork`: the child's calls end as
-//! [`Error::Closed`]; a service that forks starts its plug-in afterwards.
+//! The plug-in is not a cache, and not a connection pool for other protocols. It does not retry where the
+//! caller has to decide: a refused request, or a write that may have run. It does not work in a forked child:
+//! the child's calls end as [`Error::Closed`]; a service that forks starts its plug-in afterwards.
 //!
-//! # How it runs
+//! # Implementation
 //!
-//! One thread, started by [`Builder::start`], has the engine, all sockets, and the watch on discovery; nothing is
-//! started for a request. Callers put requests on its queue and wait on a channel each; the thread wakes them by
-//! their [wakers](std::task::Waker). [`Client::stats`] and [`Client::watch`] show what it does, and it speaks in
-//! [`tracing`] events: a span `lapisrudder` for each request at debug level, and warnings of servers and discovery.
+//! One thread, started by [`Builder::start`], owns the engine, all sockets, and the watch on discovery; no
+//! thread or task is started for a request. Callers put requests on the thread's queue and wait on a channel
+//! each; the thread wakes them by their [wakers](std::task::Waker). [`Client::stats`] and [`Client::watch`]
+//! give its counters. It emits [`tracing`] events: a span `lapisrudder` for each request at debug level, and
+//! warnings about servers and discovery.
 #![forbid(unsafe_code)]
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/client/src/queue.rs
+++ b/crates/client/src/queue.rs
@@ -1,4 +1,4 @@
-//! What callers tell the plug-in's thread.
+//! The command queue from callers to the thread of the plug-in.
 
 use crate::response::{Error, Response};
 use calloop::ping::Ping;
@@ -7,106 +7,109 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use tokio::sync::{OwnedSemaphorePermit, oneshot};
 
-/// A place among the requests in flight. It goes with the request to the thread and with the answer to its caller,
-/// and is free again when the caller has the answer or is gone, and the thread is done with the request. Guards
-/// against answers that pile up while the caller's runtime stalls.
+/// Counts one request against the limit of requests in flight. It is handed to the thread with the request
+/// and back to the caller with the answer, and is released when the caller has taken the answer, or has
+/// dropped the future and the thread has finished the request. Without this, answers would accumulate while
+/// the caller's runtime stalls.
 pub(crate) type Permit = OwnedSemaphorePermit;
 pub(crate) type Answer = Result<Response, Error>;
-pub(crate) type Answered = oneshot::Receiver<(Answer, Permit)>;
+pub(crate) type AnswerReceiver = oneshot::Receiver<(Answer, Permit)>;
 
-/// Who waits for an answer.
+/// Where the answer to a request goes.
 pub(crate) struct Reply {
-    pub to: oneshot::Sender<(Answer, Permit)>,
+    pub sender: oneshot::Sender<(Answer, Permit)>,
     pub permit: Permit,
 }
 
 impl Reply {
     pub(crate) fn send(self, answer: Answer) {
-        // If the caller has left, its place is free again with this.
-        let _ = self.to.send((answer, self.permit));
+        // If the caller has dropped its future, this drops the answer and releases the permit.
+        let _ = self.sender.send((answer, self.permit));
     }
 }
 
+/// What a caller asks of the thread.
 pub(crate) enum Command {
-    Take {
+    Submit {
         id: RequestId,
         request: Request,
         reply: Reply,
     },
-    /// Its caller has dropped it.
-    Left(RequestId),
-    /// No more is to be taken.
+    /// The caller has dropped the future of this request.
+    Cancel(RequestId),
+    /// The plug-in shuts down: no further request will come.
     Close,
 }
 
 #[derive(Default)]
-struct Waiting {
+struct State {
     commands: Vec<Command>,
-    /// Nobody reads any more.
-    over: bool,
+    /// The thread no longer reads the queue.
+    closed: bool,
 }
 
-/// Commands on their way to the thread. There are never more than two for each place in flight.
+/// Commands that the thread has not read yet: at most two for each permit, a submit and a cancel.
 pub(crate) struct Queue {
-    waiting: Mutex<Waiting>,
+    state: Mutex<State>,
     ping: Ping,
-    /// The process that has the thread.
+    /// Id of the process in which the thread runs.
     process: u32,
 }
 
 impl Queue {
     pub(crate) fn new(ping: Ping, process: u32) -> Queue {
-        Queue { waiting: Mutex::default(), ping, process }
+        Queue { state: Mutex::default(), ping, process }
     }
 
-    /// This process is a fork of the one that has the thread. Danger: its copies of locks may be held for ever, and
-    /// what it does to sockets and wakers it does to those of its parent.
+    /// Whether this process is a fork of the one in which the thread runs. A forked child must not touch the
+    /// queue: its copies of locks may be held forever, and the sockets and the descriptor that wakes the
+    /// thread are shared with the parent.
     pub(crate) fn is_forked(&self) -> bool {
         self.process != std::process::id()
     }
 
-    /// No code that may panic runs under the lock.
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Ignores lock poisoning: no code that may panic runs while the lock is held.
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells the thread; false if that has ended.
+    /// Queues a command and wakes the thread. Returns false if the thread has ended.
     pub(crate) fn push(&self, command: Command) -> bool {
         if self.is_forked() {
             return false;
         }
-        let mut waiting = self.lock();
-        if waiting.over {
+        let mut state = self.lock();
+        if state.closed {
             return false;
         }
-        waiting.commands.push(command);
-        let first = waiting.commands.len() == 1;
-        drop(waiting);
-        // The thread takes all that wait at once: only the first need wake it.
-        if first {
+        state.commands.push(command);
+        let was_empty = state.commands.len() == 1;
+        drop(state);
+        // The thread drains the whole queue, so only the first command needs to wake it.
+        if was_empty {
             self.ping.ping();
         }
         true
     }
 
-    /// Swaps what waits for an empty buffer.
-    pub(crate) fn take(&self, into: &mut Vec<Command>) {
+    /// Moves the queued commands out, by swapping buffers; `into` must be empty.
+    pub(crate) fn drain_into(&self, into: &mut Vec<Command>) {
         std::mem::swap(&mut self.lock().commands, into);
     }
 
-    /// Takes nothing more, if nothing waits: else there is something left to do.
-    pub(crate) fn end_if_empty(&self) -> bool {
-        let mut waiting = self.lock();
-        waiting.over |= waiting.commands.is_empty();
-        waiting.over
+    /// Closes the queue if it is empty, and returns whether it is closed.
+    pub(crate) fn close_if_empty(&self) -> bool {
+        let mut state = self.lock();
+        state.closed |= state.commands.is_empty();
+        state.closed
     }
 
-    /// Takes nothing more; drops what waits.
-    pub(crate) fn end(&self) {
-        let mut waiting = self.lock();
-        waiting.over = true;
-        let dropped = std::mem::take(&mut waiting.commands);
-        drop(waiting);
+    /// Closes the queue and drops the queued commands, outside the lock.
+    pub(crate) fn close(&self) {
+        let mut state = self.lock();
+        state.closed = true;
+        let dropped = std::mem::take(&mut state.commands);
+        drop(state);
         drop(dropped);
     }
 }
@@ -122,24 +125,24 @@
     use tokio::sync::{Semaphore, watch};
 
     #[test]
-    fn a_fork_is_told_that_it_is_closed_and_tells_its_parent_nothing() {
+    fn forked_child_gets_closed_errors_and_sends_its_parent_no_command() {
         let (ping, _source) = calloop::ping::make_ping().unwrap();
         let queue = Arc::new(Queue::new(ping, std::process::id() + 1));
-        let places = Arc::new(Semaphore::new(1));
+        let permits = Arc::new(Semaphore::new(1));
         let shared = Shared {
             name: "n".into(),
             queue: queue.clone(),
-            places: places.clone(),
+            permits: permits.clone(),
             clock: Clock::default(),
             classes: Vec::new(),
-            taken: AtomicU64::new(0),
-            salt: 0,
+            next_number: AtomicU64::new(0),
+            id_salt: 0,
         };
-        let (_tell, stats) = watch::channel(Default::default());
+        let (_stats_sender, stats) = watch::channel(Default::default());
         let client = Client::new(shared, stats);
         assert_eq!(futures_executor::block_on(client.ask(Request::read("k"))), Err(Error::Closed));
         futures_executor::block_on(client.close());
         drop(client);
-        assert!(!places.is_closed() && queue.lock().commands.is_empty());
+        assert!(!permits.is_closed() && queue.lock().commands.is_empty());
     }
 }
--- a/crates/client/src/response.rs
+++ b/crates/client/src/response.rs
@@ -1,27 +1,28 @@
-//! What a caller gets.
+//! [`Response`] and [`Error`]: the outcome of a request.
 
 use bytes::Bytes;
 use std::time::Duration;
 use thiserror::Error;
 
-/// A server's answer that serves a request.
+/// A successful answer of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// A read's value.
+    /// The value of a read.
     Value(Bytes),
-    /// A write's receipt: the same for a repeat that servers dropped as for the write that they carried out.
+    /// The receipt of a write. A repeat that servers recognise by its idempotency key gets the receipt of the
+    /// write that was executed.
     Receipt(Bytes),
 }
 
 impl Response {
-    /// The bytes of value or receipt.
+    /// Returns the bytes of the value or receipt.
     pub fn bytes(&self) -> &Bytes {
         match self {
             Response::Value(bytes) | Response::Receipt(bytes) => bytes,
         }
     }
 
-    /// The same, without a copy.
+    /// Returns the bytes of the value or receipt without copying them.
     pub fn into_bytes(self) -> Bytes {
         match self {
             Response::Value(bytes) | Response::Receipt(bytes) => bytes,
@@ -33,61 +34,64 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Error {
-    /// Turned away: trying again is harmless, since it has not run, or its class may run more than once.
-    #[error("refused{}", retry(.retry_after))]
+    /// Refused. Retrying is safe: the request has not run, or its class allows it to run more than once.
+    #[error("refused{}", retry_text(.retry_after))]
     Refused {
-        /// When to come again, where the settings let that be told.
+        /// How long to wait before a retry, if the settings allow that to be reported.
         retry_after: Option<Duration>,
     },
-    /// It failed; nothing is promised.
-    #[error("failed{}", ran(.may_have_run))]
+    /// Failed for another reason than the deadline.
+    #[error("failed{}", ran_text(.may_have_run))]
     Failed {
-        /// Some server may have run it, or may yet.
+        /// A server may have run the request, or may still run it.
         may_have_run: bool,
     },
-    /// No answer came by its deadline.
-    #[error("overdue{}", ran(.may_have_run))]
+    /// No answer came by the deadline.
+    #[error("overdue{}", ran_text(.may_have_run))]
     Overdue {
-        /// Some server may have run it, or may yet.
+        /// A server may have run the request, or may still run it.
         may_have_run: bool,
     },
-    /// The plug-in has been closed, or this process is a fork of the one that started it; it has not run.
+    /// The plug-in has been closed, or this process is a fork of the one that started it. The request has not
+    /// run.
     #[error("closed")]
     Closed,
-    /// It was called though [`poll_ready`](tower_service::Service::poll_ready) had not said that there is room.
+    /// Called without a preceding successful [`poll_ready`](tower_service::Service::poll_ready), at the limit
+    /// of requests in flight.
     #[error("called without being ready")]
     NotReady,
-    /// It cannot be asked for like this; it has not run.
+    /// The request is invalid. It has not run.
     #[error("bad request: {0}")]
     BadRequest(#[from] BadRequest),
 }
 
 impl Error {
-    /// Some server may have run it, or may yet: a write may be sent again only under its idempotency key.
+    /// Whether a server may have run the request, or may still run it. Such a write may be sent again only
+    /// with its idempotency key.
     pub fn may_have_run(&self) -> bool {
         matches!(self, Error::Failed { may_have_run: true } | Error::Overdue { may_have_run: true })
     }
 }
 
-/// What is wrong with a request.
+/// Why a request is invalid.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum BadRequest {
-    /// The settings have no class of that name.
+    /// No class of that name is configured.
     #[error("unknown class")]
     UnknownClass,
-    /// Another in hand has the id that its caller gave it.
+    /// Another request in flight has the same id, set by [`Request::id`](crate::Request::id).
     #[error("request id in use")]
     IdInUse,
-    /// Key, value, id or idempotency key cannot go into a command.
+    /// Key, value, id or idempotency key cannot be encoded in a command of the protocol.
     #[error("{0}")]
     Command(&'static str),
 }
 
-fn ran(may_have_run: &bool) -> &'static str {
+fn ran_text(may_have_run: &bool) -> &'static str {
     if *may_have_run { ", and may have run" } else { ", and has not run" }
 }
 
-fn retry(after: &Option<Duration>) -> String {
-    after.map(|after| format!(", come again after {} ms", after.as_millis())).unwrap_or_default()
+fn retry_text(after: &Option<Duration>) -> String {
+    after.map(|after| format!(", retry after {} ms", after.as_millis())).unwrap_or_default()
 }
--- a/crates/client/src/share.rs
+++ b/crates/client/src/share.rs
@@ -1,36 +1,43 @@
-//! How many connections one of many copies may have.
+//! The share of one service instance in the connection limits that hold for all instances together.
 
 use lapisrudder_decisions::Micros;
 use lapisrudder_engine::Limits;
 
-/// Idle connections of a copy whose share is a single one close after this long: there are many such copies.
-const IDLE_SINGLE: Micros = 1_000_000;
+/// Idle timeout of an instance whose share is one connection to each server. There are many such instances,
+/// so their idle connections would add up at the servers.
+const SINGLE_CONNECTION_IDLE: Micros = 1_000_000;
 
-/// What all copies together may hold, and what else limits go by.
+/// The configured connection limits, before they are divided among the instances.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Totals {
-    /// Connections to one server, by all copies.
+pub(crate) struct ConnectionLimits {
+    /// Maximum number of connections to one server, for all instances together.
     pub per_member: usize,
-    /// Connections to the origin, by all copies.
+    /// Maximum number of connections to the origin, for all instances together.
     pub to_origin: usize,
-    /// Connections of one copy to all servers.
-    pub in_all: usize,
-    /// How long this copy keeps an idle connection, if it is told.
+    /// Maximum number of connections of one instance to all servers.
+    pub per_instance: usize,
+    /// Idle timeout of the connections of this instance, if configured.
     pub idle: Option<Micros>,
 }
 
-impl Default for Totals {
-    /// Those that nodes use among themselves; 256 for one copy in all.
+impl Default for ConnectionLimits {
+    /// The limits that nodes share among themselves, and 256 connections for one instance.
     fn default() -> Self {
-        let alone = Limits::default();
-        Totals { per_member: alone.per_member, to_origin: alone.to_origin, in_all: 256, idle: None }
+        let unshared = Limits::default();
+        ConnectionLimits {
+            per_member: unshared.per_member,
+            to_origin: unshared.to_origin,
+            per_instance: 256,
+            idle: None,
+        }
     }
 }
 
-impl Totals {
-    /// The limits of one of so many copies: its share, at least one connection. A copy opens one only when a request
-    /// needs it. Guards servers against deploys: copies whose share is one close it soon after its last use, so that
-    /// those that came and went do not add up.
+impl ConnectionLimits {
+    /// Returns the limits of one of `copies` instances: an equal share, at least one connection to each
+    /// server. Connections are opened only when a request needs one. An instance whose share is one
+    /// connection closes it soon after its last use; otherwise a rolling deployment, where instances come and
+    /// go, would overload the servers with idle connections.
     pub(crate) fn share(
         &self,
         copies: u32,
@@ -38,13 +45,14 @@
         conn_idle: Micros,
         multiplex: usize,
     ) -> Limits {
-        let alone = Limits::shared(1, connect_timeout, conn_idle, multiplex, self.in_all.max(1));
-        let of = |total: usize| (total / copies.max(1) as usize).max(1);
-        let (per_member, to_origin) = (of(self.per_member), of(self.to_origin));
-        let idle = if per_member == 1 { alone.idle.min(IDLE_SINGLE) } else { alone.idle };
-        // Danger: a connection that its server's machine closes under a request costs that request.
-        let idle = self.idle.map_or(idle, |told| told.clamp(1, alone.idle));
-        Limits { per_member, to_origin, idle, ..alone }
+        let unshared = Limits::shared(1, connect_timeout, conn_idle, multiplex, self.per_instance.max(1));
+        let share_of = |total: usize| (total / copies.max(1) as usize).max(1);
+        let (per_member, to_origin) = (share_of(self.per_member), share_of(self.to_origin));
+        let idle = if per_member == 1 { unshared.idle.min(SINGLE_CONNECTION_IDLE) } else { unshared.idle };
+        // Close idle connections well before the server does: if it closes one while a request is written to
+        // it, that request fails.
+        let idle = self.idle.map_or(idle, |configured| configured.clamp(1, unshared.idle));
+        Limits { per_member, to_origin, idle, ..unshared }
     }
 }
 
@@ -53,15 +61,16 @@
     use super::*;
 
     #[test]
-    fn a_share_is_at_least_one_and_a_single_connection_does_not_stay() {
-        let totals = Totals::default();
+    fn share_is_at_least_one_connection_and_a_single_one_has_a_short_idle_timeout() {
+        let total = ConnectionLimits::default();
         for (copies, per_member, to_origin, idle) in
             [(0, 12, 96, 10_000_000), (1, 12, 96, 10_000_000), (5, 2, 19, 10_000_000), (300, 1, 1, 1_000_000)]
         {
-            let limits = totals.share(copies, 250_000, 60_000_000, 32);
+            let limits = total.share(copies, 250_000, 60_000_000, 32);
             assert_eq!((limits.per_member, limits.to_origin, limits.idle), (per_member, to_origin, idle));
         }
-        let told = Totals { idle: Some(30_000_000), ..totals }.share(1, 250_000, 8_000_000, 32);
-        assert_eq!(told.idle, 2_000_000, "well before the servers do");
+        let configured =
+            ConnectionLimits { idle: Some(30_000_000), ..total }.share(1, 250_000, 8_000_000, 32);
+        assert_eq!(configured.idle, 2_000_000, "a quarter of the idle timeout of the servers");
     }
 }
--- a/crates/client/src/stats.rs
+++ b/crates/client/src/stats.rs
@@ -1,77 +1,77 @@
-//! What the plug-in does, as numbers.
+//! [`Stats`]: the counters of a plug-in.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Where the plug-in stands.
+/// The life-cycle phase of the plug-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Phase {
     /// No list of members has come yet; requests wait within their deadlines.
     #[default]
     Waiting,
-    /// A list is in hand.
+    /// A list of members is known.
     Serving,
-    /// It takes no more, and answers what it has taken.
+    /// No request is accepted any more; those accepted before are being answered.
     Closing,
-    /// All is answered.
+    /// All requests are answered, and the thread has ended.
     Closed,
 }
 
-/// A member as the list has it.
+/// A member of the current list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberStats {
-    /// Where it answers.
+    /// The address of the member.
     pub endpoint: SocketAddr,
-    /// It is the origin.
+    /// Whether the member is the origin.
     pub origin: bool,
-    /// It may be sent something new; else it drains.
+    /// Whether the member may get new requests; otherwise it is draining.
     pub open: bool,
 }
 
-/// A snapshot, at most a tenth of a second old. Counts are since the start.
+/// A snapshot of the counters, at most 100 ms old. Counters start at 0 with the plug-in.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct Stats {
-    /// Where it stands.
+    /// The life-cycle phase.
     pub phase: Phase,
-    /// The list of members, by address.
+    /// The current list of members, sorted by address.
     pub members: Arc<[MemberStats]>,
-    /// Lists and changes that discovery told.
+    /// Lists and changes received, from discovery or at the start.
     pub lists: u64,
     /// Calls to discovery that failed.
     pub list_failures: u64,
-    /// Requests that are owed an answer, those that wait for the first list included.
+    /// Requests without an answer yet, including those that wait for the first list.
     pub in_flight: usize,
     /// Requests that wait for the first list.
     pub held: usize,
-    /// Requests taken: each ends as one of the following five.
+    /// Requests accepted. Each is counted under one of the following five when it ends.
     pub taken: u64,
     /// Answered by a server.
     pub served: u64,
-    /// Turned away.
+    /// Ended as [`Error::Refused`](crate::Error::Refused).
     pub refused: u64,
-    /// Failed.
+    /// Ended as another error.
     pub failed: u64,
-    /// Overdue.
+    /// Ended as [`Error::Overdue`](crate::Error::Overdue).
     pub overdue: u64,
-    /// Dropped by their callers.
+    /// Cancelled: the caller dropped the future.
     pub left: u64,
-    /// Attempts at servers.
+    /// Attempts started at servers.
     pub attempts: u64,
-    /// Of these, a request's second or later.
+    /// Attempts beyond the first one of a request: retries and hedged attempts.
     pub retries: u64,
-    /// Connections to servers, those that are coming up included.
+    /// Connections to servers, including those being established.
     pub connections: usize,
-    /// Connects begun.
+    /// Connection attempts started.
     pub connects: u64,
-    /// The longest that one turn of the plug-in's thread took.
-    pub slowest_turn: Duration,
+    /// The longest time that one event-loop iteration of the thread took.
+    pub slowest_iteration: Duration,
 }
 
 impl Stats {
-    /// The list names a server that may be sent something new.
+    /// Whether a member may get new requests.
     pub fn any_open(&self) -> bool {
         self.members.iter().any(|m| m.open)
     }
--- a/crates/client/src/thread.rs
+++ b/crates/client/src/thread.rs
@@ -1,6 +1,7 @@
-//! The plug-in's thread: a host of the engine, with callers in place of clients' connections.
+//! The thread of the plug-in: it drives the engine as a node does, with callers in place of client
+//! connections.
 
-use crate::builder::{ClassName, Plan, StartError, draw};
+use crate::builder::{ClassName, Plan, StartError, random_u64};
 use crate::client::{Client, Shared};
 use crate::queue::{Answer, Command, Queue, Reply};
 use crate::response::{BadRequest, Error, Response};
@@ -22,17 +23,19 @@
 use tokio::sync::{Semaphore, watch};
 use tracing::{debug, info, info_span, warn};
 
-/// Snapshots are told at most this often.
-const TELL_EVERY: Micros = 100_000;
-/// After the loop has failed it is tried again so soon.
-const LOOP_AGAIN: Duration = Duration::from_millis(1);
-/// The thread looks for callers this often, whether it was woken or not.
-const LOOKS_EVERY: Micros = 100_000;
-/// The thread and its loop are tried to be had for this long.
-const START_PATIENCE: Duration = Duration::from_secs(1);
-/// What is read from a connection at a time: a whole answer with room to spare.
-const SCRATCH: usize = 128 << 10;
-
+/// Minimum time between two snapshots of the counters, in microseconds.
+const STATS_INTERVAL: Micros = 100_000;
+/// Delay before the event loop is polled again after it has failed.
+const LOOP_RETRY_DELAY: Duration = Duration::from_millis(1);
+/// The thread reads the command queue at least this often (in microseconds), whether a caller has woken it or
+/// not.
+const QUEUE_POLL_INTERVAL: Micros = 100_000;
+/// How long the creation of the thread and its event loop is retried when resources are short.
+const START_TIMEOUT: Duration = Duration::from_secs(1);
+/// Size of the read buffer in bytes: more than one complete answer.
+const SCRATCH_SIZE: usize = 128 << 10;
+
+/// What a socket in the event loop belongs to.
 #[derive(Clone, Copy)]
 enum Owner {
     Member(Conn),
@@ -45,7 +48,7 @@
     }
 }
 
-/// Whose sockets one dispatch of the loop has told of.
+/// Owners of the sockets that one poll of the event loop has reported as ready.
 #[derive(Default)]
 struct Ready(Vec<Owner>);
 
@@ -57,98 +60,100 @@
     }
 }
 
-/// Starts the thread, and gives the first client.
+/// Starts the thread and returns the first client.
 pub(crate) fn start(plan: Plan, classes: Vec<ClassName>, in_flight: usize) -> Result<Client, StartError> {
-    let (ping, pinged) = keep_trying(START_PATIENCE, ping::make_ping, |e| is_momentary(Operation::Open, e))?;
+    let (ping, ping_source) =
+        keep_trying(START_TIMEOUT, ping::make_ping, |e| is_momentary(Operation::Open, e))?;
     let queue = Arc::new(Queue::new(ping, std::process::id()));
-    let places = Arc::new(Semaphore::new(in_flight.min(Semaphore::MAX_PERMITS)));
+    let permits = Arc::new(Semaphore::new(in_flight.min(Semaphore::MAX_PERMITS)));
     let clock = Clock::default();
-    let (tell, stats) = watch::channel(Stats::default());
+    let (stats_sender, stats) = watch::channel(Stats::default());
     let shared = Shared {
         name: plan.name.clone(),
         queue: queue.clone(),
-        places: places.clone(),
+        permits: permits.clone(),
         clock,
         classes,
-        taken: AtomicU64::new(0),
-        // Danger: not from the plan's seed, since copies that are told the same one would make the same ids.
-        salt: draw(),
+        next_number: AtomicU64::new(0),
+        // Not derived from the configured seed: instances with the same seed would use the same request ids.
+        id_salt: random_u64(),
     };
-    let end = End { queue, places };
-    let (began, begun) = mpsc::channel();
+    let exit_guard = ExitGuard { queue, permits };
+    let (started, start_result) = mpsc::channel();
     let run = move || {
         let _span = info_span!("plug-in", service = %plan.name).entered();
-        let mut events = match start_loop(pinged) {
+        let mut events = match start_loop(ping_source) {
             Ok(events) => events,
-            Err(e) => return drop(began.send(Err(e))),
+            Err(e) => return drop(started.send(Err(e))),
         };
-        let _ = began.send(Ok(()));
-        drop(began);
-        let mut host = Host::new(plan, clock, &events, (end, tell));
+        let _ = started.send(Ok(()));
+        drop(started);
+        let mut host = Host::new(plan, clock, &events, (exit_guard, stats_sender));
         let mut ready = Ready::default();
-        info!("started");
+        info!("plug-in thread started");
         loop {
-            host.turn(ready.0.drain(..));
-            if host.is_over() {
+            host.run_iteration(ready.0.drain(..));
+            if host.is_done() {
                 break;
             }
-            if let Err(e) = events.dispatch(host.until_next(), &mut ready) {
-                warn!("the loop failed, all is looked at: {e}");
-                host.look_at_all();
-                std::thread::sleep(LOOP_AGAIN);
+            if let Err(e) = events.dispatch(host.poll_timeout(), &mut ready) {
+                warn!("event loop failed, rechecking all sockets: {e}");
+                host.recheck_all();
+                std::thread::sleep(LOOP_RETRY_DELAY);
             }
         }
-        info!("ended");
+        info!("plug-in thread ended");
     };
-    lapisrudder_io::spawn(START_PATIENCE, || std::thread::Builder::new().name("lapisrudder".into()), run)?;
-    begun.recv().map_err(|_| io::Error::other("the thread has ended at once"))??;
+    lapisrudder_io::spawn(START_TIMEOUT, || std::thread::Builder::new().name("lapisrudder".into()), run)?;
+    start_result.recv().map_err(|_| io::Error::other("the thread ended before it was set up"))??;
     Ok(Client::new(shared, stats))
 }
 
-/// The loop, woken by callers.
-fn start_loop(pinged: PingSource) -> Result<EventLoop<'static, Ready>, io::Error> {
-    let may_pass =
+/// Creates the event loop, with the source by which callers wake it.
+fn start_loop(ping_source: PingSource) -> Result<EventLoop<'static, Ready>, io::Error> {
+    let is_retryable =
         |e: &calloop::Error| matches!(e, calloop::Error::IoError(e) if is_momentary(Operation::Open, e));
     let events =
-        keep_trying(START_PATIENCE, EventLoop::<Ready>::try_new, may_pass).map_err(io::Error::from)?;
-    let mut source = Some(pinged);
+        keep_trying(START_TIMEOUT, EventLoop::<Ready>::try_new, is_retryable).map_err(io::Error::from)?;
+    let mut source = Some(ping_source);
     let insert = || {
-        let Some(pinged) = source.take() else { return Ok(()) };
-        let inserted = events.handle().insert_source(pinged, |(), (), _| {});
+        let Some(ping_source) = source.take() else { return Ok(()) };
+        let inserted = events.handle().insert_source(ping_source, |(), (), _| {});
         inserted.map(drop).map_err(|failed| {
             source = Some(failed.inserted);
             failed.error
         })
     };
-    keep_trying(START_PATIENCE, insert, may_pass).map_err(io::Error::from)?;
+    keep_trying(START_TIMEOUT, insert, is_retryable).map_err(io::Error::from)?;
     Ok(events)
 }
 
-/// Goes with the thread, however that ends: nobody waits for what cannot come any more.
-struct End {
+/// Closes the queue and the semaphore when the thread ends, also by a panic, so that no caller waits for an
+/// answer that cannot come any more.
+struct ExitGuard {
     queue: Arc<Queue>,
-    places: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
 }
 
-impl Drop for End {
+impl Drop for ExitGuard {
     fn drop(&mut self) {
-        self.places.close();
-        self.queue.end();
+        self.permits.close();
+        self.queue.close();
     }
 }
 
-/// Who is owed an answer, as the engine's answers see it.
+/// The requests without an answer yet; receives the answers of the engine.
 #[derive(Default)]
-struct Ledger {
-    owed: FxHashMap<RequestId, Reply>,
-    /// Large values of which not all has come. Callers get them whole.
-    large: FxHashMap<RequestId, BytesMut>,
+struct OpenRequests {
+    replies: FxHashMap<RequestId, Reply>,
+    /// Large values that have not arrived completely. Callers get only complete values.
+    partial_values: FxHashMap<RequestId, BytesMut>,
     stats: Stats,
 }
 
-impl Ledger {
+impl OpenRequests {
     fn answer(&mut self, id: RequestId, answer: Answer) {
-        let Some(reply) = self.owed.remove(&id) else { return };
+        let Some(reply) = self.replies.remove(&id) else { return };
         match answer {
             Ok(_) => self.stats.served += 1,
             Err(Error::Refused { .. }) => self.stats.refused += 1,
@@ -159,7 +164,7 @@
     }
 }
 
-impl Answers for Ledger {
+impl Answers for OpenRequests {
     fn served(&mut self, transaction: RequestId, _: &engine::Request, answer: engine::Answer<'_>) {
         let answer = match answer {
             engine::Answer::Value(value) => Response::Value(Bytes::copy_from_slice(value)),
@@ -169,44 +174,53 @@
     }
 
     fn begins(&mut self, transaction: RequestId, _: &engine::Request, length: usize) -> bool {
-        let owed = self.owed.contains_key(&transaction);
-        if owed {
-            self.large.insert(transaction, BytesMut::with_capacity(length));
+        let is_open = self.replies.contains_key(&transaction);
+        if is_open {
+            self.partial_values.insert(transaction, BytesMut::with_capacity(length));
         }
-        owed
+        is_open
     }
 
     fn piece(&mut self, transaction: RequestId, bytes: &[u8]) -> bool {
-        self.large.get_mut(&transaction).into_iter().for_each(|value| value.extend_from_slice(bytes));
+        self.partial_values
+            .get_mut(&transaction)
+            .into_iter()
+            .for_each(|value| value.extend_from_slice(bytes));
         true
     }
 
     fn ends(&mut self, transaction: RequestId) {
-        if let Some(value) = self.large.remove(&transaction) {
+        if let Some(value) = self.partial_values.remove(&transaction) {
             self.answer(transaction, Ok(Response::Value(value.freeze())));
         }
     }
 }
 
+/// Drives the engine: passes it the events of sockets, callers and discovery, and executes its orders.
 struct Host {
     clock: Clock,
+    /// Read buffer shared by all connections.
     scratch: Vec<u8>,
     engine: Engine,
     members: Members<Ready>,
     discovery: Option<Discovery<Ready>>,
     options: Options,
-    ledger: Ledger,
-    /// Requests that wait for the first list, or for the first call for one to fail, in the order in which they came.
-    held: BTreeMap<RequestId, engine::Request>,
-    /// Room for what the queue brings.
+    requests: OpenRequests,
+    /// Requests that wait until the first list has arrived or the first call for it has failed, in order of
+    /// arrival.
+    waiting: BTreeMap<RequestId, engine::Request>,
+    /// Reused buffer for commands taken from the queue.
     commands: Vec<Command>,
+    /// The members of the current list, for the counters.
     listed: BTreeMap<ServerId, MemberStats>,
+    /// The host type that marks origins in lists.
     origin_kind: Option<u32>,
-    tell: watch::Sender<Stats>,
-    told: Micros,
-    /// The last snapshot is not what there is now.
-    untold: bool,
-    end: End,
+    stats_sender: watch::Sender<Stats>,
+    /// When the last snapshot of the counters was published.
+    published_at: Micros,
+    /// The counters have changed since the last snapshot.
+    stats_changed: bool,
+    exit_guard: ExitGuard,
 }
 
 impl Host {
@@ -214,7 +228,7 @@
         plan: Plan,
         clock: Clock,
         events: &EventLoop<'static, Ready>,
-        (end, tell): (End, watch::Sender<Stats>),
+        (exit_guard, stats_sender): (ExitGuard, watch::Sender<Stats>),
     ) -> Host {
         let now = clock.now();
         let (handle, origin_kind) = (events.handle(), plan.settings.origin_kind);
@@ -223,24 +237,24 @@
         let discovery = plan.discovery.map(|at| Discovery::new(at, revision, &handle, Owner::Discovery));
         let mut host = Host {
             clock,
-            scratch: vec![0; SCRATCH],
+            scratch: vec![0; SCRATCH_SIZE],
             engine: Engine::new(config, now),
             members: Members::new(&handle),
             discovery,
             options: plan.options,
-            ledger: Ledger::default(),
-            held: BTreeMap::new(),
+            requests: OpenRequests::default(),
+            waiting: BTreeMap::new(),
             commands: Vec::new(),
             listed: BTreeMap::new(),
             origin_kind,
-            tell,
-            told: now - TELL_EVERY,
-            untold: true,
-            end,
+            stats_sender,
+            published_at: now - STATS_INTERVAL,
+            stats_changed: true,
+            exit_guard,
         };
         if let Some(known) = known {
             let scope = if host.discovery.is_some() { Scope::Remembered } else { Scope::Full };
-            host.list(scope, known);
+            host.apply_list(scope, known);
         }
         if let Some(discovery) = &mut host.discovery {
             discovery.watch(now);
@@ -248,74 +262,79 @@
         host
     }
 
-    /// How long the loop may wait.
-    fn until_next(&self) -> Option<Duration> {
-        let held = self.held.values().map(|request| request.due).min();
+    /// How long the event loop may wait for events.
+    fn poll_timeout(&self) -> Option<Duration> {
+        let deadline = self.waiting.values().map(|request| request.due).min();
         let discovery = self.discovery.as_ref().and_then(Discovery::next_wake);
-        let tell = self.untold.then_some(self.told + TELL_EVERY);
-        let behind = self.members.is_behind() || self.discovery.as_ref().is_some_and(Discovery::is_behind);
-        // Danger: a caller's call to wake the thread that failed for a moment would be heard by nobody.
-        let comes_back = Some(self.clock.now() + if behind { COME_BACK } else { LOOKS_EVERY });
-        let next = [self.engine.next_wake(), held, discovery, tell, comes_back].into_iter().flatten().min();
+        let publish = self.stats_changed.then_some(self.published_at + STATS_INTERVAL);
+        let needs_retry =
+            self.members.is_behind() || self.discovery.as_ref().is_some_and(Discovery::is_behind);
+        // Wake up periodically: a caller's wake-up may fail, and its request would then stay unread in the
+        // queue.
+        let recheck = Some(self.clock.now() + if needs_retry { COME_BACK } else { QUEUE_POLL_INTERVAL });
+        let next =
+            [self.engine.next_wake(), deadline, discovery, publish, recheck].into_iter().flatten().min();
         next.map(|at| self.clock.until(at))
     }
 
-    /// Comes back to what failed for a moment.
-    fn come_back(&mut self) {
+    /// Retries the system calls that failed temporarily.
+    fn retry_failed(&mut self) {
         let now = self.clock.now();
-        let Host { members, scratch, engine, ledger, .. } = self;
-        members.retry(scratch, engine, ledger, now);
+        let Host { members, scratch, engine, requests, .. } = self;
+        members.retry(scratch, engine, requests, now);
         if let Some(discovery) = &mut self.discovery {
             discovery.retry(&mut self.scratch, &self.options, now);
         }
-        self.news();
+        self.apply_discovery_updates();
     }
 
-    /// The loop has failed, and may have lost what it had to tell: edges come once.
-    fn look_at_all(&mut self) {
+    /// Checks all sockets after the event loop has failed: it may have lost edge-triggered events, which are
+    /// not repeated.
+    fn recheck_all(&mut self) {
         self.members.look_at_all();
         self.discovery.iter_mut().for_each(Discovery::look_again);
     }
 
-    /// All is answered, and nobody can ask any more.
-    fn is_over(&self) -> bool {
-        let done = self.ledger.stats.phase == Phase::Closing && self.ledger.owed.is_empty();
-        done && self.end.queue.end_if_empty()
+    /// Whether all requests are answered and no further one can come.
+    fn is_done(&self) -> bool {
+        let done = self.requests.stats.phase == Phase::Closing && self.requests.replies.is_empty();
+        done && self.exit_guard.queue.close_if_empty()
     }
 
-    /// One turn: reads all that has come, sweeps deadlines, and carries out what the engine says of it all.
-    fn turn(&mut self, ready: impl IntoIterator<Item = Owner>) {
-        let began = self.clock.now();
-        self.come_back();
-        ready.into_iter().for_each(|owner| self.ready(owner));
+    /// One event-loop iteration: handles ready sockets and queued commands, expires deadlines, and executes
+    /// the orders of the engine.
+    fn run_iteration(&mut self, ready: impl IntoIterator<Item = Owner>) {
+        let started = self.clock.now();
+        self.retry_failed();
+        ready.into_iter().for_each(|owner| self.on_ready(owner));
         self.take_commands();
         let now = self.clock.now();
         if let Some(discovery) = &mut self.discovery {
             discovery.wake(now);
         }
-        self.news();
+        self.apply_discovery_updates();
         self.engine.wake(now);
-        self.give_up_held(now);
+        self.expire_waiting(now);
         loop {
             let now = self.clock.now();
             match self.engine.poll_order(now) {
-                Some(order) => self.carry_out(order, now),
+                Some(order) => self.execute(order, now),
                 None => break,
             }
         }
-        self.tell(began);
+        self.publish_if_due(started);
     }
 
-    fn ready(&mut self, owner: Owner) {
+    fn on_ready(&mut self, owner: Owner) {
         let now = self.clock.now();
         match (owner, &mut self.discovery) {
             (Owner::Member(conn), _) => {
-                let Host { members, scratch, engine, ledger, .. } = self;
-                members.on_ready(conn, scratch, engine, ledger, now);
+                let Host { members, scratch, engine, requests, .. } = self;
+                members.on_ready(conn, scratch, engine, requests, now);
             }
             (Owner::Discovery, Some(discovery)) => {
                 discovery.on_ready(&mut self.scratch, &self.options, now);
-                self.news();
+                self.apply_discovery_updates();
             }
             (Owner::Discovery, None) => {}
         }
@@ -325,30 +344,30 @@
 
     fn take_commands(&mut self) {
         let mut commands = std::mem::take(&mut self.commands);
-        self.end.queue.take(&mut commands);
-        self.untold |= !commands.is_empty();
+        self.exit_guard.queue.drain_into(&mut commands);
+        self.stats_changed |= !commands.is_empty();
         for command in commands.drain(..) {
             match command {
-                Command::Take { id, request, reply } => self.take(id, request, reply),
-                Command::Left(id) => self.left(id),
+                Command::Submit { id, request, reply } => self.accept(id, request, reply),
+                Command::Cancel(id) => self.cancel(id),
                 Command::Close => {
-                    debug!(open = self.ledger.owed.len(), "closing");
-                    self.ledger.stats.phase = Phase::Closing;
+                    debug!(open = self.requests.replies.len(), "closing");
+                    self.requests.stats.phase = Phase::Closing;
                 }
             }
         }
         self.commands = commands;
     }
 
-    fn take(&mut self, id: RequestId, request: engine::Request, reply: Reply) {
-        self.ledger.stats.taken += 1;
-        if reply.to.is_closed() {
-            self.ledger.stats.left += 1;
+    fn accept(&mut self, id: RequestId, request: engine::Request, reply: Reply) {
+        self.requests.stats.taken += 1;
+        if reply.sender.is_closed() {
+            self.requests.stats.left += 1;
             return;
         }
-        self.ledger.owed.insert(id, reply);
-        if self.ledger.stats.lists == 0 && self.ledger.stats.list_failures == 0 {
-            self.held.insert(id, request);
+        self.requests.replies.insert(id, reply);
+        if self.requests.stats.lists == 0 && self.requests.stats.list_failures == 0 {
+            self.waiting.insert(id, request);
         } else {
             self.begin(id, request);
         }
@@ -362,56 +381,57 @@
             Err(TakeError::UnknownClass) => Error::BadRequest(BadRequest::UnknownClass),
             Err(TakeError::NumberInUse) => Error::Failed { may_have_run: false },
         };
-        self.ledger.answer(id, Err(answer));
+        self.requests.answer(id, Err(answer));
     }
 
-    fn left(&mut self, id: RequestId) {
-        self.ledger.large.remove(&id);
-        if self.ledger.owed.remove(&id).is_some() {
-            self.ledger.stats.left += 1;
-            if self.held.remove(&id).is_none() {
+    fn cancel(&mut self, id: RequestId) {
+        self.requests.partial_values.remove(&id);
+        if self.requests.replies.remove(&id).is_some() {
+            self.requests.stats.left += 1;
+            if self.waiting.remove(&id).is_none() {
                 self.engine.left(self.clock.now(), id);
             }
         }
     }
 
-    /// There is a list, or for now there will be none: what waited for it goes on, or is turned away at once. Danger:
-    /// without a discovery all were kept until their deadlines.
-    fn begin_held(&mut self) {
-        for (id, request) in std::mem::take(&mut self.held) {
+    /// Hands the waiting requests to the engine once the first list has arrived or the first call for it has
+    /// failed. In the second case the engine refuses them at once; otherwise they would wait until their
+    /// deadlines while discovery is down.
+    fn begin_waiting(&mut self) {
+        for (id, request) in std::mem::take(&mut self.waiting) {
             self.begin(id, request);
         }
     }
 
-    /// Answers those whose deadlines have come while no list has.
-    fn give_up_held(&mut self, now: Micros) {
-        let ledger = &mut self.ledger;
-        self.held.retain(|id, request| {
-            let waits = request.due > now;
-            if !waits {
-                ledger.answer(*id, Err(Error::Overdue { may_have_run: false }));
+    /// Answers the waiting requests whose deadlines have passed.
+    fn expire_waiting(&mut self, now: Micros) {
+        let requests = &mut self.requests;
+        self.waiting.retain(|id, request| {
+            let keep = request.due > now;
+            if !keep {
+                requests.answer(*id, Err(Error::Overdue { may_have_run: false }));
             }
-            waits
+            keep
         });
     }
 
     // ---- The list of members --------------------------------------------------------------------------
 
-    fn news(&mut self) {
-        while let Some(news) = self.discovery.as_mut().and_then(Discovery::poll_news) {
-            match news {
-                News::List { scope, targets } => self.list(scope, targets),
+    fn apply_discovery_updates(&mut self) {
+        while let Some(update) = self.discovery.as_mut().and_then(Discovery::poll_news) {
+            match update {
+                News::List { scope, targets } => self.apply_list(scope, targets),
                 News::Failed => {
-                    self.ledger.stats.list_failures += 1;
-                    self.untold = true;
+                    self.requests.stats.list_failures += 1;
+                    self.stats_changed = true;
                     self.engine.list_failed();
-                    self.begin_held();
+                    self.begin_waiting();
                 }
             }
         }
     }
 
-    fn list(&mut self, scope: Scope, targets: Vec<Target>) {
+    fn apply_list(&mut self, scope: Scope, targets: Vec<Target>) {
         if scope != Scope::Changes {
             self.listed.clear();
         }
@@ -425,31 +445,32 @@
         }
         let mut members: Vec<MemberStats> = self.listed.values().copied().collect();
         members.sort_unstable_by_key(|m| m.endpoint);
-        debug!(?scope, changed = targets.len(), members = members.len(), "list of members");
-        let stats = &mut self.ledger.stats;
+        debug!(?scope, changed = targets.len(), members = members.len(), "applied a list of members");
+        let stats = &mut self.requests.stats;
         stats.members = members.into();
         stats.lists += 1;
         if stats.phase == Phase::Waiting {
             stats.phase = Phase::Serving;
         }
-        (self.untold, self.told) = (true, self.told.min(self.clock.now() - TELL_EVERY));
+        (self.stats_changed, self.published_at) =
+            (true, self.published_at.min(self.clock.now() - STATS_INTERVAL));
         let member = |t: Target| Member { listed: t.listed, endpoint: t.endpoint };
         self.engine.listed(scope, targets.into_iter().map(member).collect());
-        self.begin_held();
+        self.begin_waiting();
     }
 
-    // ---- What the engine orders -----------------------------------------------------------------------
+    // ---- Orders of the engine -------------------------------------------------------------------------
 
-    fn carry_out(&mut self, order: Order, now: Micros) {
-        self.untold = true;
+    fn execute(&mut self, order: Order, now: Micros) {
+        self.stats_changed = true;
         match order {
             Order::Connect { conn, to } => {
-                self.ledger.stats.connects += 1;
+                self.requests.stats.connects += 1;
                 self.members.connect(conn, to, &mut self.engine, now);
             }
             Order::Write { conn, look } => {
-                let Host { members, engine, ledger, .. } = self;
-                members.write(conn, look, engine, |id| ledger.owed.contains_key(&id), now);
+                let Host { members, engine, requests, .. } = self;
+                members.write(conn, look, engine, |id| requests.replies.contains_key(&id), now);
             }
             Order::Close { conn } => self.members.close(conn),
             Order::Answer { transaction, answer } => {
@@ -460,46 +481,47 @@
                     Final::Failed { may_have_run } => Error::Failed { may_have_run },
                     Final::Overdue { may_have_run } => Error::Overdue { may_have_run },
                 };
-                self.ledger.answer(transaction, Err(error));
+                self.requests.answer(transaction, Err(error));
             }
             Order::Break { transaction } => {
-                self.ledger.large.remove(&transaction);
-                self.ledger.answer(transaction, Err(Error::Failed { may_have_run: true }));
+                self.requests.partial_values.remove(&transaction);
+                self.requests.answer(transaction, Err(Error::Failed { may_have_run: true }));
             }
             Order::Watch => {
                 if let Some(discovery) = &mut self.discovery {
                     discovery.watch(now);
                 }
-                self.news();
+                self.apply_discovery_updates();
             }
         }
     }
 
-    /// Tells how things stand, unless it did just now.
-    fn tell(&mut self, began: Micros) {
+    /// Publishes the counters if they have changed, at most once in [`STATS_INTERVAL`].
+    fn publish_if_due(&mut self, started: Micros) {
         let now = self.clock.now();
-        let stats = &mut self.ledger.stats;
-        stats.slowest_turn = stats.slowest_turn.max(Duration::from_micros((now - began).max(0) as u64));
-        if self.untold && now - self.told >= TELL_EVERY {
-            (self.untold, self.told) = (false, now);
-            self.snapshot();
+        let stats = &mut self.requests.stats;
+        stats.slowest_iteration =
+            stats.slowest_iteration.max(Duration::from_micros((now - started).max(0) as u64));
+        if self.stats_changed && now - self.published_at >= STATS_INTERVAL {
+            (self.stats_changed, self.published_at) = (false, now);
+            self.publish_stats();
         }
     }
 
-    fn snapshot(&mut self) {
+    fn publish_stats(&mut self) {
         let attempts = self.engine.attempts();
-        let stats = &mut self.ledger.stats;
-        (stats.in_flight, stats.held) = (self.ledger.owed.len(), self.held.len());
+        let stats = &mut self.requests.stats;
+        (stats.in_flight, stats.held) = (self.requests.replies.len(), self.waiting.len());
         (stats.attempts, stats.retries) = (attempts.begun, attempts.further);
         stats.connections = self.engine.connections();
-        self.tell.send_replace(stats.clone());
+        self.stats_sender.send_replace(stats.clone());
     }
 }
 
 impl Drop for Host {
-    /// The last word, also where the thread ends over a defect.
+    /// Publishes the final counters, also if the thread ends by a panic.
     fn drop(&mut self) {
-        self.ledger.stats.phase = Phase::Closed;
-        self.snapshot();
+        self.requests.stats.phase = Phase::Closed;
+        self.publish_stats();
     }
 }
--- a/crates/client/tests/plug_in.rs
+++ b/crates/client/tests/plug_in.rs
@@ -1,5 +1,6 @@
-//! What the plug-in owes its callers beyond the rules that it shares with the daemon (those are in the root package's
-//! `tests/suite`): room, leaving, the end, connections, and a runtime that stalls.
+//! Tests of what only the plug-in does: the limit of requests in flight, cancellation, shutdown, connection
+//! limits, and a runtime that stalls. Rules that the plug-in shares with the daemon are tested in
+//! `tests/suite` of the root package.
 
 use futures_executor::block_on;
 use futures_util::future::{join_all, poll_fn};
@@ -16,10 +17,10 @@
 use std::time::{Duration, Instant};
 use tower::{Service, ServiceExt};
 
-/// Longer than anything here takes, on any machine.
-const WIDE: Duration = Duration::from_secs(60);
+/// Longer than any step of these tests takes, also on a slow machine.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A server that answers when told to.
+/// A scripted cache server that answers at once or on [`Server::release`].
 struct Server {
     peer: Scripted,
     state: Arc<Mutex<State>>,
@@ -27,9 +28,12 @@
 
 #[derive(Default)]
 struct State {
+    /// Answers are withheld.
     holds: bool,
-    asked: Vec<Asked>,
-    held: Vec<(Asked, Reply)>,
+    /// All requests received.
+    received: Vec<Asked>,
+    /// Requests received without an answer yet.
+    unanswered: Vec<(Asked, Reply)>,
 }
 
 fn value(asked: &Asked) -> String {
@@ -37,15 +41,15 @@
 }
 
 impl Server {
-    /// Answers each read with its key, at once or when [`Server::release`]d.
+    /// Answers each read with its key, at once or, if `holds`, on [`Server::release`].
     fn start(holds: bool) -> Server {
         let state = Arc::new(Mutex::new(State { holds, ..State::default() }));
-        let theirs = state.clone();
+        let shared = state.clone();
         let peer = Scripted::start(move |asked, reply| {
-            let mut state = theirs.lock().unwrap();
-            state.asked.push(asked.clone());
+            let mut state = shared.lock().unwrap();
+            state.received.push(asked.clone());
             match state.holds {
-                true => state.held.push((asked, reply)),
+                true => state.unanswered.push((asked, reply)),
                 false => reply.send(value(&asked)),
             }
         });
@@ -56,21 +60,21 @@
         self.state.lock().unwrap()
     }
 
-    /// Answers what it holds, and at once from now on.
+    /// Answers all withheld requests, and from now on each at once.
     fn release(&self) {
         let mut state = self.state();
         state.holds = false;
-        state.held.drain(..).for_each(|(asked, reply)| reply.send(value(&asked)));
+        state.unanswered.drain(..).for_each(|(asked, reply)| reply.send(value(&asked)));
     }
 
-    fn asked(&self) -> usize {
-        self.state().asked.len()
+    fn requests_received(&self) -> usize {
+        self.state().received.len()
     }
 
     fn builder(&self) -> Builder {
         let read = Class { aim: 30_000_000, worth: 1.0, ..Class::default() };
         let member = FixedMember::cache("s", self.peer.address());
-        Client::builder().members([member]).class("read", read, WIDE).seed(1)
+        Client::builder().members([member]).class("read", read, TEST_TIMEOUT).seed(1)
     }
 
     fn client(&self) -> Client {
@@ -78,15 +82,15 @@
     }
 }
 
-fn until(mut holds: impl FnMut() -> bool) {
-    let begun = Instant::now();
+fn wait_until(mut holds: impl FnMut() -> bool) {
+    let started = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < WIDE, "it does not come to pass");
+        assert!(started.elapsed() < TEST_TIMEOUT, "the condition does not come true within {TEST_TIMEOUT:?}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Calls without a wait for the answer.
+/// Sends a read without waiting for the answer.
 fn call(client: &mut Client, key: &str) -> ResponseFuture {
     block_on(client.ready()).unwrap().call(Request::read(key.to_string()))
 }
@@ -96,14 +100,14 @@
 }
 
 #[test]
-fn room_is_given_in_the_order_of_those_who_wait_and_is_free_only_when_the_answer_is_taken() {
+fn permits_are_granted_first_in_first_out_and_released_when_the_answer_is_taken() {
     let server = Server::start(false);
     let client = server.builder().in_flight(2).start().unwrap();
     let (mut a, mut b, mut c) = (client.clone(), client.clone(), client.clone());
     let first = call(&mut a, "1");
     let second = call(&mut a, "2");
-    // Both are answered, and nobody has looked: there is no room yet.
-    until(|| client.stats().served == 2);
+    // Both are answered, but the answers have not been taken: no permit is free yet.
+    wait_until(|| client.stats().served == 2);
     block_on(async {
         let b_ready = &mut poll_fn(|cx| b.poll_ready(cx));
         let c_ready = &mut poll_fn(|cx| c.poll_ready(cx));
@@ -113,73 +117,76 @@
         drop(first);
         assert_eq!(c_ready.await, Ok(()));
     });
-    // Whoever calls without room is told, and nothing is sent.
-    let unready = block_on(client.clone().call(Request::read("3")));
-    assert_eq!((unready, server.asked()), (Err(Error::NotReady), 2));
+    // A call without a permit ends as an error, and nothing is sent.
+    let not_ready = block_on(client.clone().call(Request::read("3")));
+    assert_eq!((not_ready, server.requests_received()), (Err(Error::NotReady), 2));
 }
 
 #[test]
-fn a_runtime_that_stalls_gets_its_answers_late_and_nothing_piles_up() {
-    const ROOM: usize = 50;
+fn stalled_runtime_gets_its_answers_late_and_answers_do_not_accumulate() {
+    const IN_FLIGHT: usize = 50;
     let server = Server::start(false);
-    let client = server.builder().in_flight(ROOM).start().unwrap();
+    let client = server.builder().in_flight(IN_FLIGHT).start().unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
-        let asks = (0..300).map(|n| {
+        let requests = (0..300).map(|n| {
             let client = client.clone();
             tokio::spawn(async move { client.ask(Request::read(format!("k{n}"))).await })
         });
-        let asks: Vec<_> = asks.collect();
-        // All that have room are sent; then the only thread of the runtime stalls.
-        while server.asked() < ROOM {
+        let requests: Vec<_> = requests.collect();
+        // As many as may be in flight are sent; then the only thread of the runtime stalls.
+        while server.requests_received() < IN_FLIGHT {
             tokio::task::yield_now().await;
         }
-        let before = server.asked();
+        let before = server.requests_received();
         thread::sleep(Duration::from_millis(1000));
-        assert!(server.asked() <= before + ROOM, "what the caller has not taken holds its room");
-        assert!(client.stats().in_flight <= ROOM);
-        for (n, ask) in asks.into_iter().enumerate() {
-            assert_eq!(text(ask.await.unwrap()), format!("k{n}"));
+        assert!(
+            server.requests_received() <= before + IN_FLIGHT,
+            "answers that are not taken keep their permits"
+        );
+        assert!(client.stats().in_flight <= IN_FLIGHT);
+        for (n, request) in requests.into_iter().enumerate() {
+            assert_eq!(text(request.await.unwrap()), format!("k{n}"));
         }
     });
-    assert_eq!(server.asked(), 300, "each was sent once");
+    assert_eq!(server.requests_received(), 300, "each was sent once");
 }
 
 #[test]
-fn a_dropped_future_is_called_off_before_while_and_after_its_flow_is_written() {
+fn dropping_a_future_cancels_its_request_before_during_and_after_the_write() {
     let server = Server::start(true);
     let mut client = server.builder().in_flight(8).start().unwrap();
     for round in 0..50 {
         let future = call(&mut client, &format!("early{round}"));
-        // From at once to long after the write.
+        // The drop comes from right after the call to long after the write.
         thread::sleep(Duration::from_micros(20 * round));
         drop(future);
     }
-    until(|| client.stats().left == 50 && client.stats().in_flight == 0);
-    // Room and connections are as before, and no answer is taken for another's.
+    wait_until(|| client.stats().left == 50 && client.stats().in_flight == 0);
+    // All permits and connections are usable again, and no answer goes to another request.
     server.release();
     let answers = block_on(join_all((0..8).map(|n| {
         let client = client.clone();
         async move { text(client.ask(Request::read(format!("late{n}"))).await) }
     })));
     assert_eq!(answers, (0..8).map(|n| format!("late{n}")).collect::<Vec<_>>());
-    // One whose answer has come is no longer called off.
+    // A request whose answer has arrived is not counted as cancelled.
     let future = call(&mut client, "answered");
-    until(|| client.stats().served == 9);
+    wait_until(|| client.stats().served == 9);
     drop(future);
     assert_eq!(text(block_on(client.ask(Request::read("last")))), "last");
-    until(|| client.stats().taken == 60);
+    wait_until(|| client.stats().taken == 60);
     assert_eq!((client.stats().left, client.stats().served), (50, 10));
 }
 
 #[test]
-fn all_that_was_taken_is_answered_though_the_last_clone_is_dropped_or_closed() {
+fn accepted_requests_are_answered_after_close_and_after_drop_of_the_last_clone() {
     for closes in [false, true] {
         let server = Server::start(true);
         let mut client = server.client();
         let mut stats = client.watch();
         let futures: Vec<ResponseFuture> = (0..5).map(|n| call(&mut client, &format!("k{n}"))).collect();
-        until(|| server.asked() == 5);
+        wait_until(|| server.requests_received() == 5);
         let closed = closes.then(|| client.close());
         if closes {
             let refused = block_on(client.ask(Request::read("more")));
@@ -197,103 +204,110 @@
         });
         let stats = stats.borrow().clone();
         assert_eq!((stats.phase, stats.served, stats.in_flight), (Phase::Closed, 5, 0));
-        assert_eq!(server.asked(), 5);
+        assert_eq!(server.requests_received(), 5);
     }
 }
 
 #[test]
-fn nothing_waits_for_a_list_beyond_its_deadline_and_all_are_sent_once_it_comes() {
+fn requests_wait_for_the_first_list_within_their_deadlines_and_are_then_sent() {
     let server = Server::start(false);
     let list = format!(
         r#"{{"rev":1,"all":true,"targets":[{{"uid":"s","endpoint":"{}","model":"cache","az":"a","state":"up"}}]}}"#,
         server.peer.address()
     );
     let calls = Arc::new(Mutex::new(Vec::<Reply>::new()));
-    let theirs = calls.clone();
-    let discovery = Scripted::start(move |_, reply| theirs.lock().unwrap().push(reply)).unwrap();
+    let shared = calls.clone();
+    let discovery = Scripted::start(move |_, reply| shared.lock().unwrap().push(reply)).unwrap();
     let settings = r#"{"zones":["a"],"host-types":["cache"],"request-classes":[{"name":"read","effect":"free","slo-s":30}]}"#;
     let client = Client::builder().settings_json(settings).unwrap().discovery(discovery.address());
     let mut client = client.start().unwrap();
-    let ask = |time| Request::read("k").within(Duration::from_millis(time));
-    assert_eq!(block_on(client.ask(ask(30))), Err(Error::Overdue { may_have_run: false }));
-    let mut waits = block_on(client.ready()).unwrap().call(ask(60_000));
-    assert!((&mut waits).now_or_never().is_none());
-    until(|| client.stats().held == 1);
-    assert!(client.clone().ready().now_or_never().is_some(), "there is room");
-    let text_of = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    until(|| {
-        // A call that was not answered in time is made again.
-        calls.lock().unwrap().drain(..).for_each(|reply| reply.send(text_of(&list)));
+    let read_within = |time| Request::read("k").within(Duration::from_millis(time));
+    assert_eq!(block_on(client.ask(read_within(30))), Err(Error::Overdue { may_have_run: false }));
+    let mut waiting = block_on(client.ready()).unwrap().call(read_within(60_000));
+    assert!((&mut waiting).now_or_never().is_none());
+    wait_until(|| client.stats().held == 1);
+    assert!(
+        client.clone().ready().now_or_never().is_some(),
+        "requests that wait for the list do not use up all permits"
+    );
+    let response = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    wait_until(|| {
+        // The plug-in repeats a call to discovery that was not answered in time.
+        calls.lock().unwrap().drain(..).for_each(|reply| reply.send(response(&list)));
         client.stats().phase == Phase::Serving
     });
-    assert_eq!((text(block_on(waits)), server.asked()), ("k".into(), 1));
+    assert_eq!((text(block_on(waiting)), server.requests_received()), ("k".into(), 1));
 }
 
 #[test]
-fn copies_come_and_go_and_the_connections_to_a_server_stay_few() {
-    const AT_ONCE: u64 = 20;
+fn many_short_lived_instances_open_few_connections_to_a_server() {
+    const CONCURRENT: u64 = 20;
     let server = Server::start(false);
-    // 120 copies, 20 at a time; each would open as many connections as it has requests, if it might.
+    // 120 instances, 20 at a time. Without the limit each would open a connection for each of its 16
+    // requests.
     for round in 0..6 {
-        let copies: Vec<Client> =
-            (0..AT_ONCE).map(|n| server.builder().copies(120).seed(n).start().unwrap()).collect();
-        let asks = copies
+        let instances: Vec<Client> =
+            (0..CONCURRENT).map(|n| server.builder().copies(120).seed(n).start().unwrap()).collect();
+        let requests = instances
             .iter()
-            .flat_map(|copy| (0..16).map(move |n| copy.ask(Request::read(format!("r{round}k{n}")))));
-        let answers = block_on(join_all(asks));
+            .flat_map(|instance| (0..16).map(move |n| instance.ask(Request::read(format!("r{round}k{n}")))));
+        let answers = block_on(join_all(requests));
         assert!(answers.iter().all(Result::is_ok), "{answers:?}");
-        for copy in &copies {
-            until(|| copy.stats().served == 16);
-            // One, and one in the place of a connection that stalls, as on a busy machine.
-            assert!(copy.stats().connects <= 4, "{:?}", copy.stats());
+        for instance in &instances {
+            wait_until(|| instance.stats().served == 16);
+            // One connection, and replacements for connections that stall, as on a busy machine.
+            assert!(instance.stats().connects <= 4, "{:?}", instance.stats());
         }
-        // Those that stay close theirs soon; those that go do at once.
+        // Instances that stay close their idle connections soon; instances that end close them at once.
         if round == 0 {
-            copies.iter().for_each(|copy| until(|| copy.stats().connections == 0));
+            instances.iter().for_each(|instance| wait_until(|| instance.stats().connections == 0));
         }
-        block_on(join_all(copies.iter().map(Client::close)));
+        block_on(join_all(instances.iter().map(Client::close)));
     }
 }
 
 #[test]
-fn ids_are_new_for_each_call_and_differ_between_copies_of_one_seed() {
+fn request_ids_differ_between_calls_and_between_instances_with_one_seed() {
     let server = Server::start(false);
-    let copies = [server.client(), server.client()];
+    let instances = [server.client(), server.client()];
     let request = Request::read("k");
     for _ in 0..50 {
-        copies.iter().for_each(|copy| assert_eq!(text(block_on(copy.ask(request.clone()))), "k"));
+        instances.iter().for_each(|instance| assert_eq!(text(block_on(instance.ask(request.clone()))), "k"));
     }
-    let ids: BTreeSet<String> = server.state().asked.iter().map(|asked| asked.id.clone()).collect();
+    let ids: BTreeSet<String> = server.state().received.iter().map(|asked| asked.id.clone()).collect();
     assert_eq!(ids.len(), 100);
 }
 
 #[test]
-fn a_bad_request_costs_nothing_and_a_bad_start_is_told() {
+fn invalid_requests_release_their_permit_and_invalid_configurations_are_reported() {
     let server = Server::start(false);
     let client = server.builder().in_flight(1).start().unwrap();
-    for (request, what) in [
+    for (request, reason) in [
         (Request::read("k").class("none"), BadRequest::UnknownClass),
         (Request::read(""), BadRequest::Command("bad key")),
         (Request::read("a b"), BadRequest::Command("control character")),
         (Request::write("k", "v").idempotency("a,b"), BadRequest::Command("bad list")),
     ] {
-        assert_eq!(block_on(client.ask(request)), Err(Error::BadRequest(what)));
+        assert_eq!(block_on(client.ask(request)), Err(Error::BadRequest(reason)));
     }
-    assert_eq!(text(block_on(client.ask(Request::read("k")))), "k", "the only place is free again");
-    let at = server.peer.address();
-    let read = || Client::builder().class("read", Class { aim: 1, ..Class::default() }, WIDE);
+    assert_eq!(text(block_on(client.ask(Request::read("k")))), "k", "the only permit is free again");
+    let address = server.peer.address();
+    let read = || Client::builder().class("read", Class { aim: 1, ..Class::default() }, TEST_TIMEOUT);
     let cases: [(Builder, &str); 7] = [
-        (Client::builder().class("r", Class::default(), WIDE).discovery(at), "class \"r\" has no aim"),
-        (Client::builder().discovery(at), "no request classes: give `settings` or `class`"),
+        (
+            Client::builder().class("r", Class::default(), TEST_TIMEOUT).discovery(address),
+            "class \"r\" has no latency target",
+        ),
+        (Client::builder().discovery(address), "no request classes: give `settings` or `class`"),
         (read(), "no members: give `discovery` or `members`"),
-        (read().discovery(at).copies(0), "copies must be more than 0"),
-        (read().discovery(at).in_flight(0), "in_flight must be more than 0"),
-        (read().discovery(at).zone("b"), "unknown zone \"b\""),
-        (read().discovery(at).known("{"), "bad list of known members: bad JSON"),
+        (read().discovery(address).copies(0), "copies must be more than 0"),
+        (read().discovery(address).in_flight(0), "in_flight must be more than 0"),
+        (read().discovery(address).zone("b"), "unknown zone \"b\""),
+        (read().discovery(address).known("{"), "bad list of known members: bad JSON"),
     ];
-    for (builder, what) in cases {
-        let told: StartError = builder.start().unwrap_err();
-        assert!(told.to_string().starts_with(what), "{told}");
+    for (builder, expected) in cases {
+        let error: StartError = builder.start().unwrap_err();
+        assert!(error.to_string().starts_with(expected), "{error}");
     }
     assert!(Client::builder().settings_json("{").is_err());
 }
