--- a/crates/client/examples/cost.rs
+++ b/crates/client/examples/cost.rs
@@ -1,9 +1,11 @@
-//! What a request costs, three ways in one run: straight from the plug-in, through the daemon, and over a raw socket
-//! by a hand-written caller. Prints latency, CPU of the caller's process and of the daemon, and ratios to the socket.
+//! Measures the cost of a request in three ways in one run: from the plug-in, through the daemon, and over a
+//! raw socket with a hand-written caller. Prints latency, CPU time of the caller's process and of the daemon,
+//! and the ratios of latency and CPU time to those of the raw socket.
 //!
 //! `cargo build --release && cargo run --release -p lapisrudder-client --example cost [SECONDS]`
 //!
-//! The server is a stand-in that answers at once, in a process of its own, so that its CPU counts for nobody.
+//! The server is a stub that answers at once. It runs in a process of its own, so that its CPU time is not
+//! counted.
 
 #![allow(clippy::disallowed_methods)]
 
@@ -18,11 +20,12 @@
 
 type Outcome<T> = Result<T, Box<dyn Error>>;
 
-const VALUE: usize = 100;
-/// Callers at a time.
+/// Length of each value in bytes.
+const VALUE_BYTES: usize = 100;
+/// Numbers of concurrent callers to measure with.
 const CALLERS: [usize; 2] = [1, 16];
 
-/// Ends with its owner.
+/// A child process, killed on drop.
 struct Process(Child);
 
 impl Drop for Process {
@@ -32,7 +35,7 @@
     }
 }
 
-/// This program again, as a party of its own, or another; and the address that its first line ends with.
+/// Starts a child process and reads the address at the end of its first output line.
 fn start(mut command: Command) -> Outcome<(Process, SocketAddr)> {
     let mut child = command.stdout(Stdio::piped()).spawn()?;
     let output = child.stdout.take().ok_or("no output")?;
@@ -42,7 +45,8 @@
     Ok((child, line.trim().rsplit(' ').next().unwrap_or_default().parse()?))
 }
 
-/// CPU time of a process so far, by /proc (proc(5): fields 14 and 15, in hundredths of a second on Linux).
+/// Returns the CPU time that a process has used, from `/proc/PID/stat` (proc(5): fields 14 and 15, in 1/100
+/// s).
 fn cpu(pid: u32) -> Outcome<Duration> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let fields = stat.rsplit_once(')').ok_or("no stat")?.1.split_whitespace();
@@ -50,17 +54,18 @@
     Ok(Duration::from_millis(ticks * 10))
 }
 
-/// One way, measured.
+/// The result of measuring one way.
 struct Measured {
     count: usize,
     median: Duration,
     p99: Duration,
-    /// CPU a request, of the caller's process and of the daemon.
+    /// CPU time per request of the caller's process, in microseconds.
     own: f64,
+    /// CPU time per request of the daemon, in microseconds.
     daemon: f64,
 }
 
-/// Has so many callers ask one after another, each on a thread of its own, for a time.
+/// Runs `callers` threads for `time`, each sending one request after the other.
 fn measure<A: FnMut(u64) -> Outcome<()>>(
     time: Duration,
     callers: usize,
@@ -70,18 +75,18 @@
     let own = std::process::id();
     let before = (cpu(own)?, cpu(daemon)?);
     let end = Instant::now() + time;
-    let each = |caller: usize| -> Result<Vec<Duration>, String> {
+    let run_caller = |caller: usize| -> Result<Vec<Duration>, String> {
         let mut ask = asker(caller).map_err(|e| e.to_string())?;
         let mut times = Vec::new();
         while Instant::now() < end {
-            let begun = Instant::now();
+            let started = Instant::now();
             ask(times.len() as u64).map_err(|e| e.to_string())?;
-            times.push(begun.elapsed());
+            times.push(started.elapsed());
         }
         Ok(times)
     };
     let mut times = std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..callers).map(|caller| scope.spawn(move || each(caller))).collect();
+        let threads: Vec<_> = (0..callers).map(|caller| scope.spawn(move || run_caller(caller))).collect();
         let mut all = Vec::new();
         for thread in threads {
             all.extend(thread.join().map_err(|_| "a caller failed")??);
@@ -89,23 +94,23 @@
         Ok::<_, Box<dyn Error>>(all)
     })?;
     times.sort_unstable();
-    let at = |share: f64| times.get((times.len() as f64 * share) as usize).copied().unwrap_or_default();
-    let each = |spent: Duration| spent.as_secs_f64() * 1e6 / times.len().max(1) as f64;
+    let quantile = |share: f64| times.get((times.len() as f64 * share) as usize).copied().unwrap_or_default();
+    let per_request = |spent: Duration| spent.as_secs_f64() * 1e6 / times.len().max(1) as f64;
     Ok(Measured {
         count: times.len(),
-        median: at(0.5),
-        p99: at(0.99),
-        own: each(cpu(own)? - before.0),
-        daemon: each(cpu(daemon)? - before.1),
+        median: quantile(0.5),
+        p99: quantile(0.99),
+        own: per_request(cpu(own)? - before.0),
+        daemon: per_request(cpu(daemon)? - before.1),
     })
 }
 
-/// A caller that writes memcache by hand, and waits.
-fn by_hand(at: SocketAddr, caller: usize) -> Outcome<impl FnMut(u64) -> Outcome<()>> {
+/// A caller that writes memcache commands to a socket and blocks for each answer.
+fn raw_socket(at: SocketAddr, caller: usize) -> Outcome<impl FnMut(u64) -> Outcome<()>> {
     let stream = TcpStream::connect(at)?;
     stream.set_nodelay(true)?;
     let mut stream = BufReader::new(stream);
-    let (mut line, mut value) = (String::new(), vec![0; VALUE + 2]);
+    let (mut line, mut value) = (String::new(), vec![0; VALUE_BYTES + 2]);
     Ok(move |n| {
         let text = format!("mg k{} v O{caller}x{n} Pc=read,d=2000\r\n", n % 100);
         stream.get_mut().write_all(text.as_bytes())?;
@@ -119,32 +124,33 @@
     })
 }
 
+/// Runs the stub server until standard input is closed.
 fn server() -> Outcome<()> {
-    let value = "v".repeat(VALUE);
-    let answer = move |id: &str| format!("VA {VALUE} O{id} h1\r\n{value}\r\n");
+    let value = "v".repeat(VALUE_BYTES);
+    let answer = move |id: &str| format!("VA {VALUE_BYTES} O{id} h1\r\n{value}\r\n");
     let peer = Scripted::answering(move |asked| Some(answer(&asked.id)))?;
     println!("{}", peer.address());
-    // Until the parent goes.
+    // Ends when the parent process does.
     std::io::stdin().read_to_end(&mut Vec::new())?;
     Ok(())
 }
 
-/// Discovery whose list never changes, and the daemon behind it.
+/// Starts a stub of discovery whose list never changes, and a daemon that uses it.
 fn daemon(server: SocketAddr) -> Outcome<(Process, SocketAddr, Scripted)> {
     let list = format!(
         r#"{{"rev":1,"all":true,"targets":[{{"uid":"s","endpoint":"{server}","az":"z","model":"cache","state":"up"}}]}}"#
     );
     let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
-    // Watches are left without an answer.
-    let tell =
+    // Watches for changes get no answer.
+    let answer_list =
         move |asked: &lapisrudder_lab::stand::Asked| (!asked.key.contains("from=")).then(|| answer.clone());
-    let discovery = Scripted::answering(tell)?;
+    let discovery = Scripted::answering(answer_list)?;
     let mut program = std::env::current_exe()?;
     program.pop();
     program.pop();
     program.push("lapisrudder");
     if !program.exists() {
-        return Err(format!("no {}: build the daemon first", program.display()).into());
+        return Err(format!("{} does not exist: build the daemon first", program.display()).into());
     }
     let file = std::env::temp_dir().join(format!("lapisrudder-cost-{}.json", std::process::id()));
     fs::write(&file, include_str!("settings.json").replace("DISCOVERY", &discovery.address().to_string()))?;
@@ -152,11 +158,11 @@
     command.arg("serve").env("EDGE_CONFIG", &file).stderr(Stdio::null());
     let (process, at) = start(command)?;
     fs::remove_file(file)?;
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut ready = String::new();
     while ready != "MN\r\n" {
-        if begun.elapsed() > Duration::from_secs(20) {
-            return Err("the daemon does not get ready".into());
+        if started.elapsed() > Duration::from_secs(20) {
+            return Err("the daemon is not ready within 20 s".into());
         }
         let mut stream = BufReader::new(TcpStream::connect(at)?);
         stream.get_mut().write_all(b"mn\r\n")?;
@@ -195,9 +201,9 @@
         "callers", "way", "requests", "p50 µs", "p99 µs", "caller µs", "daemon µs"
     );
     for callers in CALLERS {
-        let socket = measure(time, callers, node, |caller| by_hand(server, caller))?;
+        let socket = measure(time, callers, node, |caller| raw_socket(server, caller))?;
         let direct = measure(time, callers, node, asker)?;
-        let hop = measure(time, callers, node, |caller| by_hand(front, caller))?;
+        let hop = measure(time, callers, node, |caller| raw_socket(front, caller))?;
         for (way, m) in [("socket", &socket), ("plug-in", &direct), ("daemon", &hop)] {
             let us = |d: Duration| d.as_secs_f64() * 1e6;
             println!(
--- a/crates/client/examples/lessons.rs
+++ b/crates/client/examples/lessons.rs
@@ -1,5 +1,5 @@
-//! A lesson service with the plug-in, composed with tower's own layers, in a small world of its own: two cache
-//! servers, an origin, and discovery.
+//! A service that reads lessons and books seats through the plug-in, with tower's own layers on top. It
+//! starts a small simulated environment: two cache servers, an origin, and discovery.
 //!
 //! `cargo run -p lapisrudder-client --example lessons`
 
@@ -11,7 +11,7 @@
 use tower::timeout::TimeoutLayer;
 use tower::{Service, ServiceBuilder, ServiceExt};
 
-/// What the platform gives nodes under `settings`.
+/// Settings in the format that the platform gives to nodes under `settings`.
 const SETTINGS: &str = r#"{"zones":["a"],"host-types":["cache","origin"],"siblings":1,"discovery":"subscribe",
 "family-info":{"mode":"aside","origin-kind":1},"bounds":{"attempts-cap":3,"cancel":true,"multiplex":32,
 "second-copies":true,"max-retry-after-s":2.0},"request-classes":[
@@ -28,34 +28,35 @@
         .name("lessons")
         .discovery(discovery)
         .settings_json(SETTINGS)?
-        // How many copies of this service run, and nodes beside them.
+        // The number of instances of this service and of nodes that share the servers.
         .copies(2)
         .in_flight(256)
         .start()?;
     client.listed().await?;
 
-    // tower's layers go round it as round any service.
+    // The client is a tower service, so layers can be added as usual.
     let mut lessons = ServiceBuilder::new()
         .layer(ConcurrencyLimitLayer::new(64))
         .layer(TimeoutLayer::new(Duration::from_secs(1)))
         .service(client.clone());
 
-    // The first read goes to the origin, which has each object; the servers that missed get a copy.
-    for turn in ["first", "second"] {
+    // The first read goes to the origin, which has every object; the cache servers that missed get a copy.
+    for ordinal in ["first", "second"] {
         let read = Request::read("lesson-7").class("read").within(Duration::from_millis(480));
         match lessons.ready().await?.call(read).await? {
-            Response::Value(value) => println!("{turn} read: {} bytes", value.len()),
-            Response::Receipt(_) => println!("{turn} read: a receipt"),
+            Response::Value(value) => println!("{ordinal} read: {} bytes", value.len()),
+            Response::Receipt(_) => println!("{ordinal} read: a receipt"),
         }
     }
 
-    // A booking may be sent again under its key: it is carried out once, and both get its receipt.
+    // A booking may be repeated with its idempotency key: it is executed once, and both calls get its
+    // receipt.
     let booking = Request::write("seat-12", "ana").class("put").idempotency("5c0f6e1a2b3d4c59");
     let first = lessons.ready().await?.call(booking.clone()).await?;
     let again = lessons.ready().await?.call(booking.repeated(true)).await?;
     println!("booked once: {}", first == again);
 
-    // Servers that do not answer: the deadline ends it, with a word on whether it may have run.
+    // No server answers: the request ends at its deadline, and the error says whether it may have run.
     for server in ["s0", "s1", "origin"] {
         let server = world.server(server).ok_or("no server")?;
         world.control().fault(server, Fault::Swallow(1.0))?;
--- a/crates/client/examples/web.rs
+++ b/crates/client/examples/web.rs
@@ -1,7 +1,9 @@
-//! The plug-in under an RPC server: axum over HTTP. It starts a small world of its own, serves on loopback, and asks
-//! itself once over HTTP; with an address as its argument it goes on serving there.
+//! The plug-in in an HTTP server built with axum. The example starts a small simulated environment, serves on
+//! loopback and sends itself one HTTP request; with an address as its argument it serves there until it is
+//! stopped.
 //!
-//! `cargo run -p lapisrudder-client --example web [127.0.0.1:8080]`, then `curl http://127.0.0.1:8080/lessons/7`
+//! `cargo run -p lapisrudder-client --example web [127.0.0.1:8080]`, then `curl
+//! http://127.0.0.1:8080/lessons/7`
 
 use axum::Router;
 use axum::extract::{Path, State};
@@ -14,10 +16,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What HTTP says of what the plug-in says.
-fn answer(asked: Result<lapisrudder_client::Response, Error>) -> Response {
-    match asked {
-        Ok(served) => served.into_bytes().into_response(),
+/// Converts the outcome of a request to an HTTP response.
+fn http_response(outcome: Result<lapisrudder_client::Response, Error>) -> Response {
+    match outcome {
+        Ok(response) => response.into_bytes().into_response(),
         Err(Error::Refused { retry_after }) => {
             let mut response = StatusCode::SERVICE_UNAVAILABLE.into_response();
             let seconds = retry_after.map_or(1, |t| t.as_millis().div_ceil(1000) as u64);
@@ -25,20 +27,20 @@
             response
         }
         Err(Error::Overdue { .. }) => StatusCode::GATEWAY_TIMEOUT.into_response(),
-        Err(Error::BadRequest(what)) => (StatusCode::BAD_REQUEST, what.to_string()).into_response(),
-        // A caller may send a read again at once, and a booking under its key.
+        Err(Error::BadRequest(reason)) => (StatusCode::BAD_REQUEST, reason.to_string()).into_response(),
+        // The request has not run, so the caller may retry at once.
         Err(e) if !e.may_have_run() => StatusCode::SERVICE_UNAVAILABLE.into_response(),
         Err(_) => StatusCode::BAD_GATEWAY.into_response(),
     }
 }
 
-/// If the HTTP caller leaves, axum drops this future, and the request is called off.
+/// If the HTTP client disconnects, axum drops this future, which cancels the request.
 async fn lesson(State(client): State<Client>, Path(id): Path<u64>) -> Response {
     let read = Request::read(format!("lesson-{id}")).class("read").within(Duration::from_millis(480));
-    answer(client.ask(read).await)
+    http_response(client.ask(read).await)
 }
 
-/// A load balancer's probe: put to use once there is a server to ask.
+/// Readiness probe for a load balancer: succeeds once a server may get requests.
 async fn ready(State(client): State<Client>) -> StatusCode {
     if client.stats().any_open() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }
 }
