--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -1,4 +1,5 @@
-//! The test's side of the table: rules in, counts out. The file is mapped by the shim; writes to it are seen at once.
+//! [`Control`], the side of the test: it writes rules to the table file and reads counts. The preloaded
+//! library maps the file into memory, so that a written rule takes effect at once.
 
 use crate::table::{self, Call, Descriptor, rule};
 use std::fs::File;
@@ -9,48 +10,50 @@
 /// A rule by which calls fail.
 #[derive(Clone, Copy, Debug)]
 pub struct Rule {
-    /// The call that fails.
+    /// The call that the rule fails.
     pub call: Call,
-    /// The error's number, [`table::SHORT`] or [`table::ONE_BYTE`]; for the wall clock, the seconds that are added (signed).
+    /// The error number, [`table::SHORT`] or [`table::ONE_BYTE`]; for [`Call::WallClock`] the seconds added
+    /// to the clock (signed).
     pub error: u64,
-    /// How often it strikes, of 1.
+    /// The probability that a matching call starts a burst of failures, from 0 to 1.
     pub rate: f64,
-    /// How many matching calls in a row fail once it strikes.
+    /// How many matching calls in a row fail in a burst.
     pub burst: u64,
-    /// So many matching calls pass first.
+    /// How many matching calls succeed before the rule applies.
     pub skip: u64,
-    /// It strikes so many calls at the most; 0 is no limit.
+    /// Maximum number of calls that the rule fails; 0 is no limit.
     pub max_failures: u64,
-    /// Kinds of descriptor, as bits of [`Descriptor`]; 0 is all.
+    /// The kinds of descriptor that the rule matches, as bits of [`Descriptor`]; 0 matches all.
     pub kinds: u64,
-    /// It holds in the first part of each period of the machine's monotonic clock: period and part in milliseconds.
+    /// If set, the rule is active only at the beginning of each period of the monotonic clock: the length of
+    /// the period and of the active part, in milliseconds.
     pub window_ms: Option<(u64, u64)>,
 }
 
 impl Rule {
-    /// Each call gives this error.
+    /// Fails each call with this error.
     pub fn always(call: Call, error: i32) -> Rule {
         let error = u64::from(error.unsigned_abs());
         Rule { call, error, rate: 1.0, burst: 1, skip: 0, max_failures: 0, kinds: 0, window_ms: None }
     }
 
-    /// The same, of so many calls of 1.
+    /// Fails calls with this error, with the probability `rate` from 0 to 1.
     pub fn with_rate(call: Call, error: i32, rate: f64) -> Rule {
         Rule { rate, ..Rule::always(call, error) }
     }
 
-    /// Calls that move bytes move a random part of them, of so many calls of 1.
+    /// Makes calls transfer only a random part of their bytes, with the probability `rate` from 0 to 1.
     pub fn short(call: Call, rate: f64) -> Rule {
         Rule { error: table::SHORT, rate, ..Rule::always(call, 0) }
     }
 
-    /// For these kinds of descriptor alone.
+    /// Restricts the rule to these kinds of descriptor.
     pub fn on(self, kinds: &[Descriptor]) -> Rule {
         Rule { kinds: kinds.iter().map(|k| *k as u64).sum(), ..self }
     }
 }
 
-/// A table of rules, and what the processes that map it have counted.
+/// A table file: the rules, and the counts of the processes that map it.
 #[derive(Debug)]
 pub struct Control {
     file: File,
@@ -59,7 +62,7 @@
 }
 
 impl Control {
-    /// A new table in a file.
+    /// Creates a table file without rules.
     ///
     /// # Errors
     /// The file cannot be written.
@@ -72,16 +75,16 @@
         Ok(control)
     }
 
-    /// A table that is there.
+    /// Opens an existing table file, to read its counts: no rules can be added.
     ///
     /// # Errors
     /// The file cannot be opened.
     pub fn open(path: &Path) -> io::Result<Control> {
         let file = File::options().read(true).write(true).open(path)?;
-        Ok(Control { file, path: path.into(), rules: table::MOST_RULES })
+        Ok(Control { file, path: path.into(), rules: table::MAX_RULES })
     }
 
-    /// Where it is.
+    /// Returns the path of the file.
     pub fn path(&self) -> &Path {
         &self.path
     }
@@ -100,50 +103,50 @@
         Ok(u64::from_ne_bytes(bytes))
     }
 
-    /// Adds a rule, which holds from now on.
+    /// Adds a rule, which is active from now on.
     ///
     /// # Errors
     /// The file cannot be written, or there are too many rules.
     pub fn add(&mut self, added: Rule) -> io::Result<()> {
-        if self.rules == table::MOST_RULES {
+        if self.rules == table::MAX_RULES {
             return Err(io::Error::other("too many rules"));
         }
-        let at = table::RULES + self.rules * table::RULE_WORDS;
+        let start = table::RULES + self.rules * table::RULE_WORDS;
         self.rules += 1;
-        let (period, lasts) = added.window_ms.unwrap_or_default();
+        let (period, active) = added.window_ms.unwrap_or_default();
         for (word, value) in [
             (rule::CALL, added.call as u64),
             (rule::ERROR, added.error),
-            (rule::RATE, (added.rate * 1e6) as u64),
+            (rule::PER_MILLION, (added.rate * 1e6) as u64),
             (rule::BURST, added.burst),
             (rule::SKIP, added.skip),
-            (rule::MOST, added.max_failures),
-            (rule::KINDS, added.kinds),
+            (rule::MAX_FAILURES, added.max_failures),
+            (rule::DESCRIPTORS, added.kinds),
             (rule::MATCHED, 0),
-            (rule::STRUCK, 0),
-            (rule::LEFT, 0),
-            (rule::PERIOD, period),
-            (rule::LASTS, lasts),
-            (rule::ON, 1),
+            (rule::FAILED, 0),
+            (rule::BURST_LEFT, 0),
+            (rule::PERIOD_MS, period),
+            (rule::ACTIVE_MS, active),
+            (rule::ENABLED, 1),
         ] {
-            self.set(at + word, value)?;
+            self.set(start + word, value)?;
         }
         Ok(())
     }
 
-    /// Ends all rules. Counts stay.
+    /// Deactivates all rules. The counts stay.
     ///
     /// # Errors
     /// The file cannot be written.
     pub fn clear(&mut self) -> io::Result<()> {
         for number in 0..self.rules {
-            self.set(table::RULES + number * table::RULE_WORDS + rule::ON, 0)?;
+            self.set(table::RULES + number * table::RULE_WORDS + rule::ENABLED, 0)?;
         }
         self.rules = 0;
         Ok(())
     }
 
-    /// How often a call was reached.
+    /// Returns how often a call was intercepted.
     ///
     /// # Errors
     /// The file cannot be read.
@@ -151,7 +154,7 @@
         self.get(table::SEEN + call as usize)
     }
 
-    /// How often a call was failed or cut short.
+    /// Returns how often a call was made to fail or shortened.
     ///
     /// # Errors
     /// The file cannot be read.
--- a/crates/fault-shim/src/errno.rs
+++ b/crates/fault-shim/src/errno.rs
@@ -1,4 +1,4 @@
-//! Numbers of errors on Linux, as its manual pages name them.
+//! Error numbers of Linux, under the names of its manual pages.
 #![allow(missing_docs)]
 
 pub use libc::{
--- a/crates/fault-shim/src/interpose.rs
+++ b/crates/fault-shim/src/interpose.rs
@@ -1,26 +1,32 @@
-//! The functions of the C library that a preloaded process calls in place of its own: each asks the table whether it fails,
-//! and makes the system call itself if not. Nothing here allocates or calls a function that is replaced.
+//! The functions that replace those of the C library in a process that preloads this library. Each one checks
+//! the rules of the table, and makes the system call if none fails it. They can be called from any place in
+//! the process, so they neither allocate nor call the replaced functions of the C library; `pthread_create`,
+//! which has no system call of its own, calls the original.
 
 use crate::table::{self, Call, Descriptor, rule};
 use libc::{c_char, c_int, c_long, c_void, size_t, sockaddr, socklen_t, ssize_t};
 use std::sync::atomic::{AtomicPtr, AtomicU8, AtomicU64, Ordering::Relaxed};
 
-const MOST_DESCRIPTORS: usize = 1 << 16;
-/// What each descriptor is: the number of the bit of [`Descriptor`].
-static KINDS: [AtomicU8; MOST_DESCRIPTORS] = [const { AtomicU8::new(0) }; MOST_DESCRIPTORS];
+/// Descriptors with higher numbers count as [`Descriptor::Unknown`].
+const MAX_DESCRIPTORS: usize = 1 << 16;
+/// The kind of each descriptor: the number of its bit in [`Descriptor`].
+static KINDS: [AtomicU8; MAX_DESCRIPTORS] = [const { AtomicU8::new(0) }; MAX_DESCRIPTORS];
+/// The mapped table.
 static TABLE: AtomicPtr<AtomicU64> = AtomicPtr::new(std::ptr::null_mut());
-/// 0: not looked for yet; 1: being looked for; 2: there is one; 3: there is none.
+/// Whether [`TABLE`] is mapped. 0: not tried yet; 1: a thread is mapping it; 2: mapped; 3: there is no table.
 static STATE: AtomicU8 = AtomicU8::new(0);
 
 type Words = &'static [AtomicU64];
 
+/// Returns the table, and maps it on the first call. `None` if there is none or another thread is just
+/// mapping it.
 fn words() -> Option<Words> {
     match STATE.load(Relaxed) {
         2 => {}
         0 if STATE.compare_exchange(0, 1, Relaxed, Relaxed).is_ok() => {
-            let found = unsafe { map() };
-            STATE.store(if found { 2 } else { 3 }, Relaxed);
-            if !found {
+            let mapped = unsafe { map() };
+            STATE.store(if mapped { 2 } else { 3 }, Relaxed);
+            if !mapped {
                 return None;
             }
         }
@@ -30,7 +36,7 @@
     Some(unsafe { std::slice::from_raw_parts(at, table::WORDS) })
 }
 
-/// Maps the table that the environment names.
+/// Maps the table file that [`table::VARIABLE`] names. Returns false if there is none.
 unsafe fn map() -> bool {
     unsafe {
         let path = libc::getenv(c"FAULT_SHIM".as_ptr());
@@ -40,7 +46,7 @@
         let flags = libc::O_RDWR | libc::O_CLOEXEC;
         let mut fd = libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path, flags, 0) as c_int;
         if fd < 0 && errno() == libc::EISDIR {
-            fd = own_table(path);
+            fd = create_own_table(path);
         }
         if fd < 0 {
             return false;
@@ -58,14 +64,14 @@
     }
 }
 
-/// A process's own copy of the template in a folder.
-unsafe fn own_table(folder: *const c_char) -> c_int {
+/// Copies the template in a directory to a table of this process, and returns its descriptor.
+unsafe fn create_own_table(directory: *const c_char) -> c_int {
     unsafe {
         let mut path = [0 as c_char; 512];
         let pid = libc::syscall(libc::SYS_getpid) as c_int;
-        libc::snprintf(path.as_mut_ptr(), path.len(), c"%s/template".as_ptr(), folder);
+        libc::snprintf(path.as_mut_ptr(), path.len(), c"%s/template".as_ptr(), directory);
         let template = libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path.as_ptr(), libc::O_RDONLY, 0);
-        libc::snprintf(path.as_mut_ptr(), path.len(), c"%s/%d".as_ptr(), folder, pid);
+        libc::snprintf(path.as_mut_ptr(), path.len(), c"%s/%d".as_ptr(), directory, pid);
         let flags = libc::O_RDWR | libc::O_CREAT | libc::O_CLOEXEC;
         let own = libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path.as_ptr(), flags, 0o600) as c_int;
         let mut buffer = [0u8; table::WORDS * 8];
@@ -80,6 +86,7 @@
     unsafe { *libc::__errno_location() }
 }
 
+/// Sets `errno`, and returns the result of a failed call.
 fn fail(error: u64) -> c_int {
     unsafe { *libc::__errno_location() = error as c_int };
     -1
@@ -99,88 +106,98 @@
     }
 }
 
-fn draw(words: Words) -> u64 {
-    let drawn = words[table::DRAWN].fetch_add(1, Relaxed);
+/// Draws the next random number of the table: the mixing step of SplitMix64, over the seed and the count of
+/// numbers drawn.
+fn random(words: Words) -> u64 {
+    let drawn = words[table::RANDOM_DRAWN].fetch_add(1, Relaxed);
     let mut z = words[table::SEED].load(Relaxed) ^ drawn.wrapping_mul(0x9E37_79B9_7F4A_7C15);
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
     z ^ (z >> 31)
 }
 
-/// Milliseconds of the monotonic clock.
+/// Returns the monotonic clock in milliseconds.
 fn uptime_ms() -> u64 {
     let mut t = libc::timespec { tv_sec: 0, tv_nsec: 0 };
     unsafe { libc::syscall(libc::SYS_clock_gettime, libc::CLOCK_MONOTONIC, &mut t) };
     t.tv_sec as u64 * 1000 + t.tv_nsec as u64 / 1_000_000
 }
 
-/// The error that this call gives, if a rule has it fail.
-fn struck(call: Call, kinds: u64) -> Option<u64> {
+/// Counts a call, and returns the error word of the first rule that fails it, if any.
+fn injected_error(call: Call, kinds: u64) -> Option<u64> {
     let words = words()?;
     words[table::SEEN + call as usize].fetch_add(1, Relaxed);
-    for number in 0..table::MOST_RULES {
-        let at = table::RULES + number * table::RULE_WORDS;
-        let word = |which: usize| &words[at + which];
-        let get = |which: usize| word(which).load(Relaxed);
-        let about = get(rule::KINDS);
-        if get(rule::ON) != 1 || get(rule::CALL) != call as u64 || about != 0 && about & kinds == 0 {
+    for number in 0..table::MAX_RULES {
+        let start = table::RULES + number * table::RULE_WORDS;
+        let word = |offset: usize| &words[start + offset];
+        let get = |offset: usize| word(offset).load(Relaxed);
+        let matched_kinds = get(rule::DESCRIPTORS);
+        if get(rule::ENABLED) != 1
+            || get(rule::CALL) != call as u64
+            || matched_kinds != 0 && matched_kinds & kinds == 0
+        {
             continue;
         }
-        let period = get(rule::PERIOD);
-        if period > 0 && uptime_ms() % period >= get(rule::LASTS) {
+        let period = get(rule::PERIOD_MS);
+        if period > 0 && uptime_ms() % period >= get(rule::ACTIVE_MS) {
             continue;
         }
         if word(rule::MATCHED).fetch_add(1, Relaxed) < get(rule::SKIP) {
             continue;
         }
-        let most = get(rule::MOST);
-        if most > 0 && get(rule::STRUCK) >= most {
+        let max_failures = get(rule::MAX_FAILURES);
+        if max_failures > 0 && get(rule::FAILED) >= max_failures {
             continue;
         }
-        let left = get(rule::LEFT);
+        let left = get(rule::BURST_LEFT);
         if left > 0 {
-            word(rule::LEFT).store(left - 1, Relaxed);
-        } else if draw(words) % 1_000_000 < get(rule::RATE) {
-            word(rule::LEFT).store(get(rule::BURST).saturating_sub(1), Relaxed);
+            word(rule::BURST_LEFT).store(left - 1, Relaxed);
+        } else if random(words) % 1_000_000 < get(rule::PER_MILLION) {
+            word(rule::BURST_LEFT).store(get(rule::BURST).saturating_sub(1), Relaxed);
         } else {
             continue;
         }
-        word(rule::STRUCK).fetch_add(1, Relaxed);
+        word(rule::FAILED).fetch_add(1, Relaxed);
         words[table::DELIVERED + call as usize].fetch_add(1, Relaxed);
         return Some(get(rule::ERROR));
     }
     None
 }
 
-/// The bytes that a call may move, or its error.
-fn cut(call: Call, fd: c_int, bytes: usize) -> Result<usize, c_int> {
-    match struck(call, kind(fd)) {
+/// Returns how many bytes a call may transfer, or the result of the failed call.
+fn allowed_bytes(call: Call, fd: c_int, bytes: usize) -> Result<usize, c_int> {
+    match injected_error(call, kind(fd)) {
         None => Ok(bytes),
         Some(table::ONE_BYTE) => Ok(bytes.min(1)),
-        Some(table::SHORT) if bytes > 1 => Ok(1 + words().map_or(0, |w| draw(w) as usize % (bytes - 1))),
+        Some(table::SHORT) if bytes > 1 => Ok(1 + words().map_or(0, |w| random(w) as usize % (bytes - 1))),
         Some(table::SHORT) => Ok(bytes),
         Some(error) => Err(fail(error)),
     }
 }
 
+/// Makes a system call directly, past the functions of the C library.
 macro_rules! sys {
-    ($number:ident $(, $argument:expr)*) => { libc::syscall(libc::$number $(, $argument as c_long)*) as c_int };
+    ($number:ident $(, $argument:expr)*) => {
+        libc::syscall(libc::$number $(, $argument as c_long)*) as c_int
+    };
 }
 
+/// Returns from the replaced function with an error if a rule fails the call.
 macro_rules! or_fail {
     ($call:expr, $kinds:expr) => {
-        if let Some(error) = struck($call, $kinds) {
+        if let Some(error) = injected_error($call, $kinds) {
             return fail(error);
         }
     };
 }
 
+/// Records the kind of a new descriptor, and returns the descriptor.
 fn new_descriptor(fd: c_int, kind: Descriptor) -> c_int {
     set_kind(fd, kind);
     fd
 }
 
-/// The port of an address, 0 if it has none.
+/// Returns the port of an address, or 0 if it has none.
 unsafe fn port(address: *const sockaddr) -> u64 {
     unsafe {
         match c_int::from((*address).sa_family) {
@@ -191,20 +208,21 @@
     }
 }
 
+/// Returns one of the words before the counts, or 0 if there is no table.
 fn header(word: usize) -> u64 {
     words().map_or(0, |words| words[word].load(Relaxed))
 }
 
-/// What a listener is, by its port.
+/// Returns the kind of a listening socket, by its address family and port.
 unsafe fn listener_kind(fd: c_int) -> Descriptor {
     unsafe {
         let mut address: libc::sockaddr_storage = std::mem::zeroed();
         let mut length = size_of_val(&address) as socklen_t;
         sys!(SYS_getsockname, fd, &mut address as *mut _, &mut length as *mut _);
-        let own = port((&raw const address).cast());
+        let own_port = port((&raw const address).cast());
         match c_int::from(address.ss_family) {
             libc::AF_UNIX => Descriptor::HandOver,
-            _ if own != 0 && own == header(table::MANAGEMENT_PORT) => Descriptor::Management,
+            _ if own_port != 0 && own_port == header(table::MANAGEMENT_PORT) => Descriptor::Management,
             _ => Descriptor::Listener,
         }
     }
@@ -233,26 +251,26 @@
 #[unsafe(no_mangle)]
 unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     let datagram = kind & 0xf == libc::SOCK_DGRAM;
-    let what = match domain {
+    let descriptor = match domain {
         libc::AF_UNIX => Descriptor::HandOver,
         _ if datagram => Descriptor::Datagram,
         _ => Descriptor::Unknown,
     };
-    or_fail!(Call::Socket, what as u64);
-    new_descriptor(unsafe { sys!(SYS_socket, domain, kind, protocol) }, what)
+    or_fail!(Call::Socket, descriptor as u64);
+    new_descriptor(unsafe { sys!(SYS_socket, domain, kind, protocol) }, descriptor)
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
     unsafe {
-        let to = port(address);
-        let what = match c_int::from((*address).sa_family) {
+        let to_port = port(address);
+        let descriptor = match c_int::from((*address).sa_family) {
             libc::AF_UNIX => Descriptor::HandOver,
-            _ if to == header(table::DISCOVERY_PORT) => Descriptor::Discovery,
+            _ if to_port == header(table::DISCOVERY_PORT) => Descriptor::Discovery,
             _ => Descriptor::Server,
         };
-        set_kind(fd, what);
-        or_fail!(Call::Connect, what as u64);
+        set_kind(fd, descriptor);
+        or_fail!(Call::Connect, descriptor as u64);
         sys!(SYS_connect, fd, address, length)
     }
 }
@@ -266,9 +284,9 @@
 #[unsafe(no_mangle)]
 unsafe extern "C" fn listen(fd: c_int, backlog: c_int) -> c_int {
     unsafe {
-        let what = listener_kind(fd);
-        set_kind(fd, what);
-        or_fail!(Call::Listen, what as u64);
+        let descriptor = listener_kind(fd);
+        set_kind(fd, descriptor);
+        or_fail!(Call::Listen, descriptor as u64);
         sys!(SYS_listen, fd, backlog)
     }
 }
@@ -294,23 +312,23 @@
 unsafe extern "C" fn epoll_wait(
     epoll: c_int,
     events: *mut libc::epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
     or_fail!(Call::EpollWait, Descriptor::Loop as u64);
-    unsafe { sys!(SYS_epoll_pwait, epoll, events, most, timeout, 0, 8) }
+    unsafe { sys!(SYS_epoll_pwait, epoll, events, max_events, timeout, 0, 8) }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn epoll_pwait2(
     epoll: c_int,
     events: *mut libc::epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: *const libc::timespec,
     mask: *const libc::sigset_t,
 ) -> c_int {
     or_fail!(Call::EpollWait, Descriptor::Loop as u64);
-    unsafe { sys!(SYS_epoll_pwait2, epoll, events, most, timeout, mask, 8) }
+    unsafe { sys!(SYS_epoll_pwait2, epoll, events, max_events, timeout, mask, 8) }
 }
 
 #[unsafe(no_mangle)]
@@ -332,7 +350,7 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn read(fd: c_int, buffer: *mut c_void, bytes: size_t) -> ssize_t {
-    match cut(Call::Read, fd, bytes) {
+    match allowed_bytes(Call::Read, fd, bytes) {
         Ok(bytes) => unsafe { libc::syscall(libc::SYS_read, fd, buffer, bytes) as ssize_t },
         Err(failed) => failed as ssize_t,
     }
@@ -352,7 +370,7 @@
     address: *mut sockaddr,
     length: *mut socklen_t,
 ) -> ssize_t {
-    match cut(Call::Recv, fd, bytes) {
+    match allowed_bytes(Call::Recv, fd, bytes) {
         Ok(bytes) => unsafe {
             libc::syscall(libc::SYS_recvfrom, fd, buffer, bytes, flags, address, length as usize) as ssize_t
         },
@@ -362,7 +380,7 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn recvmsg(fd: c_int, message: *mut libc::msghdr, flags: c_int) -> ssize_t {
-    match struck(Call::Recvmsg, kind(fd)) {
+    match injected_error(Call::Recvmsg, kind(fd)) {
         Some(error) if error < table::SHORT => fail(error) as ssize_t,
         _ => unsafe { libc::syscall(libc::SYS_recvmsg, fd, message, flags) as ssize_t },
     }
@@ -370,7 +388,7 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn write(fd: c_int, buffer: *const c_void, bytes: size_t) -> ssize_t {
-    match cut(Call::Write, fd, bytes) {
+    match allowed_bytes(Call::Write, fd, bytes) {
         Ok(bytes) => unsafe { libc::syscall(libc::SYS_write, fd, buffer, bytes) as ssize_t },
         Err(failed) => failed as ssize_t,
     }
@@ -381,11 +399,11 @@
     unsafe {
         let all = std::slice::from_raw_parts(parts, count.max(0) as usize);
         let bytes = all.iter().map(|part| part.iov_len).sum();
-        match cut(Call::Writev, fd, bytes) {
-            Ok(cut) if cut == bytes => libc::syscall(libc::SYS_writev, fd, parts, count) as ssize_t,
-            Ok(cut) => match all.iter().find(|part| part.iov_len > 0) {
+        match allowed_bytes(Call::Writev, fd, bytes) {
+            Ok(allowed) if allowed == bytes => libc::syscall(libc::SYS_writev, fd, parts, count) as ssize_t,
+            Ok(allowed) => match all.iter().find(|part| part.iov_len > 0) {
                 Some(first) => {
-                    libc::syscall(libc::SYS_write, fd, first.iov_base, cut.min(first.iov_len)) as ssize_t
+                    libc::syscall(libc::SYS_write, fd, first.iov_base, allowed.min(first.iov_len)) as ssize_t
                 }
                 None => 0,
             },
@@ -408,7 +426,7 @@
     address: *const sockaddr,
     length: socklen_t,
 ) -> ssize_t {
-    match cut(Call::Send, fd, bytes) {
+    match allowed_bytes(Call::Send, fd, bytes) {
         Ok(bytes) => unsafe {
             libc::syscall(libc::SYS_sendto, fd, buffer, bytes, flags, address, length as usize) as ssize_t
         },
@@ -418,7 +436,7 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn sendmsg(fd: c_int, message: *const libc::msghdr, flags: c_int) -> ssize_t {
-    match struck(Call::Sendmsg, kind(fd)) {
+    match injected_error(Call::Sendmsg, kind(fd)) {
         Some(error) if error < table::SHORT => fail(error) as ssize_t,
         _ => unsafe { libc::syscall(libc::SYS_sendmsg, fd, message, flags) as ssize_t },
     }
@@ -466,21 +484,22 @@
     unsafe { sys!(SYS_getsockname, fd, address, length) }
 }
 
+/// Gives a duplicated descriptor the kind of the original, and returns it.
 fn duplicate(fd: c_int, new: c_int) -> c_int {
-    if let Some(old) = usize::try_from(fd).ok().and_then(|fd| KINDS.get(fd))
+    if let Some(original) = usize::try_from(fd).ok().and_then(|fd| KINDS.get(fd))
         && let Some(slot) = usize::try_from(new).ok().and_then(|fd| KINDS.get(fd))
     {
-        slot.store(old.load(Relaxed), Relaxed);
+        slot.store(original.load(Relaxed), Relaxed);
     }
     new
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn fcntl(fd: c_int, command: c_int, argument: c_long) -> c_int {
-    let copies = matches!(command, libc::F_DUPFD | libc::F_DUPFD_CLOEXEC);
-    or_fail!(if copies { Call::Dup } else { Call::Fcntl }, kind(fd));
-    let told = unsafe { sys!(SYS_fcntl, fd, command, argument) };
-    if copies { duplicate(fd, told) } else { told }
+    let duplicates = matches!(command, libc::F_DUPFD | libc::F_DUPFD_CLOEXEC);
+    or_fail!(if duplicates { Call::Dup } else { Call::Fcntl }, kind(fd));
+    let result = unsafe { sys!(SYS_fcntl, fd, command, argument) };
+    if duplicates { duplicate(fd, result) } else { result }
 }
 
 #[unsafe(no_mangle)]
@@ -495,9 +514,9 @@
     duplicate(fd, unsafe { sys!(SYS_dup, fd) })
 }
 
-unsafe fn open_at(folder: c_int, path: *const c_char, flags: c_int, mode: c_long) -> c_int {
+unsafe fn open_at(directory: c_int, path: *const c_char, flags: c_int, mode: c_long) -> c_int {
     or_fail!(Call::Open, Descriptor::File as u64);
-    new_descriptor(unsafe { sys!(SYS_openat, folder, path, flags, mode) }, Descriptor::File)
+    new_descriptor(unsafe { sys!(SYS_openat, directory, path, flags, mode) }, Descriptor::File)
 }
 
 #[unsafe(no_mangle)]
@@ -511,13 +530,13 @@
 }
 
 #[unsafe(no_mangle)]
-unsafe extern "C" fn openat(folder: c_int, path: *const c_char, flags: c_int, mode: c_long) -> c_int {
-    unsafe { open_at(folder, path, flags, mode) }
+unsafe extern "C" fn openat(directory: c_int, path: *const c_char, flags: c_int, mode: c_long) -> c_int {
+    unsafe { open_at(directory, path, flags, mode) }
 }
 
 #[unsafe(no_mangle)]
-unsafe extern "C" fn openat64(folder: c_int, path: *const c_char, flags: c_int, mode: c_long) -> c_int {
-    unsafe { open_at(folder, path, flags, mode) }
+unsafe extern "C" fn openat64(directory: c_int, path: *const c_char, flags: c_int, mode: c_long) -> c_int {
+    unsafe { open_at(directory, path, flags, mode) }
 }
 
 #[unsafe(no_mangle)]
@@ -561,28 +580,32 @@
     new_descriptor(unsafe { sys!(SYS_signalfd4, fd, mask, 8, flags) }, Descriptor::Loop)
 }
 
-/// Linux closes the descriptor whatever it tells.
+/// Closes the descriptor in any case: Linux does so even when `close` returns an error.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn close(fd: c_int) -> c_int {
-    let told = struck(Call::Close, kind(fd));
+    let error = injected_error(Call::Close, kind(fd));
     let closed = unsafe { sys!(SYS_close, fd) };
     set_kind(fd, Descriptor::Unknown);
-    told.map_or(closed, fail)
+    error.map_or(closed, fail)
 }
 
-type Begin = extern "C" fn(*mut c_void) -> *mut c_void;
-type Create =
-    unsafe extern "C" fn(*mut libc::pthread_t, *const libc::pthread_attr_t, Begin, *mut c_void) -> c_int;
+type StartRoutine = extern "C" fn(*mut c_void) -> *mut c_void;
+type PthreadCreate = unsafe extern "C" fn(
+    *mut libc::pthread_t,
+    *const libc::pthread_attr_t,
+    StartRoutine,
+    *mut c_void,
+) -> c_int;
 
-/// Gives its error as its result, as the C library's does.
+/// Returns an error number as its result, without setting `errno`, as the function of the C library does.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn pthread_create(
     thread: *mut libc::pthread_t,
     attributes: *const libc::pthread_attr_t,
-    begin: Begin,
+    start: StartRoutine,
     argument: *mut c_void,
 ) -> c_int {
-    if let Some(error) = struck(Call::Thread, Descriptor::Unknown as u64) {
+    if let Some(error) = injected_error(Call::Thread, Descriptor::Unknown as u64) {
         return error as c_int;
     }
     unsafe {
@@ -590,21 +613,21 @@
         if real.is_null() {
             return libc::ENOSYS;
         }
-        let real: Create = std::mem::transmute(real);
-        real(thread, attributes, begin, argument)
+        let real: PthreadCreate = std::mem::transmute(real);
+        real(thread, attributes, start, argument)
     }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut libc::timespec) -> c_int {
     unsafe {
-        let told = sys!(SYS_clock_gettime, clock, time);
-        if clock == libc::CLOCK_REALTIME && told == 0 && words().is_some() {
-            let step = struck(Call::WallClock, Descriptor::Unknown as u64).unwrap_or(0) as i64;
+        let result = sys!(SYS_clock_gettime, clock, time);
+        if clock == libc::CLOCK_REALTIME && result == 0 && words().is_some() {
+            let step = injected_error(Call::WallClock, Descriptor::Unknown as u64).unwrap_or(0) as i64;
             let nanos = ((*time).tv_sec + step) * 1_000_000_000 + (*time).tv_nsec;
             (*time).tv_sec = nanos.div_euclid(1_000_000_000);
             (*time).tv_nsec = nanos.rem_euclid(1_000_000_000);
         }
-        told
+        result
     }
 }
