--- a/crates/client/src/builder.rs
+++ b/crates/client/src/builder.rs
@@ -15,7 +15,7 @@
 
 /// Default limit of requests in flight.
 const DEFAULT_IN_FLIGHT: usize = 1024;
-/// Timeout of a request where neither the caller nor the class states one.
+/// Timeout of a request where neither the caller nor the class states one, in microseconds.
 const DEFAULT_TIMEOUT: Micros = 2_500_000;
 
 /// Why a plug-in could not start.
@@ -25,7 +25,7 @@
     /// No class of requests is configured.
     #[error("no request classes: give `settings` or `class`")]
     NoClasses,
-    /// A class has no latency target, from which the timeouts of its attempts are derived.
+    /// A class has no latency target (more than 0), so its attempts would get no time.
     #[error("class {0:?} has no latency target (`slo-s`)")]
     NoLatencyTarget(Arc<str>),
     /// Neither an address of discovery nor fixed or known members were given.
--- a/crates/client/src/request.rs
+++ b/crates/client/src/request.rs
@@ -7,8 +7,8 @@
 /// A read or a write of one key.
 ///
 /// A request may be cloned and sent again, as tower's retry layer does: each call is a new request with an id
-/// of its own. A write that may have run is safe to send again only with the same [idempotency
-/// key](Request::idempotency), and within the idempotency window of its class.
+/// of its own. A write that may have run is safe to send again only with the same
+/// [idempotency key](Request::idempotency), and within the idempotency window of its class.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub(crate) key: Bytes,
--- a/crates/client/src/share.rs
+++ b/crates/client/src/share.rs
@@ -4,7 +4,7 @@
 use lapisrudder_engine::Limits;
 
 /// Idle timeout of an instance whose share is one connection to each server. There are many such instances,
-/// so their idle connections would add up at the servers.
+/// so their idle connections would add up at the servers. In microseconds.
 const SINGLE_CONNECTION_IDLE: Micros = 1_000_000;
 
 /// The configured connection limits, before they are divided among the instances.
--- a/crates/client/src/stats.rs
+++ b/crates/client/src/stats.rs
@@ -15,7 +15,7 @@
     Serving,
     /// No request is accepted any more; those accepted before are being answered.
     Closing,
-    /// All requests are answered, and the thread has ended.
+    /// The thread has ended: all requests are answered, or it has panicked.
     Closed,
 }
 
