--- a/crates/client/examples/cost.rs
+++ b/crates/client/examples/cost.rs
@@ -184,7 +184,7 @@
     let (_server, server) = start(this)?;
     let (node, front, _discovery) = daemon(server)?;
     let node = node.0.id();
-    let read = Class { aim: 750_000, worth: 1.0, ..Class::default() };
+    let read = Class { latency_target: 750_000, worth: 1.0, ..Class::default() };
     let client = Client::builder()
         .members([FixedMember::cache("s", server)])
         .class("read", read, Duration::from_secs(2))
--- a/crates/client/examples/web.rs
+++ b/crates/client/examples/web.rs
@@ -53,7 +53,7 @@
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
     let world = World::start(Spec::default(), Clock::default(), Books::default(), 1)?;
     let discovery = world.addresses().discovery(0).ok_or("no discovery")?;
-    let read = Class { aim: 750_000, worth: 5.0, ..Class::default() };
+    let read = Class { latency_target: 750_000, worth: 5.0, ..Class::default() };
     let settings = lapisrudder_client::Builder::default();
     let settings = settings.settings_json(
         r#"{"zones":["a"],"host-types":["cache","origin"],"family-info":{"mode":"aside","origin-kind":1},
--- a/crates/client/src/builder.rs
+++ b/crates/client/src/builder.rs
@@ -301,7 +301,9 @@
         if classes.is_empty() {
             return Err(StartError::NoClasses);
         }
-        if let Some((name, _)) = classes.iter().zip(&settings.classes).find(|(_, class)| class.aim <= 0) {
+        if let Some((name, _)) =
+            classes.iter().zip(&settings.classes).find(|(_, class)| class.latency_target <= 0)
+        {
             return Err(StartError::NoLatencyTarget(name.name.clone()));
         }
         settings.must_ask = self.discovery.is_some();
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -6,7 +6,7 @@
 use crate::request::Request;
 use crate::response::{BadRequest, Error, Response};
 use crate::stats::{Phase, Stats};
-use lapisrudder_codec::memcache::{OwnedRequest, Parts};
+use lapisrudder_codec::memcache::{OwnedRequest, RequestParts};
 use lapisrudder_config::digest;
 use lapisrudder_decisions::{Key, RequestId};
 use lapisrudder_engine as engine;
@@ -166,7 +166,7 @@
         let name = shared.classes.get(class).ok_or(BadRequest::UnknownClass)?;
         let now = shared.clock.now();
         let deadline = request.deadline.map_or(now + name.default_timeout, |at| shared.clock.at(at));
-        let parts = Parts {
+        let parts = RequestParts {
             key: &request.key,
             id: request.id.as_deref().unwrap_or(id.as_bytes()),
             class: name.name.as_bytes(),
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -18,7 +18,7 @@
 //! # })?;
 //! # let address = server.address();
 //! # futures_executor::block_on(async {
-//! let read = Class { aim: 750_000, worth: 1.0, ..Class::default() };
+//! let read = Class { latency_target: 750_000, worth: 1.0, ..Class::default() };
 //! let client = Client::builder()
 //!     .name("lessons")
 //!     // Or `discovery(address)`, which follows the list of members as it changes.
--- a/crates/client/src/thread.rs
+++ b/crates/client/src/thread.rs
@@ -12,8 +12,8 @@
 use lapisrudder_config::{Options, Target};
 use lapisrudder_decisions::{Micros, RequestId, Scope, ServerId, Stage};
 use lapisrudder_engine::{self as engine, Answers, Conn, Engine, Final, Member, Order, TakeError};
-use lapisrudder_host::{COME_BACK, Clock, Discovery, Members, News, Noted};
-use lapisrudder_io::{Operation, is_momentary, keep_trying};
+use lapisrudder_host::{Clock, Discovery, DiscoveryUpdate, Members, RETRY_INTERVAL, ReadinessHandler};
+use lapisrudder_io::{Operation, is_momentary, retry_with_backoff};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 use std::io;
@@ -52,7 +52,7 @@
 #[derive(Default)]
 struct Ready(Vec<Owner>);
 
-impl Noted for Ready {
+impl ReadinessHandler for Ready {
     type Owner = Owner;
 
     fn ready(&mut self, owner: Owner) {
@@ -63,7 +63,7 @@
 /// Starts the thread and returns the first client.
 pub(crate) fn start(plan: Plan, classes: Vec<ClassName>, in_flight: usize) -> Result<Client, StartError> {
     let (ping, ping_source) =
-        keep_trying(START_TIMEOUT, ping::make_ping, |e| is_momentary(Operation::Open, e))?;
+        retry_with_backoff(START_TIMEOUT, ping::make_ping, |e| is_momentary(Operation::Open, e))?;
     let queue = Arc::new(Queue::new(ping, std::process::id()));
     let permits = Arc::new(Semaphore::new(in_flight.min(Semaphore::MAX_PERMITS)));
     let clock = Clock::default();
@@ -113,8 +113,8 @@
 fn start_loop(ping_source: PingSource) -> Result<EventLoop<'static, Ready>, io::Error> {
     let is_retryable =
         |e: &calloop::Error| matches!(e, calloop::Error::IoError(e) if is_momentary(Operation::Open, e));
-    let events =
-        keep_trying(START_TIMEOUT, EventLoop::<Ready>::try_new, is_retryable).map_err(io::Error::from)?;
+    let events = retry_with_backoff(START_TIMEOUT, EventLoop::<Ready>::try_new, is_retryable)
+        .map_err(io::Error::from)?;
     let mut source = Some(ping_source);
     let insert = || {
         let Some(ping_source) = source.take() else { return Ok(()) };
@@ -124,7 +124,7 @@
             failed.error
         })
     };
-    keep_trying(START_TIMEOUT, insert, is_retryable).map_err(io::Error::from)?;
+    retry_with_backoff(START_TIMEOUT, insert, is_retryable).map_err(io::Error::from)?;
     Ok(events)
 }
 
@@ -268,10 +268,10 @@
         let discovery = self.discovery.as_ref().and_then(Discovery::next_wake);
         let publish = self.stats_changed.then_some(self.published_at + STATS_INTERVAL);
         let needs_retry =
-            self.members.is_behind() || self.discovery.as_ref().is_some_and(Discovery::is_behind);
+            self.members.needs_retry() || self.discovery.as_ref().is_some_and(Discovery::needs_retry);
         // Wake up periodically: a caller's wake-up may fail, and its request would then stay unread in the
         // queue.
-        let recheck = Some(self.clock.now() + if needs_retry { COME_BACK } else { QUEUE_POLL_INTERVAL });
+        let recheck = Some(self.clock.now() + if needs_retry { RETRY_INTERVAL } else { QUEUE_POLL_INTERVAL });
         let next =
             [self.engine.next_wake(), deadline, discovery, publish, recheck].into_iter().flatten().min();
         next.map(|at| self.clock.until(at))
@@ -291,8 +291,8 @@
     /// Checks all sockets after the event loop has failed: it may have lost edge-triggered events, which are
     /// not repeated.
     fn recheck_all(&mut self) {
-        self.members.look_at_all();
-        self.discovery.iter_mut().for_each(Discovery::look_again);
+        self.members.recheck_all();
+        self.discovery.iter_mut().for_each(Discovery::recheck);
     }
 
     /// Whether all requests are answered and no further one can come.
@@ -389,7 +389,7 @@
         if self.requests.replies.remove(&id).is_some() {
             self.requests.stats.left += 1;
             if self.waiting.remove(&id).is_none() {
-                self.engine.left(self.clock.now(), id);
+                self.engine.client_left(self.clock.now(), id);
             }
         }
     }
@@ -418,10 +418,10 @@
     // ---- The list of members --------------------------------------------------------------------------
 
     fn apply_discovery_updates(&mut self) {
-        while let Some(update) = self.discovery.as_mut().and_then(Discovery::poll_news) {
+        while let Some(update) = self.discovery.as_mut().and_then(Discovery::poll_update) {
             match update {
-                News::List { scope, targets } => self.apply_list(scope, targets),
-                News::Failed => {
+                DiscoveryUpdate::List { scope, targets } => self.apply_list(scope, targets),
+                DiscoveryUpdate::Failed => {
                     self.requests.stats.list_failures += 1;
                     self.stats_changed = true;
                     self.engine.list_failed();
@@ -468,9 +468,9 @@
                 self.requests.stats.connects += 1;
                 self.members.connect(conn, to, &mut self.engine, now);
             }
-            Order::Write { conn, look } => {
+            Order::Write { conn, probe } => {
                 let Host { members, engine, requests, .. } = self;
-                members.write(conn, look, engine, |id| requests.replies.contains_key(&id), now);
+                members.write(conn, probe, engine, |id| requests.replies.contains_key(&id), now);
             }
             Order::Close { conn } => self.members.close(conn),
             Order::Answer { transaction, answer } => {
@@ -512,7 +512,7 @@
         let attempts = self.engine.attempts();
         let stats = &mut self.requests.stats;
         (stats.in_flight, stats.held) = (self.requests.replies.len(), self.waiting.len());
-        (stats.attempts, stats.retries) = (attempts.begun, attempts.further);
+        (stats.attempts, stats.retries) = (attempts.begun, attempts.additional);
         stats.connections = self.engine.connections();
         self.stats_sender.send_replace(stats.clone());
     }
--- a/crates/client/tests/plug_in.rs
+++ b/crates/client/tests/plug_in.rs
@@ -72,7 +72,7 @@
     }
 
     fn builder(&self) -> Builder {
-        let read = Class { aim: 30_000_000, worth: 1.0, ..Class::default() };
+        let read = Class { latency_target: 30_000_000, worth: 1.0, ..Class::default() };
         let member = FixedMember::cache("s", self.peer.address());
         Client::builder().members([member]).class("read", read, TEST_TIMEOUT).seed(1)
     }
@@ -292,7 +292,8 @@
     }
     assert_eq!(text(block_on(client.ask(Request::read("k")))), "k", "the only permit is free again");
     let address = server.peer.address();
-    let read = || Client::builder().class("read", Class { aim: 1, ..Class::default() }, TEST_TIMEOUT);
+    let read =
+        || Client::builder().class("read", Class { latency_target: 1, ..Class::default() }, TEST_TIMEOUT);
     let cases: [(Builder, &str); 7] = [
         (
             Client::builder().class("r", Class::default(), TEST_TIMEOUT).discovery(address),
