--- a/crates/engine/src/connection.rs
+++ b/crates/engine/src/connection.rs
@@ -4,7 +4,7 @@
 use crate::deadlines::Key;
 use crate::flow::{Flow, FlowId};
 use lapisrudder_codec::http;
-use lapisrudder_codec::memcache::{self, Answer, MAX_LINE, MAX_VALUE, MAX_BUFFERED_VALUE, ReadNote};
+use lapisrudder_codec::memcache::{self, Answer, MAX_BUFFERED_VALUE, MAX_LINE, MAX_VALUE, ReadNote};
 use lapisrudder_decisions::permit::{Begin, Denial, Violations};
 use lapisrudder_decisions::{Micros, Outcome, RequestId, ServerId};
 use std::collections::VecDeque;
--- a/crates/engine/tests/end_of_request.rs
+++ b/crates/engine/tests/end_of_request.rs
@@ -92,7 +92,8 @@
     }
 
     fn ask(&mut self) {
-        let parts = RequestParts { key: b"k", id: b"a", class: b"r", wait_ms: 900, ..RequestParts::default() };
+        let parts =
+            RequestParts { key: b"k", id: b"a", class: b"r", wait_ms: 900, ..RequestParts::default() };
         let command = OwnedRequest::compose(&parts).unwrap();
         self.engine.take(self.now, RequestId(1), Request::new(command, Key(1), 0, 900 * MS)).unwrap();
     }
--- a/crates/engine/tests/iteration.rs
+++ b/crates/engine/tests/iteration.rs
@@ -22,7 +22,14 @@
 
 fn request(id: &str, write: bool) -> Request {
     let value = write.then_some(&b"v"[..]);
-    let parts = RequestParts { key: b"k", id: id.as_bytes(), class: b"r", wait_ms: 900, value, ..RequestParts::default() };
+    let parts = RequestParts {
+        key: b"k",
+        id: id.as_bytes(),
+        class: b"r",
+        wait_ms: 900,
+        value,
+        ..RequestParts::default()
+    };
     let command = OwnedRequest::compose(&parts).unwrap();
     Request::new(command, Key(1), 0, 900_000)
 }
--- a/crates/engine/tests/large_values.rs
+++ b/crates/engine/tests/large_values.rs
@@ -66,7 +66,8 @@
         Member { listed, endpoint: ([127, 0, 0, 1], id as u16).into() }
     };
     engine.listed(Scope::Full, vec![member(1), member(2)]);
-    let parts = RequestParts { key: b"k", id: b"a1", class: b"read", wait_ms: 9000, ..RequestParts::default() };
+    let parts =
+        RequestParts { key: b"k", id: b"a1", class: b"read", wait_ms: 9000, ..RequestParts::default() };
     let command = OwnedRequest::compose(&parts).unwrap();
     let request = Request::new(command, Key(1), 0, 9_000_000);
     engine.take(10, RequestId(1), request).unwrap();
--- a/crates/lab/src/sim/front.rs
+++ b/crates/lab/src/sim/front.rs
@@ -5,7 +5,7 @@
 use super::sock::{Ending, Read, Sock};
 use crate::Micros;
 use bytes::Bytes;
-use lapisrudder_codec::memcache::{self, Command, MAX_LINE, MAX_BUFFERED_VALUE, OwnedRequest};
+use lapisrudder_codec::memcache::{self, Command, MAX_BUFFERED_VALUE, MAX_LINE, OwnedRequest};
 use lapisrudder_engine::Deadlines;
 use lapisrudder_limits::{
     Accepting, Activity, Admission, ConnId, Intake, Order, RequestInfo, Resources, Ticket, Verdict,
--- a/crates/lab/src/stand/asked.rs
+++ b/crates/lab/src/stand/asked.rs
@@ -2,9 +2,9 @@
 
 use crate::Micros;
 use crate::ledger::{self, ReqId, digest};
+use lapisrudder_codec::corrupt::{Corruption, Protocol};
 use lapisrudder_codec::http::server::{Method, Reply, parse_request, write_response};
 use lapisrudder_codec::memcache::{self, Command, MAX_VALUE, ReadNote, decimal, parse_command};
-use lapisrudder_codec::corrupt::{Protocol, Corruption};
 use lapisrudder_model::server::{Answer, Answered, Noise, Note};
 use lapisrudder_model::value::{IdempotencyKey, Key, RequestId, make};
 
@@ -111,7 +111,10 @@
 
 fn from_http(input: &[u8], classes: &[String]) -> Result<Option<(Input, usize)>, &'static str> {
     let Some((ask, used)) = parse_request(input, MAX_VALUE)? else { return Ok(None) };
-    let say = |status, body: &[u8]| Input::Say { bytes: http(status, body, !ask.keep_alive), last: !ask.keep_alive };
+    let say = |status, body: &[u8]| Input::Say {
+        bytes: http(status, body, !ask.keep_alive),
+        last: !ask.keep_alive,
+    };
     let found = match (ask.method, ask.path.strip_prefix('/')) {
         (Method::Other, _) => say(405, b""),
         (Method::Get, Some("ping" | "_load")) => say(200, b"ok"),
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -5,7 +5,7 @@
 use lapisrudder::permit::{Close, Denial};
 use lapisrudder::time_limits::MAX_STALL;
 use lapisrudder::{Micros, RequestId};
-use lapisrudder_codec::memcache::{MAX_LINE, MAX_BUFFERED_VALUE};
+use lapisrudder_codec::memcache::{MAX_BUFFERED_VALUE, MAX_LINE};
 use lapisrudder_io::{Probe, Read, Written};
 use lapisrudder_limits::drain::State;
 use lapisrudder_limits::{Activity, ConnId};
