--- a/crates/decisions/src/rules.rs
+++ b/crates/decisions/src/rules.rs
@@ -1,7 +1,7 @@
 //! All decisions of lapisrudder. Input and output types: `src/interface.rs`; bookkeeping: `src/state.rs`. The
-//! rule is locality-aware least-connection (article, 3.2): a table maps each key to one server; a new key
-//! goes to the least-connection server; a key moves when its server is over the high mark while another is
-//! under the low mark, or at twice the high mark. Each exception to the rule has a section of its own.
+//! rule is locality-aware least-connection (KTCPVS article, 3.2): a table maps each key to one server; a new
+//! key goes to the least-connection server; a key moves when its server is over the high mark while another
+//! is under the low mark, or at twice the high mark. Each exception to the rule has a section of its own.
 
 use crate::health::{self, Ejection};
 use crate::interface::*;
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -871,7 +871,7 @@
     }
 }
 
-/// The article's dynamic request: one whose cost hint is far above the mean counts as 2 while it is in
+/// The KTCPVS article's dynamic request: one whose cost hint is far above the mean counts as 2 while it is in
 /// flight.
 #[test]
 fn a_request_with_a_heavy_hint_counts_twice_until_it_ends() {
