--- a/crates/limits/src/settings.rs
+++ b/crates/limits/src/settings.rs
@@ -180,8 +180,10 @@
     pub soon_ms: u32,
     /// Time constant, in ms, with which observed gaps between requests are forgotten. Default 60,000.
     pub memory_ms: u32,
-    /// One connection in this many is never closed early, to observe how long the closed ones would have been
-    /// idle. Default 64.
+    /// One new connection in this many is a probe, which shows how long the connections closed earlier would
+    /// have been idle: what is learned never closes it early, only the fixed times do (`silent_room_ms`,
+    /// `used_room_ms`, and `early_ms`, which falls to `earliest_ms` as used connections take all of the
+    /// clients' connection capacity). Default 64.
     pub probe_one_in: u32,
 }
 
