--- a/src/net/fleet/view.rs
+++ b/src/net/fleet/view.rs
@@ -28,7 +28,7 @@
 
 /// The listener and the connected clients.
 pub struct FleetView {
-    door: ControlListener,
+    listener: ControlListener,
     clients: BTreeMap<u64, Client>,
     /// Complete calls that wait for their answer.
     calls: Vec<(u64, String)>,
@@ -36,29 +36,29 @@
 
 impl FleetView {
     pub fn new(at: SocketAddr, handle: &Handle) -> io::Result<FleetView> {
-        let door = ControlListener::new(at, Owner::FleetView, handle)?;
-        Ok(FleetView { door, clients: BTreeMap::new(), calls: Vec::new() })
+        let listener = ControlListener::new(at, Owner::FleetView, handle)?;
+        Ok(FleetView { listener, clients: BTreeMap::new(), calls: Vec::new() })
     }
 
     /// Whether something has to be retried by [`FleetView::retry`].
     pub fn needs_retry(&self) -> bool {
-        self.door.needs_retry()
+        self.listener.needs_retry()
     }
 
     /// Retries calls that failed temporarily.
     pub fn retry(&mut self) {
-        self.door.take_retries().into_iter().for_each(|id| self.on_ready(id));
+        self.listener.take_retries().into_iter().for_each(|id| self.on_ready(id));
     }
 
     /// Rechecks all clients, since readiness events may have been lost.
     pub fn recheck_all(&mut self) {
-        self.clients.keys().for_each(|id| self.door.schedule_retry(*id));
+        self.clients.keys().for_each(|id| self.listener.schedule_retry(*id));
     }
 
     /// Accepts the clients that wait.
     pub fn accept(&mut self) {
         for _ in 0..MAX_CLIENTS {
-            let (id, socket) = match self.door.accept(Owner::FleetViewClient) {
+            let (id, socket) = match self.listener.accept(Owner::FleetViewClient) {
                 AcceptOutcome::Connection(id, socket) => (id, socket),
                 AcceptOutcome::Failed => continue,
                 AcceptOutcome::Empty => return,
@@ -76,14 +76,14 @@
     pub fn on_ready(&mut self, id: u64) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         if !client.socket.ensure_enabled() {
-            self.door.schedule_retry(id);
+            self.listener.schedule_retry(id);
         }
         let mut buffer = [0; MAX_CALL];
         let gone = loop {
             match client.socket.read(&mut buffer) {
                 Read::NotReady => break false,
                 Read::Later(_) => {
-                    self.door.schedule_retry(id);
+                    self.listener.schedule_retry(id);
                     break false;
                 }
                 Read::End | Read::Broken(_) => break true,
@@ -139,7 +139,7 @@
                 Written::Full => break client.output.len() > MAX_PENDING_OUTPUT,
                 Written::Bytes(n) => drop(client.output.drain(..n)),
                 Written::Later(_) => {
-                    self.door.schedule_retry(id);
+                    self.listener.schedule_retry(id);
                     break false;
                 }
                 Written::Broken(_) => break true,
