--- a/crates/codec/src/memcache/owned.rs
+++ b/crates/codec/src/memcache/owned.rs
@@ -158,13 +158,13 @@
 
 /// The position of a slice within the buffer that it was taken from; `None` if it is a slice of another
 /// buffer. An empty slice has the position 0..0.
-fn span_of(whole: &[u8], part: &[u8]) -> Option<Span> {
+fn span_of(buffer: &[u8], part: &[u8]) -> Option<Span> {
     if part.is_empty() {
         return Some(0..0);
     }
-    let start = (part.as_ptr() as usize).checked_sub(whole.as_ptr() as usize)?;
+    let start = (part.as_ptr() as usize).checked_sub(buffer.as_ptr() as usize)?;
     let end = start + part.len();
-    (end <= whole.len()).then_some(start as u32..u32::try_from(end).ok()?)
+    (end <= buffer.len()).then_some(start as u32..u32::try_from(end).ok()?)
 }
 
 /// The position of the waiting time's digits, if nothing else of the line changes when [`Request::write`]
@@ -210,10 +210,10 @@
         ] {
             let (owned, request) = parse(text);
             assert_eq!(owned.get(), request, "{text:?}");
-            let (mut whole, mut copied) = (Vec::new(), Vec::new());
-            request.write(12345, &mut whole);
+            let (mut written, mut copied) = (Vec::new(), Vec::new());
+            request.write(12345, &mut written);
             owned.write(12345, &mut copied);
-            assert_eq!(String::from_utf8_lossy(&copied), String::from_utf8_lossy(&whole), "{text:?}");
+            assert_eq!(String::from_utf8_lossy(&copied), String::from_utf8_lossy(&written), "{text:?}");
         }
     }
 
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -176,7 +176,7 @@
     fn report_if_missing(&mut self, key: &str) -> bool {
         let missing = json::line_of(self.text, key).is_none();
         if missing {
-            let line = key.rsplit_once('.').and_then(|(whole, _)| json::line_of(self.text, whole));
+            let line = key.rsplit_once('.').and_then(|(parent, _)| json::line_of(self.text, parent));
             let location = Location::File { path: self.path.into(), line };
             self.problems.push(Problem { location, key: key.into(), kind: ProblemKind::MissingKey });
         }
--- a/crates/config/tests/sources.rs
+++ b/crates/config/tests/sources.rs
@@ -123,9 +123,9 @@
     // `[fleet]` is commented out in the shipped file, so that by default it does not exist.
     let expected = Operators { fleet: Some(Fleet::default()), ..Operators::default() };
     assert_eq!(all, expected, "each value is the default");
-    let whole = file("whole.toml", "[fleet]");
-    let whole = Sources { operators: Some(whole), ..Sources::default() };
-    let settings = whole.explain().expect("defaults");
+    let with_fleet = file("fleet.toml", "[fleet]");
+    let with_fleet = Sources { operators: Some(with_fleet), ..Sources::default() };
+    let settings = with_fleet.explain().expect("defaults");
     let existing: BTreeSet<&str> = settings.iter().map(|s| s.key.as_str()).collect();
     assert!(stated.keys().all(|key| !existing.contains(key.as_str())), "it sets no key: {stated:?}");
     let present: BTreeSet<&str> = lines.keys().map(String::as_str).filter(|k| existing.contains(k)).collect();
--- a/crates/limits/src/hazard_rate.rs
+++ b/crates/limits/src/hazard_rate.rs
@@ -213,11 +213,11 @@
                 );
             }
         }
-        let (whole, cut) = (learn(10_000_000), learn(300_000));
+        let (late, early) = (learn(10_000_000), learn(300_000));
         let right = 1.0 - (-0.2f64).exp();
-        assert!((whole.probability_within(100_000, 100_000) - right).abs() < 0.03);
-        assert!(cut.is_learnt(20_000_000, 200_000) && !cut.is_learnt(20_000_000, 3_000_000));
-        assert!(cut.rate_at(3_000_000) < 0.06, "beyond the observed ages the prior applies");
+        assert!((late.probability_within(100_000, 100_000) - right).abs() < 0.03);
+        assert!(early.is_learnt(20_000_000, 200_000) && !early.is_learnt(20_000_000, 3_000_000));
+        assert!(early.rate_at(3_000_000) < 0.06, "beyond the observed ages the prior applies");
     }
 
     #[test]
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -15,7 +15,7 @@
 
 /// Members that have to accuse a suspect before it is declared dead. A member that receives nothing must
 /// neither be able to declare all others dead, nor be declared dead on the accusation of one. A member with
-/// no other member to confirm its accusations, as the survivor of a fleet of two, therefore declares nobody
+/// no other member to confirm its accusations, as the survivor of a fleet of two, therefore declares none
 /// dead.
 const MIN_ACCUSERS: usize = 2;
 /// Interval at which a suspect with too few accusers is probed again.
@@ -245,8 +245,8 @@
     /// sent.
     pub(crate) fn answer_hello(&mut self, now: Micros, from: SocketAddr, bytes: usize) {
         let some = self.random_members(self.table.participants(), None);
-        let news: Vec<Update> =
+        let updates: Vec<Update> =
             some.iter().filter_map(|name| self.table.named(name)).map(Member::update).collect();
-        self.send_in_pieces(now, from, Message::News, news, bytes.min(MAX_PACKET), 1);
+        self.send_in_pieces(now, from, Message::News, updates, bytes.min(MAX_PACKET), 1);
     }
 }
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -169,8 +169,12 @@
             address && zone && u.by.len() <= crate::suspicion::MAX_ACCUSERS
         };
         let own_state = matches!(packet.from.state, State::Alive | State::Left);
-        let news = packet.news.len() <= MAX_UPDATES && packet.news.iter().all(is_valid);
-        if own_state && news && is_valid(&packet.from) { Ok(packet) } else { Err(BadPacket::InvalidValue) }
+        let valid_updates = packet.news.len() <= MAX_UPDATES && packet.news.iter().all(is_valid);
+        if own_state && valid_updates && is_valid(&packet.from) {
+            Ok(packet)
+        } else {
+            Err(BadPacket::InvalidValue)
+        }
     }
 
     /// Encodes the packet.
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -179,8 +179,8 @@
         }
     }
 
-    /// The target of a relayed probe has not answered yet. A nack tells the member that asked that its
-    /// request at least arrived (Lifeguard, IV-A), and the target is probed once more.
+    /// The target of a relayed probe has not answered yet. A nack informs the member that asked that
+    /// its request at least arrived (Lifeguard, IV-A), and the target is probed once more.
     pub(crate) fn on_relayed_ack_timeout(&mut self, now: Micros, seq: u64) {
         if let Some(RelayedProbe { target, start, to, seq: their_seq }) =
             self.relayed_probes.get(&seq).cloned()
@@ -204,7 +204,7 @@
 
     /// Handles a packet of `bytes` bytes that arrived from the address `from`.
     pub(crate) fn on_packet(&mut self, now: Micros, from: SocketAddr, packet: Packet, bytes: usize) {
-        let Packet { from: sender, what, news } = packet;
+        let Packet { from: sender, what, news: updates } = packet;
         let own_name = sender.name == self.me.name;
         if own_name && sender.start == self.me.start {
             return;
@@ -226,7 +226,7 @@
             self.send_later(now, from, &sender, bytes);
         }
         if index.is_some() || own_name {
-            news.into_iter().for_each(|update| self.merge(now, update));
+            updates.into_iter().for_each(|update| self.merge(now, update));
         }
         let member = index.and_then(|index| self.table.get(index)).is_some_and(|m| m.participates());
         match what {
@@ -349,7 +349,7 @@
 
     /// Probes `target` as helper of the member `to`.
     fn relay_probe(&mut self, now: Micros, to: &Name, their_seq: u64, target: Name, start: u64) {
-        // Only known members are probed, at the address known here, so that nobody can make this member send
+        // Only known members are probed, at the address known here, so that no peer can make this member send
         // to an arbitrary address.
         if self.relayed_probes.len() >= MAX_RELAYED_PROBES || self.table.find(&target).is_none() {
             return;
--- a/crates/membership/src/push_pull.rs
+++ b/crates/membership/src/push_pull.rs
@@ -96,34 +96,35 @@
             return;
         };
         let of = |update: &Update| of >> bucket(&update.name) & 1 == 1 && update.name != *to;
-        let news: Vec<Update> = self.shared_records(now).filter(of).collect();
-        if !news.is_empty() || wanted != 0 {
-            self.send_in_pieces(now, at, Message::Records { wanted }, news, MAX_PACKET, MAX_PIECES);
+        let updates: Vec<Update> = self.shared_records(now).filter(of).collect();
+        if !updates.is_empty() || wanted != 0 {
+            self.send_in_pieces(now, at, Message::Records { wanted }, updates, MAX_PACKET, MAX_PIECES);
         }
     }
 
-    /// Sends updates in up to `max_pieces` packets. The first one carries `first`, the others are plain news.
+    /// Sends updates in up to `max_pieces` packets. The message of the first one is `first`, the message of the
+    /// others [`Message::News`].
     pub(crate) fn send_in_pieces(
         &mut self,
         now: Micros,
         to: SocketAddr,
         first: Message,
-        news: Vec<Update>,
+        updates: Vec<Update>,
         max_bytes: usize,
         max_pieces: usize,
     ) {
-        let (mut news, mut what) = (news.into_iter().peekable(), first);
+        let (mut updates, mut what) = (updates.into_iter().peekable(), first);
         for _ in 0..max_pieces {
             let mut packet = Packet { from: self.me.clone(), what, news: Vec::new() };
             let mut left = max_bytes.saturating_sub(encoded_len(&packet) + 1);
             while packet.news.len() < MAX_UPDATES
-                && let Some(update) = news.next_if(|update| encoded_len(update) <= left)
+                && let Some(update) = updates.next_if(|update| encoded_len(update) <= left)
             {
                 left -= encoded_len(&update);
                 packet.news.push(update);
             }
             let none_fitted = packet.news.is_empty();
-            if !self.send_packet(now, to, &packet, max_bytes) || none_fitted || news.peek().is_none() {
+            if !self.send_packet(now, to, &packet, max_bytes) || none_fitted || updates.peek().is_none() {
                 return;
             }
             what = Message::News;
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -223,12 +223,12 @@
 
     /// Its state for logs.
     pub fn describe(&self, now: Micros) -> String {
-        let (owed, unsent) = (self.slots.len(), self.output.len() - self.sent);
+        let (pending, unsent) = (self.slots.len(), self.output.len() - self.sent);
         let upload = if self.upload.is_some() { " upload" } else { "" };
         let unread = if self.unread { " unread" } else { "" };
         let leaving = if self.leaving { " leaving" } else { "" };
         let (activity, last_ms) = (self.activity(), (now - self.last_progress) / 1000);
-        format!("{activity:?} owed={owed} unsent={unsent} last_sent_ms={last_ms}{upload}{unread}{leaving}")
+        format!("{activity:?} owed={pending} unsent={unsent} last_sent_ms={last_ms}{upload}{unread}{leaving}")
     }
 
     /// Shuts its sending side between requests. Data that arrives from here on has crossed the close, which
--- a/src/net/virtual_server/accepting.rs
+++ b/src/net/virtual_server/accepting.rs
@@ -19,7 +19,7 @@
 const MAX_FAILED_ACCEPTS: usize = 64;
 /// A file that can always be opened, to hold a spare descriptor.
 const SPARE: &str = "/dev/null";
-/// Delay after `accept` has failed for another reason than a lack of descriptors.
+/// Delay after `accept` has failed for another reason than exhausted descriptors.
 const ACCEPT_RETRY_DELAY: Micros = 50_000;
 /// Maximum number of tries to send the line to a rejected connection, and of reads that discard its input. A
 /// request fits into one buffer, and a client that keeps sending is not waited for.
@@ -108,7 +108,7 @@
                     self.failures.worked();
                     return Queue::Empty;
                 }
-                Accepted::Exhausted(lack) => match self.failures.failed(now, limit_state_of(lack)) {
+                Accepted::Exhausted(scarce) => match self.failures.failed(now, limit_state_of(scarce)) {
                     Next::AtOnce => failed += 1,
                     Next::After(wait) => {
                         self.pause(now + wait, deadlines);
@@ -116,8 +116,8 @@
                     }
                     // Pausing prevents a busy loop on EMFILE: the listener stays readable all the while.
                     Next::Shortage => {
-                        warn!(?lack, "cannot accept");
-                        self.on_descriptor_shortage(listener, lack, now, deadlines);
+                        warn!(?scarce, "cannot accept");
+                        self.on_descriptor_shortage(listener, scarce, now, deadlines);
                         return Queue::Waiting;
                     }
                 },
@@ -181,12 +181,12 @@
     pub(super) fn on_descriptor_shortage(
         &mut self,
         listener: &Listener,
-        lack: Scarce,
+        scarce: Scarce,
         now: Micros,
         deadlines: &mut Deadlines,
     ) {
-        let own = lack == Scarce::ProcessDescriptors;
-        if !own && lack != Scarce::SystemDescriptors {
+        let own = scarce == Scarce::ProcessDescriptors;
+        if !own && scarce != Scarce::SystemDescriptors {
             return self.pause(now + ACCEPT_RETRY_DELAY, deadlines);
         }
         match self.admission.on_descriptor_shortage(now, own) {
--- a/src/net/virtual_server/states.rs
+++ b/src/net/virtual_server/states.rs
@@ -9,7 +9,7 @@
 pub struct ConnectionStates {
     idle: usize,
     unfinished: usize,
-    owed: usize,
+    pending: usize,
     over: usize,
     /// How many of these are to be handed to another process.
     leaving: usize,
@@ -21,7 +21,7 @@
         let state = match client.activity() {
             Activity::Idle => &mut self.idle,
             Activity::Unfinished => &mut self.unfinished,
-            Activity::Pending => &mut self.owed,
+            Activity::Pending => &mut self.pending,
             Activity::Closing => &mut self.over,
         };
         *state += 1;
@@ -31,7 +31,7 @@
 
 impl fmt::Display for ConnectionStates {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let ConnectionStates { idle, unfinished, owed, over, leaving } = self;
-        write!(f, "idle {idle}, unfinished {unfinished}, owed {owed}, over {over}, leaving {leaving}")
+        let ConnectionStates { idle, unfinished, pending, over, leaving } = self;
+        write!(f, "idle {idle}, unfinished {unfinished}, owed {pending}, over {over}, leaving {leaving}")
     }
 }
