--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -24,8 +24,8 @@
     pub advertise: Option<SocketAddr>,
     /// Nodes that this one asks to let it join, at the start and whenever they are no members. Default: none.
     pub seeds: Vec<SocketAddr>,
-    /// The expected number of nodes: this node's shares are never larger than those of one in so many nodes.
-    /// Default 1.
+    /// The expected number of nodes: this node's shares are never larger than those of a node in a fleet of
+    /// this size. Default 1.
     pub expected: u32,
     /// For how many seconds a node that has left still counts when shares are computed. Default 30.
     pub hold_s: u32,
--- a/crates/io/src/connection.rs
+++ b/crates/io/src/connection.rs
@@ -146,7 +146,7 @@
             match classify_and_count(Operation::Transfer, &error) {
                 Outcome::Repeat => {}
                 // After a spurious EAGAIN the socket is still ready, and edge-triggered polling would not
-                // report it again. poll(2) tells whether the EAGAIN is true.
+                // report it again. poll(2) shows whether the EAGAIN is true.
                 Outcome::NotReady => match self.is_ready(readiness) {
                     Probe::No => {
                         self.failing_since.set(None);
--- a/crates/io/src/shortage.rs
+++ b/crates/io/src/shortage.rs
@@ -21,7 +21,7 @@
     Reached,
     /// The limit is not reached.
     NotReached,
-    /// The process cannot tell.
+    /// The process cannot determine it.
     Unknown,
 }
 
--- a/crates/limits/src/admission/orders_due.rs
+++ b/crates/limits/src/admission/orders_due.rs
@@ -120,8 +120,8 @@
     }
 
     /// Used connections with a lower worth are closed early now; 0: none. While the free slots last for
-    /// longer than [`HEADROOM_S`] at the rate at which they are taken, nobody else needs them, and clients
-    /// that use their connections keep them.
+    /// longer than [`HEADROOM_S`] at the rate at which they are taken, new clients need no further ones, and
+    /// clients that use their connections keep them.
     fn worth_threshold(&self) -> f64 {
         if self.stopping {
             return 0.0;
--- a/crates/limits/src/source.rs
+++ b/crates/limits/src/source.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// A keyed hash for values that attackers choose: without the key nobody can find addresses that collide in a
+/// A keyed hash for values that attackers choose: without the key they cannot find addresses that collide in a
 /// table (SipHash, Aumasson and Bernstein 2012).
 #[derive(Clone, Copy, Debug)]
 pub struct KeyedHash(u64, u64);
--- a/crates/limits/tests/simulated_backend/mod.rs
+++ b/crates/limits/tests/simulated_backend/mod.rs
@@ -35,8 +35,8 @@
     /// With more than this many attempts per server for 0.3 s, the backend stops for 3 s and loses all its
     /// work.
     pub stops_above: f64,
-    /// Share of attempts that a cache in front of the backend answers at once; the nodes cannot tell them
-    /// apart.
+    /// Share of attempts that a cache in front of the backend answers at once; the nodes cannot distinguish
+    /// them from the others.
     pub cached_share: f64,
     /// Share of attempts lost on the way, over time.
     pub loss_rate: fn(Micros) -> f64,
--- a/crates/membership/src/census.rs
+++ b/crates/membership/src/census.rs
@@ -6,11 +6,11 @@
 
 /// The number of nodes that share a budget, as one node counts them.
 ///
-/// A side of a partition sees only itself as alive, and cannot tell a partition from the death of the other
-/// nodes. So the count rises at once with each node that is seen for the first time. It falls only for a node
-/// that announced that it leaves, after a hold in which that node may still serve, and never below the number
-/// that operators expect. A node that was declared dead still counts, since it may live on the other side;
-/// only the grant of a majority (ownership) overrides that, or its removal from the table of members.
+/// A side of a partition sees only itself as alive, and cannot distinguish a partition from the death of the
+/// other nodes. So the count rises at once with each node that is seen for the first time. It falls only for
+/// a node that announced that it leaves, after a hold in which that node may still serve, and never below the
+/// number that operators expect. A node that was declared dead still counts, since it may live on the other
+/// side; only the grant of a majority (ownership) overrides that, or its removal from the table of members.
 ///
 /// The shares of all live nodes sum to at most one however a partition splits the views, as long as
 /// `expected` is no less than the number of nodes that never saw each other.
--- a/crates/membership/src/core.rs
+++ b/crates/membership/src/core.rs
@@ -85,7 +85,7 @@
     /// A member that was dead or had left was removed from the table.
     Forgotten(Name),
     /// The host called this member so late (µs) that it counts as stalled. Until enough others have answered,
-    /// it accuses nobody and declares nobody dead on its own.
+    /// it accuses no member and declares none dead on its own.
     Stalled(Micros),
     /// An earlier process of this member's name is alive at this address, too. Other members follow this
     /// process.
@@ -157,8 +157,8 @@
     pub(crate) counts: Counts,
     /// When the host was due to call next, as last returned by [`Membership::next_wake`].
     expected_wake: Micros,
-    /// Set after a stall: the members that have answered since. While it is set, this member accuses nobody
-    /// and declares nobody dead on its own.
+    /// Set after a stall: the members that have answered since. While it is set, this member accuses no
+    /// other and declares none dead on its own.
     pub(crate) heard_since_stall: Option<FxHashSet<Name>>,
     /// When the first packet of a known member arrived.
     pub(crate) joined_at: Option<Micros>,
--- a/crates/membership/tests/fleet/main.rs
+++ b/crates/membership/tests/fleet/main.rs
@@ -169,7 +169,7 @@
         world.links.clear();
         let together = world.run_until(120 * S, |w| w.agree(20));
         assert!(together.is_some(), "seed {seed}: views converge");
-        // Reports of the other side led nobody to declare a member of the own side dead.
+        // Reports of the other side led no member to declare a member of the own side dead.
         let own_side: Vec<_> = world
             .false_dead
             .iter()
--- a/tests/harness/shim.rs
+++ b/tests/harness/shim.rs
@@ -51,8 +51,8 @@
     Control::create(Path::new(&path), seed).expect("a table")
 }
 
-/// Starts a node with a fault table, and enters the ports of discovery and management there, by which rules
-/// for a kind of descriptor tell its connections apart.
+/// Starts a node with a fault table, and enters the ports of discovery and management there: rules that
+/// apply to one kind of descriptor recognise its connections by these ports.
 pub fn start_node(discovery: SocketAddr, faults: &Control) -> Node {
     faults.set(table::DISCOVERY_PORT, discovery.port().into()).expect("set");
     let node = Node::with_faults(discovery, SETTINGS, faults.path());
