--- a/crates/membership/src/push_pull.rs
+++ b/crates/membership/src/push_pull.rs
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Sends updates in up to `max_pieces` packets. The message of the first one is `first`, the message of the
+    /// Sends updates in up to `max_pieces` packets. The message of the first packet is `first`, that of the
     /// others [`Message::News`].
     pub(crate) fn send_in_pieces(
         &mut self,
