--- a/crates/lab/src/faults/hands.rs
+++ b/crates/lab/src/faults/hands.rs
@@ -550,7 +550,7 @@
     }
     let variance = libm::log1p(cv * cv);
     let median = ms * 1e3 / libm::exp(variance / 2.0);
-    Spread::LogNormal { median, sigma: libm::sqrt(variance), most: Micros::MAX / 2 }
+    Spread::LogNormal { median, sigma: libm::sqrt(variance), max: Micros::MAX / 2 }
 }
 
 /// How discovery is down where its outage is that strong: the last of [`experiment::OutageHow`] goes before the others.
--- a/crates/lab/src/load/carrier.rs
+++ b/crates/lab/src/load/carrier.rs
@@ -6,7 +6,7 @@
 use crate::Micros;
 use crate::ledger::{ClientBook, ClientEvent};
 use lapisrudder_model::arrivals::Class;
-use lapisrudder_model::clients::{Ask, ConnId, Event, NodeId, Reader};
+use lapisrudder_model::clients::{ConnId, Event, NodeId, OutgoingRequest, Reader};
 
 /// What all parts of the load's thread work on.
 pub(super) struct Cx {
@@ -45,7 +45,7 @@
     /// Opens a connection.
     fn open(&mut self, cx: &mut Cx, name: Name, opening: Opening);
     /// Writes a request on an open connection.
-    fn ask(&mut self, cx: &mut Cx, name: Name, ask: &Ask, class: &Class);
+    fn ask(&mut self, cx: &mut Cx, name: Name, ask: &OutgoingRequest, class: &Class);
     /// Closes a connection.
     fn close(&mut self, cx: &mut Cx, name: Name);
     /// Something happened on a connection of the net; false if it is not this carrier's.
--- a/crates/lab/src/load/driver.rs
+++ b/crates/lab/src/load/driver.rs
@@ -16,7 +16,7 @@
 };
 use crate::stand::Clock;
 use calloop::channel::{Channel, Event as Received};
-use lapisrudder_model::clients::{Clients, End, Event, NodeId, Order, Story};
+use lapisrudder_model::clients::{Clients, End, Event, NodeId, Order, RequestRecord};
 use rustc_hash::FxHashSet;
 use std::time::Duration;
 
@@ -248,7 +248,7 @@
                         carrier.open(&mut self.cx, name(conn), Opening { node, of, reader });
                     }
                 }
-                Order::Ask(conn, ask) => {
+                Order::Send(conn, ask) => {
                     let class = player.clients.classes().get(usize::from(ask.arrival.class));
                     if let Some(class) = class {
                         carrier.ask(&mut self.cx, name(conn), &ask, class);
@@ -263,8 +263,8 @@
                         self.cx.events.push((number, Event::Probed(node, true)));
                     }
                 },
-                Order::Over(story) => self.over(number, &story),
-                Order::Late(..) | Order::Unasked(..) => {}
+                Order::Finished(story) => self.over(number, &story),
+                Order::Late(..) | Order::Unsolicited(..) => {}
             }
         }
         any
@@ -278,7 +278,7 @@
     }
 
     /// Writes down a request that is over, with all its tries.
-    fn over(&mut self, number: usize, story: &Story) {
+    fn over(&mut self, number: usize, story: &RequestRecord) {
         let Some(player) = self.players.get(number) else { return };
         self.cx.live.story(story);
         let arrival = &story.arrival;
@@ -295,8 +295,8 @@
                 first_due: story.due,
                 key: arrival.key.0,
                 idem: arrival.once,
-                patience_us: this.written.map_or(0, |at| micros(this.until - at)),
-                late_us: micros(this.taken - this.due),
+                patience_us: this.written.map_or(0, |at| micros(this.deadline - at)),
+                late_us: micros(this.started - this.due),
                 class: ClassNo((usize::from(arrival.class) % player.classes.max(1)) as u8),
                 load: LoadNo(of.load.0),
                 node: NodeNo(this.node.map_or(of.node, |node| node.0 as u16)),
@@ -305,8 +305,8 @@
             if let (Some(at), Some(conn)) = (this.resent, self.way.carrier().crossed(id.0)) {
                 self.cx.book.push(at, ClientEvent::Crossed { req: id, conn: ConnNo(conn) });
             }
-            if let (Some(at), Some(end @ (End::TimedOut | End::Left))) = (this.over, this.end) {
-                self.cx.book.push(at, ClientEvent::GivenUp { req: id, early: end == End::Left });
+            if let (Some(at), Some(end @ (End::TimedOut | End::Abandoned))) = (this.ended_at, this.end) {
+                self.cx.book.push(at, ClientEvent::GivenUp { req: id, early: end == End::Abandoned });
             }
         }
     }
--- a/crates/lab/src/load/links.rs
+++ b/crates/lab/src/load/links.rs
@@ -2,8 +2,8 @@
 //! privileges are needed.
 
 use crate::{Micros, millis};
-use lapisrudder_model::clients::NotOpen;
-use lapisrudder_model::mix::{exponential, spot, unit};
+use lapisrudder_model::clients::ConnectFailure;
+use lapisrudder_model::mix::{exponential, keyed_rng, unit};
 
 /// The state of one link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -35,16 +35,16 @@
             return 0;
         }
         let jitter = self.jitter.clamp(0.0, 1.0);
-        let drawn = exponential(&mut spot(0, "link delay", u64::from(conn), piece));
+        let drawn = exponential(&mut keyed_rng(0, "link delay", u64::from(conn), piece));
         millis(self.delay_ms * (1.0 - jitter + jitter * drawn))
     }
 
     /// What becomes of a new connection: it is refused or reset, or never comes up (true), or it is opened (false).
-    pub(super) fn fate(&self, conn: u32) -> Result<bool, NotOpen> {
-        let lost = || unit(&mut spot(0, "link loses", u64::from(conn), 0)) < self.loses_new;
+    pub(super) fn fate(&self, conn: u32) -> Result<bool, ConnectFailure> {
+        let lost = || unit(&mut keyed_rng(0, "link loses", u64::from(conn), 0)) < self.loses_new;
         match () {
-            _ if self.refuses => Err(NotOpen::Refused),
-            _ if self.resets_new => Err(NotOpen::Reset),
+            _ if self.refuses => Err(ConnectFailure::Refused),
+            _ if self.resets_new => Err(ConnectFailure::Reset),
             _ => Ok(self.cut || lost()),
         }
     }
@@ -52,7 +52,7 @@
     /// Whether a connection is reset in a stretch of so many seconds.
     pub(super) fn resets(&self, conn: u32, stretch: u64, seconds: f64) -> bool {
         let share = -libm::expm1(-self.resets_per_s * seconds);
-        share > 0.0 && unit(&mut spot(0, "link reset", u64::from(conn), stretch)) < share
+        share > 0.0 && unit(&mut keyed_rng(0, "link reset", u64::from(conn), stretch)) < share
     }
 }
 
--- a/crates/lab/src/load/live.rs
+++ b/crates/lab/src/load/live.rs
@@ -1,7 +1,7 @@
 //! What the load sees while it runs: for the line on a terminal, and for faults that wait for a condition.
 
 use crate::Micros;
-use lapisrudder_model::clients::{End, Story};
+use lapisrudder_model::clients::{End, RequestRecord};
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -103,7 +103,7 @@
         }
     }
 
-    pub(super) fn story(&mut self, story: &Story) {
+    pub(super) fn story(&mut self, story: &RequestRecord) {
         self.over += 1;
         self.total = (self.total.0 + story.earned, self.total.1 + story.worth);
         let Some(slice) = self.slice() else { return };
--- a/crates/lab/src/load/net.rs
+++ b/crates/lab/src/load/net.rs
@@ -9,7 +9,7 @@
 use crate::stand::Clock;
 use calloop::generic::Generic;
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction};
-use lapisrudder_model::clients::{NotOpen, Reader};
+use lapisrudder_model::clients::{ConnectFailure, Reader};
 use rustc_hash::FxHashMap;
 use socket2::{Domain, Protocol, SockAddr, Socket, Type};
 use std::cmp::Reverse;
@@ -25,7 +25,7 @@
     /// It is up.
     Up,
     /// It did not come up, and is no more.
-    NotUp(NotOpen),
+    NotUp(ConnectFailure),
     /// All bytes up to a mark have been written.
     Wrote(u64),
     /// There are more bytes to read.
@@ -105,7 +105,7 @@
         conn
     }
 
-    fn connect(&mut self, conn: u32, wire: &mut Wire) -> Result<(), NotOpen> {
+    fn connect(&mut self, conn: u32, wire: &mut Wire) -> Result<(), ConnectFailure> {
         let begun = || -> io::Result<TcpStream> {
             let socket = Socket::new(Domain::for_address(wire.to), Type::STREAM, Some(Protocol::TCP))?;
             socket.set_nonblocking(true)?;
@@ -123,9 +123,9 @@
             }
         };
         let not_open = |e: &io::Error| match e.kind() {
-            ErrorKind::ConnectionRefused => NotOpen::Refused,
-            ErrorKind::ConnectionReset => NotOpen::Reset,
-            _ => NotOpen::Other,
+            ErrorKind::ConnectionRefused => ConnectFailure::Refused,
+            ErrorKind::ConnectionReset => ConnectFailure::Reset,
+            _ => ConnectFailure::Other,
         };
         // A port drawn for the address may still be bound to the same end: another draw finds a free one.
         let stream = begun().or_else(|_| begun()).map_err(|e| not_open(&e))?;
@@ -135,7 +135,8 @@
             noted.ready.push((conn, ready.readable || ready.error, ready.writable || ready.error));
             Ok(PostAction::Continue)
         };
-        let token = self.events.handle().insert_source(source, callback).map_err(|_| NotOpen::Other)?;
+        let token =
+            self.events.handle().insert_source(source, callback).map_err(|_| ConnectFailure::Other)?;
         wire.socket = Some((stream, token));
         Ok(())
     }
--- a/crates/lab/src/load/nodes.rs
+++ b/crates/lab/src/load/nodes.rs
@@ -6,8 +6,8 @@
 use crate::Micros;
 use crate::ledger::{Answer, ClientEvent, Closer, ConnNo, NodeNo, ReqId};
 use lapisrudder_model::arrivals::{Class, RequestId};
-use lapisrudder_model::clients::{self, Ask, Event, Reader};
-use lapisrudder_model::mix::{spot, unit};
+use lapisrudder_model::clients::{self, Event, OutgoingRequest, Reader};
+use lapisrudder_model::mix::{keyed_rng, unit};
 use rustc_hash::FxHashMap;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -73,7 +73,7 @@
 impl ToNodes {
     pub(super) fn new(nodes: Vec<SocketAddr>, linger: Micros, net: (u8, u8)) -> Self {
         let mut noise = vec![0; NOISE];
-        rand::RngCore::fill_bytes(&mut spot(0, "values of writes", 0, 0), &mut noise);
+        rand::RngCore::fill_bytes(&mut keyed_rng(0, "values of writes", 0, 0), &mut noise);
         Self {
             nodes,
             linger,
@@ -110,7 +110,7 @@
 
     fn reader(&self, conn: u32, load: u8, usual: Reader) -> Reader {
         let hit = |s: &&SlowReaders| {
-            let drawn = unit(&mut spot(0, "slow reader", u64::from(s.fault), u64::from(conn)));
+            let drawn = unit(&mut keyed_rng(0, "slow reader", u64::from(s.fault), u64::from(conn)));
             s.load.is_none_or(|l| l == load) && drawn < s.share
         };
         self.slow.iter().find(hit).map_or(usual, |s| Reader::Slow(s.bytes_per_s))
@@ -144,7 +144,7 @@
             if !front.began {
                 front.began = true;
                 if let Some(name) = c.name {
-                    cx.events.push((name.player, Event::Began(name.conn)));
+                    cx.events.push((name.player, Event::ResponseStarted(name.conn)));
                 }
             }
             match reply::parse(input) {
@@ -203,7 +203,7 @@
     };
     let heard = match reply.answer {
         Answer::Value | Answer::Receipt if fits => clients::Reply::Served,
-        Answer::Value | Answer::Receipt => clients::Reply::Spoilt,
+        Answer::Value | Answer::Receipt => clients::Reply::Corrupt,
         Answer::Busy => {
             let most = Micros::MAX as u64 / 1000;
             clients::Reply::Busy(reply.retry_ms.map(|ms| ms.min(most) as Micros * 1000))
@@ -230,7 +230,7 @@
         self.names.insert(name, conn);
     }
 
-    fn ask(&mut self, cx: &mut Cx, name: Name, ask: &Ask, class: &Class) {
+    fn ask(&mut self, cx: &mut Cx, name: Name, ask: &OutgoingRequest, class: &Class) {
         let Some(&conn) = self.names.get(&name) else { return };
         let Some(c) = self.conns.get_mut(&conn) else { return };
         let (id, until) = (ask.id.0, cx.now + ask.wait);
--- a/crates/lab/src/load/plan.rs
+++ b/crates/lab/src/load/plan.rs
@@ -7,7 +7,7 @@
 use crate::{Micros, millis, seconds};
 use lapisrudder_model::arrivals::{self, Arrival, Arrivals, Digest, Population};
 use lapisrudder_model::clients::{
-    BadPlan, ClientsError, ClientsPlan, Deal, FrontPlan, Habits, Health, Keep, Reader, Retry,
+    BadPlan, ClientsError, ClientsPlan, FrontPlan, Habits, Health, NodeSelection, Reader, Retry, ReusePolicy,
 };
 use lapisrudder_model::keys::{Drift, Keys};
 use lapisrudder_model::mix::Spread;
@@ -123,13 +123,13 @@
         let front = FrontPlan {
             // Each node is a zone of its own, so that a population has its node and, where that is out, any other.
             zones: (0..e.world.nodes.count as u16).collect(),
-            deal: Deal::Zone,
+            selection: NodeSelection::Zone,
             health: Some(Health { every, notice }),
             linger: Spread::Even(200_000, 400_000),
         };
         // For requests, clients hold at most a third of a node's descriptors.
         let room = Some((e.world.nodes.sockets / 3).max(1));
-        let clients = ClientsPlan { load, habits: Vec::new(), front, room };
+        let clients = ClientsPlan { load, habits: Vec::new(), front, max_connections_per_node: room };
         Self { clients, of: Vec::new(), bad: Vec::new(), given: None, seed, classes: e.classes.len() }
     }
 
@@ -148,7 +148,7 @@
                 name: load.name.clone(),
                 zone: node as u16,
                 sources: 1,
-                behind: 1,
+                sources_per_address: 1,
                 skew: 0.0,
                 rate: rate.scaled(part).profile(),
                 on_off: None,
@@ -201,7 +201,7 @@
     let size = Spread::LogNormal {
         median: f64::from(origin.value_bytes),
         sigma: origin.value_sigma,
-        most: LONGEST_VALUE,
+        max: LONGEST_VALUE,
     };
     arrivals::Class {
         name: c.name.clone(),
@@ -213,7 +213,7 @@
         },
         size: if c.write { size } else { Spread::default() },
         give_up: millis(c.deadline_ms),
-        aim: millis(c.aim_ms),
+        latency_target: millis(c.aim_ms),
         worth: c.worth,
         late_worth: c.late_worth,
         // A class without a window repeats nothing, and any other has one above 0.
@@ -255,23 +255,23 @@
 fn habits(load: &Load) -> Habits {
     let (c, r) = (&load.connections, &load.retries);
     Habits {
-        keep: match c.habit {
-            Habit::Keep => Keep::Reuse,
-            Habit::Close => Keep::One,
-            Habit::AskOnce => Keep::Forever,
+        reuse: match c.habit {
+            Habit::Keep => ReusePolicy::Reuse,
+            Habit::Close => ReusePolicy::OnePerRequest,
+            Habit::AskOnce => ReusePolicy::NeverReuse,
         },
-        most: c.most,
+        max_connections: c.most,
         pipeline: c.pipeline,
-        idle: Some(seconds(c.idle_s)),
-        connect_limit: CONNECT_LIMIT,
-        patience: r.try_share,
-        leaves: r.impatient,
+        idle_timeout: Some(seconds(c.idle_s)),
+        connect_timeout: CONNECT_LIMIT,
+        try_timeout_share: r.try_share,
+        abandon_share: r.impatient,
         retry: Retry {
             tries: u8::try_from(r.most + 1).unwrap_or(u8::MAX),
             wait: Spread::Even(millis(r.backoff_ms.0), millis(r.backoff_ms.1)),
             growth: 2.0,
-            most: LONGEST_BACKOFF,
-            heeds: r.honour,
+            max_wait: LONGEST_BACKOFF,
+            honours_busy_share: r.honour,
             ..Retry::default()
         },
         marks_retry: r.mark,
--- a/crates/lab/src/load/policy.rs
+++ b/crates/lab/src/load/policy.rs
@@ -14,8 +14,8 @@
 use crate::rivals::{Catalog, Chooser};
 use lapisrudder_codec::{http, memcache};
 use lapisrudder_model::arrivals::{Class, RequestId};
-use lapisrudder_model::clients::{self, Ask, Event, Reader};
-use lapisrudder_model::mix::spot;
+use lapisrudder_model::clients::{self, Event, OutgoingRequest, Reader};
+use lapisrudder_model::mix::keyed_rng;
 use rand::RngCore;
 use rustc_hash::FxHashMap;
 use std::cmp::Reverse;
@@ -94,7 +94,7 @@
             again: Micros::MIN,
         };
         let mut noise = vec![0; NOISE];
-        spot(0, "values of writes", 0, 0).fill_bytes(&mut noise);
+        keyed_rng(0, "values of writes", 0, 0).fill_bytes(&mut noise);
         Self {
             libraries: spec.discovery.iter().map(library).collect(),
             lines: FxHashMap::default(),
@@ -206,7 +206,7 @@
         cx.note(ClientEvent::Answered { req: ReqId(flow.id), conn, answer, retry_ms: 0, digest, fits });
         let heard = match answer {
             Answer::Value | Answer::Receipt if fits => clients::Reply::Served,
-            Answer::Value | Answer::Receipt => clients::Reply::Spoilt,
+            Answer::Value | Answer::Receipt => clients::Reply::Corrupt,
             Answer::Busy => clients::Reply::Busy(None),
             Answer::Miss | Answer::Failed => clients::Reply::Failed,
         };
@@ -349,7 +349,7 @@
         cx.events.push((name.player, Event::Opened(name.conn)));
     }
 
-    fn ask(&mut self, cx: &mut Cx, name: Name, ask: &Ask, class: &Class) {
+    fn ask(&mut self, cx: &mut Cx, name: Name, ask: &OutgoingRequest, class: &Class) {
         let Some(&mut (library, ref mut place)) = self.names.get_mut(&name) else { return };
         let number = self.made;
         self.made += 1;
@@ -363,7 +363,7 @@
             command.extend_from_slice(b"\r\n");
         }
         let key = ask.arrival.key.0;
-        let draw = spot(ask.id.0, "random server", key, 0).next_u64();
+        let draw = keyed_rng(ask.id.0, "random server", key, 0).next_u64();
         let chosen =
             self.libraries.get(library).and_then(|l| l.chooser.choose(key, draw)).map(|s| s.uid.clone());
         self.flows.insert(
--- a/crates/lab/src/load/reply.rs
+++ b/crates/lab/src/load/reply.rs
@@ -74,7 +74,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use lapisrudder_model::value::{Made, Maker, Uid, make};
+    use lapisrudder_model::value::{Maker, Uid, ValueSpec, make};
 
     #[test]
     fn answers_are_taken_whole_at_any_cut() {
@@ -115,7 +115,7 @@
 
     #[test]
     fn only_what_was_made_for_the_request_fits() {
-        let made = Made {
+        let made = ValueSpec {
             key: Key(5),
             version: 1,
             maker: Maker::Cache(Uid(3)),
--- a/crates/lab/src/load/wire.rs
+++ b/crates/lab/src/load/wire.rs
@@ -3,7 +3,7 @@
 use crate::Micros;
 use crate::ledger::Closer;
 use calloop::RegistrationToken;
-use lapisrudder_model::clients::{NotOpen, Pace, Reader};
+use lapisrudder_model::clients::{ConnectFailure, Pace, Reader};
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{IpAddr, SocketAddr, TcpStream};
@@ -104,7 +104,7 @@
     }
 
     /// Whether a begun connect has come up.
-    pub(super) fn came_up(&mut self) -> Result<bool, NotOpen> {
+    pub(super) fn came_up(&mut self) -> Result<bool, ConnectFailure> {
         let Some((stream, _)) = &self.socket else { return Ok(false) };
         if !self.may_write {
             return Ok(false);
@@ -114,9 +114,9 @@
                 self.up = stream.peer_addr().is_ok();
                 Ok(self.up)
             }
-            Ok(Some(e)) if e.kind() == ErrorKind::ConnectionRefused => Err(NotOpen::Refused),
-            Ok(Some(e)) if e.kind() == ErrorKind::ConnectionReset => Err(NotOpen::Reset),
-            _ => Err(NotOpen::Other),
+            Ok(Some(e)) if e.kind() == ErrorKind::ConnectionRefused => Err(ConnectFailure::Refused),
+            Ok(Some(e)) if e.kind() == ErrorKind::ConnectionReset => Err(ConnectFailure::Reset),
+            _ => Err(ConnectFailure::Other),
         }
     }
 
--- a/crates/lab/src/rivals/choose.rs
+++ b/crates/lab/src/rivals/choose.rs
@@ -100,7 +100,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use lapisrudder_model::mix::spot;
+    use lapisrudder_model::mix::keyed_rng;
     use rand::RngCore;
     use std::collections::BTreeMap;
 
@@ -114,7 +114,7 @@
     fn spread(chooser: &Chooser, keys: u64) -> BTreeMap<String, u64> {
         let mut counts = BTreeMap::new();
         for key in 0..keys {
-            let draw = spot(1, "draw", key, 0).next_u64();
+            let draw = keyed_rng(1, "draw", key, 0).next_u64();
             *counts.entry(chooser.choose(key, draw).map_or(String::new(), |s| s.uid.clone())).or_default() +=
                 1;
         }
--- a/crates/lab/src/run/fill.rs
+++ b/crates/lab/src/run/fill.rs
@@ -128,9 +128,9 @@
     let (plan, arrivals) = finding(e, !seed)?;
     let mut plan = Plan { given: Some(arrivals), bad: Vec::new(), ..plan };
     for habits in &mut plan.clients.habits {
-        habits.leaves = 0.0;
-        habits.patience = (1.0, 1.0);
-        habits.keep = lapisrudder_model::clients::Keep::Reuse;
+        habits.abandon_share = 0.0;
+        habits.try_timeout_share = (1.0, 1.0);
+        habits.reuse = lapisrudder_model::clients::ReusePolicy::Reuse;
         habits.pipeline = 1;
         habits.reader = lapisrudder_model::clients::Reader::Full;
     }
--- a/crates/lab/src/sim/hands.rs
+++ b/crates/lab/src/sim/hands.rs
@@ -14,7 +14,7 @@
 use lapisrudder_model::clients::NodeId;
 use lapisrudder_model::discovery::{Event as Told, Outage, View};
 use lapisrudder_model::draw::stream;
-use lapisrudder_model::mix::{SplitMix, Spread, exponential, spot, unit};
+use lapisrudder_model::mix::{SplitMix, Spread, exponential, keyed_rng, unit};
 use lapisrudder_model::network::{Conn, Fault as Link, FaultId, Heal, Host, Side as End, Which};
 use lapisrudder_model::server::{Event as Happening, Fault, Noise, NoiseSet, State};
 use lapisrudder_model::value::Uid;
@@ -84,7 +84,7 @@
             resets_on: false,
             renamed: 0,
             starts: BTreeMap::new(),
-            draws: spot(day.seed, "hands", 0, 0),
+            draws: keyed_rng(day.seed, "hands", 0, 0),
             changes_per_s: e.world.origin.changes_per_s,
             keys: (e.loads.iter().enumerate())
                 .map(|(n, l)| lapisrudder_model::keys::KeyDraw::new(crate::load::keys_of(l), n as u16))
@@ -645,5 +645,5 @@
     }
     let variance = libm::log1p(cv * cv);
     let median = ms * 1e3 / libm::exp(variance / 2.0);
-    Spread::LogNormal { median, sigma: libm::sqrt(variance), most: Micros::MAX / 2 }
+    Spread::LogNormal { median, sigma: libm::sqrt(variance), max: Micros::MAX / 2 }
 }
--- a/crates/lab/src/sim/people.rs
+++ b/crates/lab/src/sim/people.rs
@@ -10,9 +10,10 @@
 use bytes::Bytes;
 use lapisrudder_model::arrivals::RequestId;
 use lapisrudder_model::clients::{
-    self, Ask, Clients, ClientsError, ConnId, End, Event, NodeId, NotOpen, Order, Pace, Reader, Story, Tally,
+    self, Clients, ClientsError, ConnId, ConnectFailure, End, Event, NodeId, Order, OutgoingRequest, Pace,
+    Reader, RequestRecord, Tally,
 };
-use lapisrudder_model::mix::{spot, unit};
+use lapisrudder_model::mix::{keyed_rng, unit};
 use lapisrudder_model::network::{Conn, Host, Side};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, VecDeque};
@@ -85,7 +86,7 @@
         linger: Micros,
     ) -> Result<Self, ClientsError> {
         let mut noise = vec![0; NOISE];
-        rand::RngCore::fill_bytes(&mut spot(0, "values of writes", 0, 0), &mut noise);
+        rand::RngCore::fill_bytes(&mut keyed_rng(0, "values of writes", 0, 0), &mut noise);
         let probe = || Probe { conn: None, up: false, asked: None, input: Vec::new() };
         let length = plan.given.iter().flatten().last().map_or(0, |arrival| arrival.at);
         let clients = match plan.given {
@@ -151,10 +152,10 @@
 
     /// A connect was refused, or reset before it was up.
     pub(super) fn refused(&mut self, conn: Conn, cx: &mut Cx) {
-        self.not_up(conn, NotOpen::Refused, cx);
+        self.not_up(conn, ConnectFailure::Refused, cx);
     }
 
-    fn not_up(&mut self, conn: Conn, why: NotOpen, cx: &mut Cx) {
+    fn not_up(&mut self, conn: Conn, why: ConnectFailure, cx: &mut Cx) {
         if let Some(wire) = self.wires.remove(&conn) {
             cx.addresses.remove(&conn);
             cx.client(ClientEvent::ConnectFailed { node: NodeNo(wire.node) });
@@ -170,7 +171,7 @@
     pub(super) fn deliver(&mut self, conn: Conn, what: Result<Bytes, Ending>, cx: &mut Cx) {
         if let Some(wire) = self.wires.get_mut(&conn) {
             match what {
-                Err(Ending::Reset) if !wire.up => return self.not_up(conn, NotOpen::Reset, cx),
+                Err(Ending::Reset) if !wire.up => return self.not_up(conn, ConnectFailure::Reset, cx),
                 Ok(bytes) => wire.sock.deliver(cx, bytes),
                 Err(how) => wire.sock.ended(how),
             }
@@ -268,7 +269,7 @@
             if !front.began {
                 front.began = true;
                 if let Some(name) = wire.name {
-                    self.events.push_back(Event::Began(name));
+                    self.events.push_back(Event::ResponseStarted(name));
                 }
             }
             match reply::parse(&wire.input) {
@@ -282,7 +283,7 @@
                     let (event, heard) = hear(&reply, &front, req, no(conn).0);
                     let id = reply.id;
                     wire.input.drain(..used);
-                    if heard == clients::Reply::Spoilt {
+                    if heard == clients::Reply::Corrupt {
                         self.spoilt += 1;
                     }
                     cx.digest.add(front.id ^ cx.now as u64);
@@ -351,11 +352,11 @@
                 Order::Open { conn, node, from, reader } => {
                     self.open(conn, node, usize::from(from.population), reader, cx);
                 }
-                Order::Ask(conn, ask) => self.ask(conn, &ask, cx),
+                Order::Send(conn, ask) => self.ask(conn, &ask, cx),
                 Order::Close(conn) => self.close(conn, cx),
                 Order::Probe(node) => self.ask_probe(node, cx),
-                Order::Over(story) => self.over(&story, cx),
-                Order::Late(..) | Order::Unasked(..) => {}
+                Order::Finished(story) => self.over(&story, cx),
+                Order::Late(..) | Order::Unsolicited(..) => {}
             }
         }
     }
@@ -372,7 +373,7 @@
         let second = (*turn / 250 % (of.sources / 250 + 1)) as u8;
         cx.addresses.insert(conn, IpAddr::V4(Ipv4Addr::new(127, 1 + second, of.load.0, last)));
         let slow = |s: &&Slow| {
-            let drawn = unit(&mut spot(0, "slow reader", u64::from(s.0), conn.0));
+            let drawn = unit(&mut keyed_rng(0, "slow reader", u64::from(s.0), conn.0));
             s.1.is_none_or(|l| l == of.load.0) && drawn < s.2
         };
         let reader = self.slow.iter().find(slow).map_or(reader, |s| Reader::Slow(s.3));
@@ -394,7 +395,7 @@
         self.names.insert(name, conn);
     }
 
-    fn ask(&mut self, name: ConnId, ask: &Ask, cx: &mut Cx) {
+    fn ask(&mut self, name: ConnId, ask: &OutgoingRequest, cx: &mut Cx) {
         let Some(&conn) = self.names.get(&name) else { return };
         let Some(class) = self.clients.classes().get(usize::from(ask.arrival.class)) else { return };
         let Some(wire) = self.wires.get_mut(&conn) else { return };
@@ -442,7 +443,7 @@
         }
     }
 
-    fn over(&mut self, story: &Story, cx: &mut Cx) {
+    fn over(&mut self, story: &RequestRecord, cx: &mut Cx) {
         let arrival = &story.arrival;
         let Some(of) = self.of.get(usize::from(arrival.population)).copied() else { return };
         let second = ((story.due - ZERO) / 1_000_000).max(0) as usize;
@@ -451,7 +452,7 @@
         }
         let sums = &mut self.seconds[second];
         *sums = (sums.0 + story.worth, sums.1 + story.earned);
-        cx.digest.add(arrival.number ^ (story.over as u64).rotate_left(20));
+        cx.digest.add(arrival.number ^ (story.ended_at as u64).rotate_left(20));
         if !cx.records || cx.finding {
             return;
         }
@@ -467,8 +468,8 @@
                 first_due: story.due - ZERO,
                 key: arrival.key.0,
                 idem: arrival.once,
-                patience_us: this.written.map_or(0, |at| micros(this.until - at)),
-                late_us: micros(this.taken - this.due),
+                patience_us: this.written.map_or(0, |at| micros(this.deadline - at)),
+                late_us: micros(this.started - this.due),
                 class: ClassNo((usize::from(arrival.class) % self.classes.max(1)) as u8),
                 load: LoadNo(of.load.0),
                 node: NodeNo(this.node.map_or(of.node, |node| node.0 as u16)),
@@ -477,8 +478,8 @@
             if let (Some(at), Some(conn)) = (this.resent, self.crossed.remove(&id.0)) {
                 cx.ledger.clients.push(at - ZERO, ClientEvent::Crossed { req: id, conn: ConnNo(conn) });
             }
-            if let (Some(at), Some(end @ (End::TimedOut | End::Left))) = (this.over, this.end) {
-                let event = ClientEvent::GivenUp { req: id, early: end == End::Left };
+            if let (Some(at), Some(end @ (End::TimedOut | End::Abandoned))) = (this.ended_at, this.end) {
+                let event = ClientEvent::GivenUp { req: id, early: end == End::Abandoned };
                 cx.ledger.clients.push(at - ZERO, event);
             }
         }
--- a/crates/lab/src/sim/random.rs
+++ b/crates/lab/src/sim/random.rs
@@ -8,7 +8,7 @@
     OutageHow, Pick, Rate, Retries, Rules, ServerConnections, ServerKind, Side, Spoil, Spread, WarmBy, What,
     When, Who, World, Zones,
 };
-use lapisrudder_model::mix::{SplitMix, below, spot, unit};
+use lapisrudder_model::mix::{SplitMix, below, keyed_rng, unit};
 use std::collections::BTreeMap;
 
 /// Troubles begin after this (seconds), and are over by the end of the load less [`CALM`].
@@ -39,7 +39,7 @@
 
 /// The random day of a seed.
 pub fn random_day(seed: u64) -> Day {
-    let mut d = Draw(spot(seed, "random day", 0, 0));
+    let mut d = Draw(keyed_rng(seed, "random day", 0, 0));
     let d = &mut d;
     let trouble = d.real(4.0, 8.0);
     let duration_s = (FROM + trouble + CALM).round();
--- a/crates/lab/src/sim/world.rs
+++ b/crates/lab/src/sim/world.rs
@@ -21,7 +21,7 @@
 use lapisrudder_config::{Environment, Platform};
 use lapisrudder_model::clients::{NodeId, Tally};
 use lapisrudder_model::discovery::{Address as Site, Discovery, DiscoveryPlan, Event as Told};
-use lapisrudder_model::mix::{mix, spot};
+use lapisrudder_model::mix::{keyed_rng, mix};
 use lapisrudder_model::network::{
     Delivery, Fault, FaultId, Host, LinksPlan, Network, NetworkPlan, Side, Split, Which,
 };
@@ -251,7 +251,7 @@
                 capacity: f64::from(machine.cores) * machine.speed * 1e6,
             };
             let no = add(&mut cx, info);
-            let noise = spot(seed, "spoilt answers", u64::from(no.0), 0);
+            let noise = keyed_rng(seed, "spoilt answers", u64::from(no.0), 0);
             let host = Host(2 + place as u32);
             let machine = Machine::Cache(Box::new(cache));
             let parts = (no, host, server.zone);
@@ -283,7 +283,7 @@
                 capacity: f64::from(machine.cores) * machine.speed * 1e6,
             };
             let no = add(&mut cx, info);
-            let noise = spot(seed, "spoilt answers", u64::from(no.0), 0);
+            let noise = keyed_rng(seed, "spoilt answers", u64::from(no.0), 0);
             let host = Host(2 + spec.servers.len() as u32);
             let model = Machine::Origin(Box::new(model));
             let parts = (no, host, origin.zone);
--- a/crates/lab/src/stand/asked.rs
+++ b/crates/lab/src/stand/asked.rs
@@ -211,7 +211,7 @@
 mod tests {
     use super::*;
     use lapisrudder_model::server::ConnId;
-    use lapisrudder_model::value::{Made, Maker, Uid};
+    use lapisrudder_model::value::{Maker, Uid, ValueSpec};
 
     #[test]
     fn both_protocols_ask_the_same() {
@@ -260,7 +260,8 @@
         else {
             panic!()
         };
-        let value = Made { key: asked.key, version: 0, maker: Maker::Cache(Uid(1)), request: None, size: 60 };
+        let value =
+            ValueSpec { key: asked.key, version: 0, maker: Maker::Cache(Uid(1)), request: None, size: 60 };
         let answered = |answer, note| Answered {
             conn: ConnId(1),
             request: asked.request(),
--- a/crates/lab/src/stand/conn.rs
+++ b/crates/lab/src/stand/conn.rs
@@ -8,7 +8,7 @@
 use crate::ledger::{Answer, Listed, ReqId, ServerNo};
 use lapisrudder_codec::spoil;
 use lapisrudder_model::discovery::CallId;
-use lapisrudder_model::mix::{SplitMix, spot};
+use lapisrudder_model::mix::{SplitMix, keyed_rng};
 use lapisrudder_model::server::CloseKind;
 use rand::RngCore;
 use std::collections::VecDeque;
@@ -119,7 +119,7 @@
             ended: false,
             read_from: Micros::MIN,
             write_from: Micros::MIN,
-            noise: spot(seed, "noise", u64::from(number), 0),
+            noise: keyed_rng(seed, "noise", u64::from(number), 0),
             armed: Armed::default(),
         }
     }
--- a/crates/lab/src/stand/run.rs
+++ b/crates/lab/src/stand/run.rs
@@ -14,7 +14,7 @@
 use crate::Micros;
 use crate::ledger::{Closer, DiscoveryEvent, LabEvent, NodeNo, ServerEvent, ServerInfo, ServerNo};
 use calloop::{EventLoop, LoopHandle};
-use lapisrudder_model::mix::{below, spot};
+use lapisrudder_model::mix::{below, keyed_rng};
 use lapisrudder_model::network::{Fate, Links};
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
@@ -332,7 +332,7 @@
 
     /// Draws of its own for a purpose.
     pub(super) fn draws_for(&self, purpose: &str, a: u64) -> lapisrudder_model::mix::SplitMix {
-        spot(self.seed, purpose, a, 0)
+        keyed_rng(self.seed, purpose, a, 0)
     }
 
     /// When a party is to be served next.
--- a/crates/lab/tests/load/toy.rs
+++ b/crates/lab/tests/load/toy.rs
@@ -1,7 +1,7 @@
 //! A scripted node: what it does with each request is a function of the test's.
 
 use lapisrudder_codec::memcache::{Command, parse_command};
-use lapisrudder_model::value::{Key, Made, Maker, Receipt, RequestId, Uid, make};
+use lapisrudder_model::value::{Key, Maker, Receipt, RequestId, Uid, ValueSpec, make};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -25,7 +25,7 @@
         if self.write {
             return format!("HD O{:016x} c{}\r\n", self.id, Receipt { key, version: 1, maker }).into_bytes();
         }
-        let value = make(&Made { key, version: 1, maker, request: Some(RequestId(self.id)), size: 300 });
+        let value = make(&ValueSpec { key, version: 1, maker, request: Some(RequestId(self.id)), size: 300 });
         [format!("VA {} O{:016x}\r\n", value.len(), self.id).as_bytes(), &value, b"\r\n"].concat()
     }
 }
--- a/crates/lab/tests/stand/harness.rs
+++ b/crates/lab/tests/stand/harness.rs
@@ -4,7 +4,7 @@
 use lapisrudder_lab::ledger::{DiscoveryEvent, ReqId, ServerEvent, ServerNo};
 use lapisrudder_lab::stand::{Books, Clock, Finished, Spec, World};
 use lapisrudder_model::server::{Class, Dist, Machine};
-use lapisrudder_model::value::{Key, Made, check};
+use lapisrudder_model::value::{Key, ValueSpec, check};
 use socket2::{Domain, SockAddr, Socket, Type};
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -98,7 +98,7 @@
     }
 
     /// The value of an answer, if every byte of it is as some server made it.
-    pub fn value(&mut self, key_no: u64) -> Made {
+    pub fn value(&mut self, key_no: u64) -> ValueSpec {
         let answer = self.bytes();
         let at = answer.iter().position(|b| *b == b'\n').unwrap() + 1;
         check(&answer[at..answer.len() - 2], Key(key_no)).unwrap()
--- a/crates/model/examples/world_speed.rs
+++ b/crates/model/examples/world_speed.rs
@@ -7,7 +7,7 @@
 
 use lapisrudder_model::arrivals::{Arrivals, Class, Load, OnOff, Population};
 use lapisrudder_model::clients::{
-    Clients, ClientsPlan, Deal, Event, FrontPlan, Habits, NodeId, Order, Reply, Tally,
+    Clients, ClientsPlan, Event, FrontPlan, Habits, NodeId, NodeSelection, Order, Reply, Tally,
 };
 use lapisrudder_model::keys::Keys;
 use lapisrudder_model::mix::Spread;
@@ -15,8 +15,13 @@
 use lapisrudder_model::profile::Profile;
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let read =
-        Class { name: "read".into(), give_up: 2_500_000, aim: 750_000, worth: 5.0, ..Class::default() };
+    let read = Class {
+        name: "read".into(),
+        give_up: 2_500_000,
+        latency_target: 750_000,
+        worth: 5.0,
+        ..Class::default()
+    };
     let keys = Keys { population: 1_000_000, exponent: 0.9, ..Keys::default() };
     let even =
         Population { keys, sources: 10_000, rate: Profile::constant(50_000.0), ..Population::default() };
@@ -41,8 +46,13 @@
 }
 
 fn play(load: Load) -> Result<Tally, Box<dyn Error>> {
-    let front = FrontPlan { zones: vec![0; 3], deal: Deal::Any, health: None, linger: Spread::Fixed(0) };
-    let plan = ClientsPlan { load, habits: vec![Habits::default()], front, room: None };
+    let front = FrontPlan {
+        zones: vec![0; 3],
+        selection: NodeSelection::Any,
+        health: None,
+        linger: Spread::Fixed(0),
+    };
+    let plan = ClientsPlan { load, habits: vec![Habits::default()], front, max_connections_per_node: None };
     let mut clients = Clients::new(plan, 1)?;
     (0..3).for_each(|node| clients.handle(0, Event::Probed(NodeId(node), true)));
     clients.begin(0);
@@ -53,7 +63,7 @@
         while let Some(order) = clients.poll(now) {
             match order {
                 Order::Open { conn, .. } => events.push_back((now + 1000, Event::Opened(conn))),
-                Order::Ask(conn, ask) => {
+                Order::Send(conn, ask) => {
                     events.push_back((now + 1000, Event::Answered(conn, Some(ask.id), Reply::Served)));
                 }
                 _ => {}
--- a/crates/model/src/arrivals/mod.rs
+++ b/crates/model/src/arrivals/mod.rs
@@ -1,4 +1,5 @@
-//! The plan of load: what comes when, drawn ahead and independent of anything that happens (open loop).
+//! The plan of a load: which requests arrive when. Arrivals are drawn independently of how earlier requests fare
+//! (open loop).
 //!
 //! ```
 //! use lapisrudder_model::arrivals::{Class, Load, Plan, Population};
@@ -6,7 +7,7 @@
 //!
 //! let load = Load {
 //!     span: 10_000_000,
-//!     classes: vec![Class { name: "read".into(), give_up: 2_500_000, aim: 750_000, worth: 5.0, ..Class::default() }],
+//!     classes: vec![Class { name: "read".into(), give_up: 2_500_000, latency_target: 750_000, worth: 5.0, ..Class::default() }],
 //!     populations: vec![Population { rate: Profile::constant(300.0), ..Population::default() }],
 //! };
 //! let plan = Plan::draw(&load, 7)?;
@@ -29,46 +30,46 @@
 use crate::Micros;
 use crate::draw::stream;
 use crate::keys::{Key, KeyDraw};
-use crate::mix::{mix, spot, unit};
+use crate::mix::{keyed_rng, mix, unit};
 
-/// The id of one try, new for each. On the wire 16 hexadecimal digits.
+/// The id of one try of a request, different for each try. On the wire it is 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
 impl RequestId {
-    /// The id of a request's try (0 is the first, 255 the last): one to one under a seed, so that no id is used
-    /// twice for fewer than 2^56 requests.
+    /// The id of a request's try; tries are numbered from 0 to 255. For one seed the mapping is a bijection, so ids
+    /// are unique for up to 2^56 requests.
     pub fn of(seed: u64, number: u64, attempt: u8) -> Self {
         Self(mix((number << 8 | u64::from(attempt)) ^ mix(seed ^ 0x7265_7175_6573_7400)))
     }
 }
 
-/// One request as planned.
+/// A planned request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Its place in the plan, from 0.
+    /// Index in the plan, from 0.
     pub number: u64,
-    /// When its first try is due, from the start of the plan.
+    /// When the first try is due, from the start of the plan.
     pub at: Micros,
-    /// Which population it comes from.
+    /// Index of the population in [`Load::populations`].
     pub population: u16,
-    /// Which client of the population.
+    /// Index of the client in the population.
     pub source: u32,
-    /// Its class, by place in the load.
+    /// Index of the class in [`Load::classes`].
     pub class: u16,
-    /// What it asks for.
+    /// The key that is read or written.
     pub key: Key,
-    /// Bytes of the value that it writes; 0 for a read.
+    /// Size in bytes of the value to write; 0 for a read.
     pub size: u32,
-    /// Idempotency key of a guarded request, else 0.
+    /// Idempotency key of a [`Effect::Guarded`] request; 0 for any other.
     pub once: u64,
 }
 
 impl Arrival {
-    /// Bytes of an encoded arrival.
+    /// Size of an encoded arrival in bytes.
     pub const BYTES: usize = 44;
 
-    /// Little-endian, in the order of the fields, without padding: what a digest is taken over.
+    /// Appends the fields in order, little-endian and without padding. [`Plan::digest`] hashes this encoding.
     pub fn encode(&self, to: &mut Vec<u8>) {
         to.extend_from_slice(&self.number.to_le_bytes());
         to.extend_from_slice(&self.at.to_le_bytes());
@@ -81,7 +82,8 @@
     }
 }
 
-/// FNV-1a over 64 bits (Fowler, Noll, Vo): tells by accident different plans apart, not forged ones.
+/// A 64-bit FNV-1a hash (Fowler, Noll, Vo). It detects accidental differences between plans; it is not a
+/// cryptographic hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Digest(pub u64);
 
@@ -92,7 +94,7 @@
 }
 
 impl Digest {
-    /// Takes in more bytes.
+    /// Adds bytes to the hash.
     pub fn update(&mut self, bytes: &[u8]) {
         for &byte in bytes {
             self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
@@ -106,23 +108,23 @@
     }
 }
 
-/// A whole plan in memory.
+/// A complete plan in memory.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// In order of time; numbers run from 0.
+    /// The planned requests in order of time, numbered from 0.
     pub arrivals: Vec<Arrival>,
 }
 
 impl Plan {
-    /// All arrivals of a load under a seed.
+    /// Draws all arrivals of a load for a seed.
     ///
     /// # Errors
-    /// A field of the load that cannot be used.
+    /// The first invalid field of the load.
     pub fn draw(load: &Load, seed: u64) -> Result<Self, LoadError> {
         Ok(Self { arrivals: Arrivals::new(load, seed)?.collect() })
     }
 
-    /// The digest of the encoded arrivals.
+    /// The hash of the encoded arrivals.
     pub fn digest(&self) -> Digest {
         let mut digest = Digest::default();
         let mut bytes = Vec::with_capacity(Arrival::BYTES);
@@ -135,22 +137,22 @@
     }
 }
 
-/// The arrivals of a load in order of time, drawn one by one: for days too long to hold.
+/// An iterator that draws the arrivals of a load one by one in order of time, for plans too long to hold in memory.
 #[derive(Clone, Debug)]
 pub struct Arrivals {
     load: Load,
     seed: u64,
     streams: Vec<Stream>,
-    /// The next time of each population that has one.
+    /// The next arrival (time, population, client) of each population that has one.
     due: BinaryHeap<Reverse<(Micros, u16, u32)>>,
     number: u64,
 }
 
 impl Arrivals {
-    /// Ready to draw the first.
+    /// Starts an iterator at the first arrival.
     ///
     /// # Errors
-    /// A field of the load that cannot be used.
+    /// The first invalid field of the load.
     pub fn new(load: &Load, seed: u64) -> Result<Self, LoadError> {
         load.check()?;
         let mut all = Self {
@@ -162,12 +164,12 @@
         };
         for (i, population) in load.populations.iter().enumerate() {
             all.streams.push(Stream::new(population, seed, i as u16));
-            all.queue(i as u16);
+            all.queue_next(i as u16);
         }
         Ok(all)
     }
 
-    fn queue(&mut self, population: u16) {
+    fn queue_next(&mut self, population: u16) {
         let i = usize::from(population);
         if let (Some(stream), Some(from)) = (self.streams.get_mut(i), self.load.populations.get(i))
             && let Some((at, source)) = stream.times.next(from, self.load.span)
@@ -182,19 +184,19 @@
 
     fn next(&mut self) -> Option<Arrival> {
         let Reverse((at, population, source)) = self.due.pop()?;
-        self.queue(population);
+        self.queue_next(population);
         let stream = self.streams.get_mut(usize::from(population))?;
         let number = self.number;
         self.number += 1;
         let class = stream.class();
-        let kind = self.load.classes.get(usize::from(class))?;
-        let size = if kind.write {
-            kind.size.draw(&mut stream.sizes).clamp(0, i64::from(u32::MAX)) as u32
+        let class_spec = self.load.classes.get(usize::from(class))?;
+        let size = if class_spec.write {
+            class_spec.size.draw(&mut stream.sizes).clamp(0, i64::from(u32::MAX)) as u32
         } else {
             0
         };
-        let once = match kind.effect {
-            Effect::Guarded => rand::RngCore::next_u64(&mut spot(self.seed, "once", number, 0)).max(1),
+        let once = match class_spec.effect {
+            Effect::Guarded => rand::RngCore::next_u64(&mut keyed_rng(self.seed, "once", number, 0)).max(1),
             _ => 0,
         };
         let key = stream.keys.draw(at, &mut stream.key_draws);
@@ -202,11 +204,12 @@
     }
 }
 
-/// One population's draws; each purpose has a stream of its own.
+/// The random draws of one population. Each purpose has its own random stream, so that a draw more or less for one
+/// purpose does not change the others.
 #[derive(Clone, Debug)]
 struct Stream {
     times: Times,
-    /// Classes with the share of all before and with each.
+    /// Classes with their cumulative weights.
     mix: Vec<(u16, f64)>,
     classes: ChaCha8Rng,
     keys: KeyDraw,
@@ -235,7 +238,7 @@
 
     fn class(&mut self) -> u16 {
         let u = unit(&mut self.classes) * self.mix.last().map_or(0.0, |last| last.1);
-        let found = self.mix.iter().find(|(_, upto)| u < *upto).or(self.mix.last());
+        let found = self.mix.iter().find(|(_, cumulative)| u < *cumulative).or(self.mix.last());
         found.map_or(0, |found| found.0)
     }
 }
--- a/crates/model/src/clients/bad.rs
+++ b/crates/model/src/clients/bad.rs
@@ -1,4 +1,4 @@
-//! Bad clients: what they do, and what each of their connections was owed and got.
+//! Misbehaving clients: what they send, and whether the node rejected each of their connections in time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -9,93 +9,93 @@
 use super::{ConnId, NodeId};
 use crate::Micros;
 use crate::arrivals::{Arrivals, Class, Load, LoadError, Population, RequestId};
-use crate::mix::{below, spot};
+use crate::mix::{below, keyed_rng};
 use crate::profile::Profile;
 
-/// Bad clients of one kind.
+/// A population of misbehaving clients of one kind.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BadPlan {
-    /// What they do.
+    /// How they misbehave.
     pub kind: BadKind,
-    /// The zone they come from.
+    /// The zone that they connect from.
     pub zone: u16,
-    /// How many come a second.
+    /// Clients that start per second.
     pub rate: Profile,
-    /// An [`BadKind::Again`] client comes again so often.
+    /// How many times a client of [`BadKind::Again`] reconnects.
     pub again: u32,
 }
 
-/// What is wrong with a plan.
+/// Why a plan is invalid.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum BadError {
-    /// There is no node to go to.
+    /// There is no node to connect to.
     #[error("there are no nodes")]
     NoNodes,
-    /// Their times cannot be drawn.
+    /// The rate is invalid, so that arrivals cannot be drawn.
     #[error(transparent)]
     Load(#[from] LoadError),
 }
 
-/// What happened on a bad client's connection.
+/// An event on a misbehaving client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BadEvent {
-    /// It is up.
+    /// The connection is established.
     Opened(ConnId),
-    /// It did not come up, and is no more.
+    /// The connection was not established; its id is no longer in use.
     OpenFailed(ConnId),
-    /// All of the bytes have been written.
+    /// All bytes have been written.
     Written(ConnId),
-    /// A line that begins with `CLIENT_ERROR`, `SERVER_ERROR` or `ERROR` has come.
+    /// A line that begins with `CLIENT_ERROR`, `SERVER_ERROR` or `ERROR` has arrived.
     Error(ConnId),
-    /// An answer has come as though a request had run.
+    /// A response has arrived that says that a request was executed.
     Served(ConnId),
-    /// The node closed it, or it was reset. It is no more.
+    /// The node closed the connection, or it was reset; its id is no longer in use.
     Closed(ConnId),
-    /// Another client's request is open under this id.
+    /// The id of another client's request that is in progress, for [`BadKind::ForeignId`].
     OpenRequest(RequestId),
 }
 
-/// What to do for bad clients. They read what comes, and send at full speed.
+/// An action for the driver. Misbehaving clients read everything that arrives, and send at full speed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BadOrder {
-    /// Open a connection from the population and zone.
+    /// Open a connection.
     Open {
-        /// Its name from now on, also among those of [`Clients`](super::Clients).
+        /// The connection's id, distinct from those of [`Clients`](super::Clients).
         conn: ConnId,
-        /// Where to.
+        /// The node to connect to.
         node: NodeId,
-        /// The place of its plan.
+        /// The index of its plan.
         population: u16,
-        /// The zone.
+        /// The zone that it connects from.
         zone: u16,
     },
-    /// Write these, one behind the other, as fast as they are taken.
+    /// Write these chunks in order, as fast as the node reads them.
     Write(ConnId, Vec<Chunk>),
-    /// Close it. No `Closed` follows.
+    /// Close the connection. The driver reports no `Closed` for it.
     Close(ConnId),
-    /// What became of a connection that was up.
+    /// How the node treated a connection that was established.
     Verdict(Verdict),
 }
 
-/// What a connection was owed and got.
+/// How the node treated a connection: it must reject it, by an error or a close, within a time limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
     /// The connection.
     pub conn: ConnId,
-    /// To which node.
+    /// The node that it was opened to.
     pub node: NodeId,
     /// The kind of client.
     pub kind: BadKind,
-    /// When it was up.
+    /// When it was established.
     pub opened: Micros,
-    /// When it got a close or an error, if it did in time.
+    /// When the first error or close arrived; `None` if none arrived in time.
     pub met: Option<Micros>,
-    /// It was owed one and got none. One that closes by itself is owed none.
+    /// The node should have rejected it and did not. A connection that the client itself closes need not be rejected.
     pub missed: bool,
-    /// It was served as though its request had run, which breaks a rule. With `borrowed` only if that request was
-    /// still open when the node read it.
+    /// It was served as though its request had been executed, which is a violation. With `borrowed` it is one only if
+    /// the other client's request was still in progress when the node read this one.
     pub served: bool,
-    /// The other client's id that it used.
+    /// The other client's request id that it used.
     pub borrowed: Option<RequestId>,
 }
 
@@ -104,7 +104,7 @@
     node: NodeId,
     population: u16,
     number: u64,
-    /// How often this client has come.
+    /// How many times the client has reconnected.
     round: u32,
     opened: Option<Micros>,
     met: Option<Micros>,
@@ -114,38 +114,39 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    /// The time in which a connection was owed something is over.
-    Judge(ConnId),
-    /// A client comes again: its population, number and round.
-    Again(u16, u64, u32),
+    /// The time limit for rejecting the connection has expired.
+    RejectDeadline(ConnId),
+    /// A client reconnects: its population, number and round.
+    Reconnect(u16, u64, u32),
 }
 
-/// All bad clients. Driven as [`Clients`](super::Clients) is.
+/// The state machine of all misbehaving clients, driven in the same way as [`Clients`](super::Clients).
 #[derive(Debug)]
 pub struct BadClients {
     plans: Vec<BadPlan>,
-    /// The name of a class that there is.
+    /// Name of an existing class.
     class: String,
     nodes: u32,
     seed: u64,
     arrivals: Arrivals,
-    coming: Option<crate::arrivals::Arrival>,
+    upcoming: Option<crate::arrivals::Arrival>,
     start: Option<Micros>,
     conns: BTreeMap<ConnId, Conn>,
-    made: u64,
+    /// The id of the next connection.
+    next_id: u64,
     due: BinaryHeap<Reverse<(Micros, Timer)>>,
     orders: VecDeque<BadOrder>,
     open_request: Option<RequestId>,
 }
 
-/// A client that comes again and again does so no faster than this.
-const AGAIN_AFTER: Micros = 1000;
+/// The delay before a client of [`BadKind::Again`] reconnects.
+const RECONNECT_DELAY: Micros = 1000;
 
 impl BadClients {
-    /// Ready to begin, for that many nodes. `class` names a class that there is.
+    /// The clients of the plans, for the given number of nodes. `class` is the name of an existing class.
     ///
     /// # Errors
-    /// No nodes, or a rate that cannot be drawn.
+    /// There are no nodes, or a rate is invalid.
     pub fn new(
         plans: Vec<BadPlan>,
         class: &str,
@@ -156,16 +157,17 @@
         if nodes == 0 {
             return Err(BadError::NoNodes);
         }
-        let any = Class { name: "bad".into(), give_up: 1, aim: 1, ..Class::default() };
+        let placeholder = Class { name: "bad".into(), give_up: 1, latency_target: 1, ..Class::default() };
         let population = |plan: &BadPlan| Population {
             name: plan.kind.name().into(),
             rate: plan.rate.clone(),
             ..Population::default()
         };
-        let load = Load { span, classes: vec![any], populations: plans.iter().map(population).collect() };
+        let load =
+            Load { span, classes: vec![placeholder], populations: plans.iter().map(population).collect() };
         let mut arrivals = Arrivals::new(&load, seed ^ 0x6261_6400)?;
         Ok(Self {
-            coming: arrivals.next(),
+            upcoming: arrivals.next(),
             arrivals,
             plans,
             class: class.into(),
@@ -173,19 +175,19 @@
             seed,
             start: None,
             conns: BTreeMap::new(),
-            made: 1 << 63,
+            next_id: 1 << 63,
             due: BinaryHeap::new(),
             orders: VecDeque::new(),
             open_request: None,
         })
     }
 
-    /// Their time 0 is at this time.
+    /// Starts the plans at this time.
     pub fn begin(&mut self, at: Micros) {
         self.start.get_or_insert(at);
     }
 
-    /// Something happened.
+    /// Processes an event.
     pub fn handle(&mut self, now: Micros, event: BadEvent) {
         match event {
             BadEvent::Opened(id) => self.opened(now, id),
@@ -202,7 +204,7 @@
                     conn.met.get_or_insert(now);
                 }
                 if self.kind(id) == Some(BadKind::Again) {
-                    self.come_again(now, id);
+                    self.reconnect(now, id);
                     self.close(id, false);
                 }
             }
@@ -215,8 +217,8 @@
                 if let Some(conn) = self.conns.get_mut(&id) {
                     conn.met.get_or_insert(now);
                 }
-                self.come_again(now, id);
-                self.judge(id, false);
+                self.reconnect(now, id);
+                self.report(id, false);
             }
             BadEvent::OpenRequest(id) => self.open_request = Some(id),
         }
@@ -227,37 +229,38 @@
         while let Some(Reverse((_, timer))) = self.due.peek().copied().filter(|due| due.0.0 <= now) {
             self.due.pop();
             match timer {
-                Timer::Judge(id) => self.close(id, true),
-                Timer::Again(population, number, round) => self.open(population, number, 0, round),
+                Timer::RejectDeadline(id) => self.close(id, true),
+                Timer::Reconnect(population, number, round) => self.open(population, number, 0, round),
             }
         }
-        while let Some(arrival) = self.coming.filter(|_| self.next_arrival().is_some_and(|at| at <= now)) {
-            self.coming = self.arrivals.next();
+        while let Some(arrival) = self.upcoming.filter(|_| self.next_arrival_at().is_some_and(|at| at <= now))
+        {
+            self.upcoming = self.arrivals.next();
             let Some(plan) = self.plans.get(usize::from(arrival.population)) else { continue };
-            let many = plan.kind.connections(&mut spot(self.seed, "many", arrival.number, 0));
-            for n in 0..many {
+            let count = plan.kind.connections(&mut keyed_rng(self.seed, "many", arrival.number, 0));
+            for n in 0..count {
                 self.open(arrival.population, arrival.number, n, 0);
             }
         }
         self.orders.pop_front()
     }
 
-    /// When to poll again if nothing happens before; a time long past if there are orders to take.
+    /// When to poll again if no event occurs before; `Micros::MIN` if orders are already queued.
     pub fn next(&self) -> Option<Micros> {
         if !self.orders.is_empty() {
             return Some(Micros::MIN);
         }
         let due = self.due.peek().map(|due| due.0.0);
-        due.into_iter().chain(self.next_arrival()).min()
+        due.into_iter().chain(self.next_arrival_at()).min()
     }
 
-    /// Connections that they hold or are opening.
+    /// Number of connections that they hold or are opening.
     pub fn connections(&self) -> usize {
         self.conns.len()
     }
 
-    fn next_arrival(&self) -> Option<Micros> {
-        Some(self.start? + self.coming?.at)
+    fn next_arrival_at(&self) -> Option<Micros> {
+        Some(self.start? + self.upcoming?.at)
     }
 
     fn kind(&self, id: ConnId) -> Option<BadKind> {
@@ -267,10 +270,11 @@
 
     fn open(&mut self, population: u16, number: u64, nth: u32, round: u32) {
         let Some(zone) = self.plans.get(usize::from(population)).map(|plan| plan.zone) else { return };
-        let conn = ConnId(self.made);
-        self.made += 1;
+        let conn = ConnId(self.next_id);
+        self.next_id += 1;
         let draw = u64::from(nth) << 32 | u64::from(round);
-        let node = NodeId(below(&mut spot(self.seed, "bad-node", number, draw), self.nodes.into()) as u32);
+        let node =
+            NodeId(below(&mut keyed_rng(self.seed, "bad-node", number, draw), self.nodes.into()) as u32);
         self.conns.insert(
             conn,
             Conn { node, population, number, round, opened: None, met: None, served: false, borrowed: None },
@@ -285,42 +289,43 @@
         if kind == BadKind::ForeignId {
             conn.borrowed = self.open_request;
             if conn.borrowed.is_none() {
-                // With an id of its own it would be a client like others.
+                // With an id of its own, this client would not misbehave.
                 return self.close(id, false);
             }
         }
-        self.due.push(Reverse((now + kind.owed_within(), Timer::Judge(id))));
+        self.due.push(Reverse((now + kind.reject_within(), Timer::RejectDeadline(id))));
         let context = Context { class: &self.class, open: self.open_request };
-        // The same bytes each time that the client comes again.
-        let chunks = bad_bytes(kind, context, &mut spot(self.seed, "bad", conn.number, 0));
+        // Seeded by the client's number alone: the client sends the same bytes each time it reconnects.
+        let chunks = bad_bytes(kind, context, &mut keyed_rng(self.seed, "bad", conn.number, 0));
         if !chunks.is_empty() {
             self.orders.push_back(BadOrder::Write(id, chunks));
         }
     }
 
-    /// A client that does so comes again at once, on a new connection.
-    fn come_again(&mut self, now: Micros, id: ConnId) {
+    /// Schedules the reconnect of a client of [`BadKind::Again`], up to the plan's limit.
+    fn reconnect(&mut self, now: Micros, id: ConnId) {
         let Some(conn) = self.conns.get(&id).filter(|conn| conn.opened.is_some()) else { return };
-        let most = self.plans.get(usize::from(conn.population)).map_or(0, |plan| plan.again);
-        if self.kind(id) == Some(BadKind::Again) && conn.round < most {
-            let again = Timer::Again(conn.population, conn.number, conn.round + 1);
-            self.due.push(Reverse((now + AGAIN_AFTER, again)));
+        let max_rounds = self.plans.get(usize::from(conn.population)).map_or(0, |plan| plan.again);
+        if self.kind(id) == Some(BadKind::Again) && conn.round < max_rounds {
+            let reconnect = Timer::Reconnect(conn.population, conn.number, conn.round + 1);
+            self.due.push(Reverse((now + RECONNECT_DELAY, reconnect)));
         }
     }
 
-    fn close(&mut self, id: ConnId, waited: bool) {
+    fn close(&mut self, id: ConnId, expired: bool) {
         if self.conns.contains_key(&id) {
             self.orders.push_back(BadOrder::Close(id));
-            self.judge(id, waited);
+            self.report(id, expired);
         }
     }
 
-    fn judge(&mut self, id: ConnId, waited: bool) {
+    /// Removes a connection and reports its verdict. `expired` says that the time limit for rejecting it has passed.
+    fn report(&mut self, id: ConnId, expired: bool) {
         let Some(kind) = self.kind(id) else { return };
         let Some(conn) = self.conns.remove(&id) else { return };
         let Some(opened) = conn.opened else { return };
         let served = conn.served && kind.must_not_be_served();
-        // Commands that are in order are owed their answers.
+        // Valid commands may be answered instead of rejected.
         let answered = conn.served && !kind.must_not_be_served();
         self.orders.push_back(BadOrder::Verdict(Verdict {
             conn: id,
@@ -328,7 +333,7 @@
             kind,
             opened,
             met: conn.met,
-            missed: waited && conn.met.is_none() && !answered,
+            missed: expired && conn.met.is_none() && !answered,
             served,
             borrowed: conn.borrowed,
         }));
--- a/crates/model/src/clients/bad/tests.rs
+++ b/crates/model/src/clients/bad/tests.rs
@@ -2,18 +2,19 @@
 
 const S: Micros = 1_000_000;
 
-/// What the node does, and how long after the connection is up.
-type Does = (Micros, fn(ConnId) -> BadEvent);
+/// What the node does, and how long after the connection is established.
+type NodeAction = (Micros, fn(ConnId) -> BadEvent);
 
-/// One client of a kind comes at time 0; each connection is up after 1 ms. What the node does with
-/// each, after so long. Gives connections, verdicts and how many were closed by the client.
-fn play(kind: BadKind, node: &[Does]) -> (usize, Vec<Verdict>, usize) {
+/// Runs one client of a kind, which starts at time 0. Each connection is established after 1 ms, and the node then
+/// does the given actions on it. Returns the number of connections, the verdicts, and the number of connections that
+/// the client closed.
+fn run(kind: BadKind, node: &[NodeAction]) -> (usize, Vec<Verdict>, usize) {
     let plan = BadPlan { kind, zone: 0, rate: Profile::burst(0, 1000, 1e9), again: 3 };
     let mut bad = BadClients::new(vec![plan], "read", 2, 1, 1).unwrap();
-    // Several come in the first microsecond: all but one are taken away.
-    let first = bad.coming;
+    // Several clients start in the first microsecond; all but the first are removed.
+    let first = bad.upcoming;
     bad.arrivals.by_ref().for_each(drop);
-    bad.coming = first.map(|first| crate::arrivals::Arrival { at: 0, ..first });
+    bad.upcoming = first.map(|first| crate::arrivals::Arrival { at: 0, ..first });
     bad.handle(0, BadEvent::OpenRequest(RequestId(7)));
     bad.begin(0);
     let (mut opened, mut closed, mut verdicts) = (0, 0, Vec::new());
@@ -48,11 +49,11 @@
 }
 
 #[test]
-fn verdicts_by_table() {
+fn verdict_per_kind_and_node_action() {
     let (error, close, serve) = (BadEvent::Error, BadEvent::Closed, BadEvent::Served);
-    type Case = (BadKind, Vec<Does>, Option<Micros>, bool, bool);
+    type Case = (BadKind, Vec<NodeAction>, Option<Micros>, bool, bool);
     let cases: [Case; 9] = [
-        // The kind, what the node does; when its due was met, whether it was missed, whether it was served.
+        // The kind, what the node does; `met`, `missed` and `served` of the verdict.
         (BadKind::Noise, vec![(10, error)], Some(1010), false, false),
         (BadKind::Noise, vec![(20, close)], Some(1020), false, false),
         (BadKind::Noise, vec![], None, true, false),
@@ -64,7 +65,7 @@
         (BadKind::Half, vec![], None, false, false),
     ];
     for (kind, node, met, missed, served) in cases {
-        let (opened, verdicts, _) = play(kind, &node);
+        let (opened, verdicts, _) = run(kind, &node);
         assert_eq!((opened, verdicts.len()), (1, 1), "{kind:?}");
         let verdict = verdicts[0];
         assert_eq!((verdict.met, verdict.missed, verdict.served), (met, missed, served), "{kind:?}");
@@ -73,10 +74,10 @@
 }
 
 #[test]
-fn some_come_again_and_some_by_hundreds() {
-    let (opened, verdicts, _) = play(BadKind::Again, &[(10, BadEvent::Error)]);
-    assert_eq!((opened, verdicts.len()), (4, 4), "three times more");
-    let (opened, verdicts, closed) = play(BadKind::Silent, &[(2 * S, BadEvent::Closed)]);
+fn again_reconnects_and_silent_opens_hundreds_of_connections() {
+    let (opened, verdicts, _) = run(BadKind::Again, &[(10, BadEvent::Error)]);
+    assert_eq!((opened, verdicts.len()), (4, 4), "the first connection and three reconnects");
+    let (opened, verdicts, closed) = run(BadKind::Silent, &[(2 * S, BadEvent::Closed)]);
     assert!((100..=300).contains(&opened) && verdicts.len() == opened && closed == 0);
     assert!(verdicts.iter().all(|verdict| verdict.met == Some(2 * S + 1000) && !verdict.missed));
 }
--- a/crates/model/src/clients/bad_bytes.rs
+++ b/crates/model/src/clients/bad_bytes.rs
@@ -1,4 +1,4 @@
-//! What bad clients send: test data, written down byte by byte and read by nothing here.
+//! The bytes that misbehaving clients send. They are generated as test data; nothing in this module parses them.
 
 use bytes::Bytes;
 use rand::RngCore;
@@ -7,40 +7,40 @@
 use crate::arrivals::RequestId;
 use crate::mix::below;
 
-/// A kind of bad client.
+/// A kind of misbehaving client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BadKind {
-    /// Bytes that are no command.
+    /// Sends random bytes that are no command.
     Noise,
-    /// A line that does not end.
+    /// Sends a line that does not end.
     EndlessLine,
-    /// A value of another length than stated.
+    /// Sends a value longer than the stated length.
     WrongLength,
-    /// A negative length.
+    /// States a negative length.
     NegativeLength,
-    /// A length beyond any number, or one that is none.
+    /// States a length that is too large, or is not a number.
     HugeLength,
-    /// A value of 60 MB, sent whole.
+    /// Sends a complete value of 60 MB.
     HugeValue,
-    /// A class that does not exist.
+    /// Names a class that does not exist.
     NoClass,
-    /// A deadline that is no number.
+    /// Sends an invalid deadline.
     BadDeadline,
-    /// No id.
+    /// Sends no request id.
     NoId,
-    /// The id of another client's open request.
+    /// Uses the id of another client's request that is in progress.
     ForeignId,
-    /// Half a command, then a close.
+    /// Sends a part of a command and closes the connection.
     Half,
-    /// Hundreds of commands at once.
+    /// Sends hundreds of valid commands at once.
     Burst,
-    /// Something that cannot be used, and the same again as soon as it is turned away.
+    /// Sends an invalid command, and reconnects to send it again as soon as it is rejected.
     Again,
-    /// Says nothing, and connects by hundreds.
+    /// Opens hundreds of connections and sends nothing.
     Silent,
 }
 
-/// All kinds with their names in experiment files.
+/// All kinds, with their names in experiment files.
 const NAMES: [(BadKind, &str); 14] = [
     (BadKind::Noise, "noise"),
     (BadKind::EndlessLine, "endless-line"),
@@ -58,47 +58,47 @@
     (BadKind::Silent, "silent"),
 ];
 
-/// Bytes of the value that [`BadKind::HugeValue`] sends.
-const HUGE: u64 = 60_000_000;
+/// Size in bytes of the value that [`BadKind::HugeValue`] sends.
+const HUGE_VALUE_BYTES: u64 = 60_000_000;
 
 impl BadKind {
-    /// Every kind.
+    /// All kinds.
     pub fn all() -> impl Iterator<Item = Self> {
         NAMES.into_iter().map(|(kind, _)| kind)
     }
 
-    /// Its name in experiment files.
+    /// The kind's name in experiment files.
     pub fn name(self) -> &'static str {
         NAMES.iter().find(|(kind, _)| *kind == self).map_or("", |(_, name)| name)
     }
 
-    /// The kind of a name.
+    /// The kind with this name in experiment files.
     pub fn named(name: &str) -> Option<Self> {
-        NAMES.iter().find(|(_, its)| *its == name).map(|(kind, _)| *kind)
+        NAMES.iter().find(|(_, kind_name)| *kind_name == name).map(|(kind, _)| *kind)
     }
 
-    /// How long after its connect it is owed a close or an error at the latest.
-    pub fn owed_within(self) -> Micros {
+    /// Time limit, from when the connection is established, within which the node must send an error or close it.
+    pub fn reject_within(self) -> Micros {
         if self == Self::HugeValue { 6_000_000 } else { 3_000_000 }
     }
 
-    /// Its requests are such that serving one breaks the rule on lost requests.
+    /// Whether serving a request of this kind is a violation: all kinds but [`BadKind::Burst`] send invalid requests.
     pub fn must_not_be_served(self) -> bool {
         self != Self::Burst
     }
 
-    /// Connections that one of them opens at once.
+    /// Number of connections that one client opens at once.
     pub fn connections(self, draws: &mut impl RngCore) -> u32 {
         if self == Self::Silent { 100 + below(draws, 201) as u32 } else { 1 }
     }
 }
 
-/// Bytes to send: a unit over and over.
+/// Bytes to send, as a repeated unit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
-    /// What is repeated.
+    /// The bytes to repeat.
     pub unit: Bytes,
-    /// How often. `u64::MAX` never ends.
+    /// Number of repetitions; `u64::MAX` repeats without end.
     pub times: u64,
 }
 
@@ -107,35 +107,35 @@
         Self { unit: bytes.into(), times: 1 }
     }
 
-    /// Bytes in all; `u64::MAX` where it never ends.
+    /// Total number of bytes; `u64::MAX` if it repeats without end.
     pub fn bytes(&self) -> u64 {
         (self.unit.len() as u64).saturating_mul(self.times)
     }
 }
 
-/// What bad clients know of the others' requests.
+/// What misbehaving clients know about valid requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Context<'a> {
-    /// A class that there is, for what is else in order.
+    /// Name of an existing class, for commands that are otherwise valid.
     pub class: &'a str,
-    /// Another client's open request, if one was seen.
+    /// The id of another client's request that is in progress, if one is known.
     pub open: Option<RequestId>,
 }
 
-/// What a client of a kind sends on one connection.
+/// The bytes that a client of a kind sends on one connection.
 pub fn bad_bytes(kind: BadKind, context: Context<'_>, draws: &mut impl RngCore) -> Vec<Chunk> {
     let class = context.class;
     let key = draws.next_u64();
     let id = draws.next_u64();
-    let read = |id: u64, list: &str| format!("mg {key:016x} v O{id:016x} P{list}\r\n");
-    let good = format!("c={class},d=400");
-    let write = |len: &str| format!("ms {key:016x} {len} O{id:016x} P{good}\r\n");
+    let read = |id: u64, params: &str| format!("mg {key:016x} v O{id:016x} P{params}\r\n");
+    let valid = format!("c={class},d=400");
+    let write = |len: &str| format!("ms {key:016x} {len} O{id:016x} P{valid}\r\n");
     let one = |line: String| vec![Chunk::once(line)];
     match kind {
         BadKind::Noise => {
             let mut bytes = vec![0; 64 + below(draws, 1000) as usize];
             draws.fill_bytes(&mut bytes);
-            // Guards against noise that has no line end and so is only a line that does not end.
+            // Without a line end the noise would be just another endless line.
             bytes.extend_from_slice(b"\r\n");
             vec![Chunk::once(bytes)]
         }
@@ -157,8 +157,8 @@
         }
         BadKind::HugeValue => {
             let unit = Bytes::from(vec![b'v'; 60_000]);
-            let value = Chunk { unit, times: HUGE / 60_000 };
-            vec![Chunk::once(write(&HUGE.to_string())), value, Chunk::once("\r\n")]
+            let value = Chunk { unit, times: HUGE_VALUE_BYTES / 60_000 };
+            vec![Chunk::once(write(&HUGE_VALUE_BYTES.to_string())), value, Chunk::once("\r\n")]
         }
         BadKind::NoClass => one(read(id, "c=there-is-none,d=400")),
         BadKind::BadDeadline => {
@@ -167,16 +167,16 @@
                 deadlines.get(below(draws, deadlines.len() as u64) as usize).copied().unwrap_or_default();
             one(read(id, &format!("c={class},d={deadline}")))
         }
-        BadKind::NoId => one(format!("mg {key:016x} v P{good}\r\n")),
-        BadKind::ForeignId => one(read(context.open.map_or(id, |open| open.0), &good)),
+        BadKind::NoId => one(format!("mg {key:016x} v P{valid}\r\n")),
+        BadKind::ForeignId => one(read(context.open.map_or(id, |open| open.0), &valid)),
         BadKind::Half => {
             let line = write("500");
             let part = 1 + below(draws, line.len() as u64 - 1) as usize;
             vec![Chunk::once(line.into_bytes().into_iter().take(part).collect::<Vec<u8>>())]
         }
         BadKind::Burst => {
-            let many = 200 + below(draws, 400);
-            let lines: String = (0..many).map(|_| read(draws.next_u64(), &good)).collect();
+            let count = 200 + below(draws, 400);
+            let lines: String = (0..count).map(|_| read(draws.next_u64(), &valid)).collect();
             one(lines)
         }
         BadKind::Again => one(format!("get {key:016x}\r\n")),
@@ -187,21 +187,21 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::mix::spot;
+    use crate::mix::keyed_rng;
 
     fn text(kind: BadKind, open: Option<RequestId>) -> String {
-        let chunks = bad_bytes(kind, Context { class: "read", open }, &mut spot(4, "bad", 0, 0));
+        let chunks = bad_bytes(kind, Context { class: "read", open }, &mut keyed_rng(4, "bad", 0, 0));
         chunks.iter().map(|chunk| String::from_utf8_lossy(&chunk.unit).into_owned()).collect()
     }
 
-    /// Each kind is bad in the way that its name says, and only so.
+    /// The bytes of each kind have the fault that its name states, and no other.
     #[test]
-    fn kinds_send_what_they_are_named_for() {
+    fn bytes_have_the_fault_of_their_kind() {
         let words =
             |kind| -> Vec<String> { text(kind, None).split([' ', '\r', '\n']).map(String::from).collect() };
-        let good = words(BadKind::Burst);
-        assert_eq!((good[0].as_str(), good[2].as_str(), good[4].as_str()), ("mg", "v", "Pc=read,d=400"));
-        assert!(good[3].len() == 17 && text(BadKind::Burst, None).lines().count() >= 200);
+        let valid = words(BadKind::Burst);
+        assert_eq!((valid[0].as_str(), valid[2].as_str(), valid[4].as_str()), ("mg", "v", "Pc=read,d=400"));
+        assert!(valid[3].len() == 17 && text(BadKind::Burst, None).lines().count() >= 200);
         assert!(!text(BadKind::EndlessLine, None).contains('\n'));
         assert!(words(BadKind::NegativeLength)[2].starts_with('-'));
         assert!(words(BadKind::HugeLength)[2].parse::<u32>().is_err());
@@ -214,8 +214,11 @@
         assert!(!text(BadKind::NoId, None).contains('O'));
         assert!(text(BadKind::ForeignId, Some(RequestId(0xabcd))).contains("O000000000000abcd "));
         assert!(!text(BadKind::Half, None).contains('\n'));
-        let huge =
-            bad_bytes(BadKind::HugeValue, Context { class: "read", open: None }, &mut spot(4, "bad", 0, 0));
+        let huge = bad_bytes(
+            BadKind::HugeValue,
+            Context { class: "read", open: None },
+            &mut keyed_rng(4, "bad", 0, 0),
+        );
         let sent: u64 = huge.iter().map(Chunk::bytes).sum();
         assert!((60_000_000..60_000_200).contains(&sent));
         assert!(BadKind::all().all(|kind| BadKind::named(kind.name()) == Some(kind)));
--- a/crates/model/src/clients/exchange.rs
+++ b/crates/model/src/clients/exchange.rs
@@ -1,228 +1,255 @@
-//! What passes on connections: which one a try goes on, and what each answer or end of one means.
+//! Requests and responses on connections: assigns tries to connections, and processes responses and closed
+//! connections.
 
 use rand::RngCore;
 
 use super::machine::{Clients, Timer};
 use super::pool::{Sent, TryRef};
-use super::{Ask, ConnId, End, Keep, NodeId, Order, Origin, Reply};
+use super::{ClientEndpoint, ConnId, End, NodeId, Order, OutgoingRequest, Reply, ReusePolicy};
 use crate::Micros;
 use crate::arrivals::RequestId;
-use crate::mix::spot;
+use crate::mix::keyed_rng;
 
 impl Clients {
-    /// Finds a connection for a try, or has it wait for one.
-    pub(super) fn place(&mut self, now: Micros, of: TryRef, fresh: bool) {
-        let Some(arrival) = self.live(of).map(|request| request.arrival) else { return };
-        let (Some(from), Some(habits)) = (self.origin(&arrival), self.habits(arrival.population)) else {
+    /// Assigns a try to a connection, or queues it until one is available. With `force_new` the connection is a new
+    /// one, whatever the client already holds.
+    pub(super) fn assign_connection(&mut self, now: Micros, try_ref: TryRef, force_new: bool) {
+        let Some(arrival) = self.active_request(try_ref).map(|request| request.arrival) else { return };
+        let (Some(from), Some(habits)) = (self.client_endpoint(&arrival), self.habits(arrival.population))
+        else {
             return;
         };
-        let (keep, most, pipeline, limit) = (habits.keep, habits.most, habits.pipeline, habits.connect_limit);
+        let (reuse, max_connections, pipeline, connect_timeout) =
+            (habits.reuse, habits.max_connections, habits.pipeline, habits.connect_timeout);
         let reader = habits.reader;
-        if !fresh
-            && keep == Keep::Reuse
+        if !force_new
+            && reuse == ReusePolicy::Reuse
             && let Some(conn) = self.pool.take_idle(from)
         {
-            return self.put(now, of, conn);
+            return self.assign_to(now, try_ref, conn);
         }
-        if !fresh && self.pool.held(from) >= most {
-            return match self.pool.least_full(from, keep, pipeline) {
-                Some(conn) => self.put(now, of, conn),
-                None => self.pool.wait_for_client(from, of),
+        if !force_new && self.pool.held(from) >= max_connections {
+            return match self.pool.least_loaded(from, reuse, pipeline) {
+                Some(conn) => self.assign_to(now, try_ref, conn),
+                None => self.pool.wait_for_client(from, try_ref),
             };
         }
-        let draw =
-            spot(self.seed, "deal", of.number, u64::from(of.attempt) << 1 | u64::from(fresh)).next_u64();
-        let Some(node) = self.front.deal(now, from.zone, from.source, draw) else {
-            return self.end_try(now, of, End::Unreachable);
+        let draw = keyed_rng(
+            self.seed,
+            "deal",
+            try_ref.number,
+            u64::from(try_ref.attempt) << 1 | u64::from(force_new),
+        )
+        .next_u64();
+        let Some(node) = self.front.select_node(now, from.zone, from.source, draw) else {
+            return self.end_try(now, try_ref, End::Unreachable);
         };
-        if self.plan.room.is_some_and(|room| self.pool.count(node) >= room) {
-            // Clients close what they have kept for longest before they go without.
+        if self.plan.max_connections_per_node.is_some_and(|max| self.pool.count(node) >= max) {
+            // At the limit, the connection that has been idle for longest is closed to make way for the new one.
             match self.pool.longest_idle(node) {
                 Some(oldest) => {
                     self.pool.remove(oldest);
                     self.orders.push_back(Order::Close(oldest));
                 }
-                None => return self.pool.wait_for_node(node, of),
+                None => return self.pool.wait_for_node(node, try_ref),
             }
         }
         let conn = self.pool.add(from, node);
-        self.timer(now + limit, Timer::Connect(conn));
+        self.set_timer(now + connect_timeout, Timer::ConnectTimeout(conn));
         self.orders.push_back(Order::Open { conn, node, from, reader });
-        self.put(now, of, conn);
+        self.assign_to(now, try_ref, conn);
     }
 
-    /// Puts a try on a connection, behind what is there.
-    fn put(&mut self, now: Micros, of: TryRef, id: ConnId) {
+    /// Appends a try to a connection's pipeline, and sends it if the connection is open.
+    fn assign_to(&mut self, now: Micros, try_ref: TryRef, id: ConnId) {
         let Some(conn) = self.pool.get_mut(id) else { return };
-        conn.sent.push_back(Sent { of, over: false, began: false });
-        let (node, open, first) = (conn.node, conn.open, conn.sent.len() == 1);
-        if let Some(this) = self.live_try(of) {
-            this.node = Some(node);
-            this.conn = Some(id);
-            this.first = first.then_some(now);
+        conn.sent.push_back(Sent { try_ref, cancelled: false, response_started: false });
+        let (node, open, at_front) = (conn.node, conn.open, conn.sent.len() == 1);
+        if let Some(current) = self.active_try(try_ref) {
+            current.node = Some(node);
+            current.conn = Some(id);
+            current.at_front = at_front.then_some(now);
         }
         if open {
-            self.ask(now, of, id);
+            self.send(now, try_ref, id);
         }
     }
 
-    fn ask(&mut self, now: Micros, of: TryRef, conn: ConnId) {
-        let Some(request) = self.live(of) else { return };
+    fn send(&mut self, now: Micros, try_ref: TryRef, conn: ConnId) {
+        let Some(request) = self.active_request(try_ref) else { return };
         let arrival = request.arrival;
         let marks = self.habits(arrival.population).is_some_and(|habits| habits.marks_retry);
-        let Some(this) = self.live_try(of) else { return };
-        this.ordered = Some(now);
-        let again = marks && of.attempt > 0;
-        let ask = Ask { id: this.id, arrival, attempt: of.attempt, wait: (this.until - now).max(0), again };
-        self.orders.push_back(Order::Ask(conn, ask));
+        let Some(current) = self.active_try(try_ref) else { return };
+        current.ordered_at = Some(now);
+        let marked_retry = marks && try_ref.attempt > 0;
+        let request = OutgoingRequest {
+            id: current.id,
+            arrival,
+            attempt: try_ref.attempt,
+            wait: (current.deadline - now).max(0),
+            marked_retry,
+        };
+        self.orders.push_back(Order::Send(conn, request));
     }
 
-    pub(super) fn opened(&mut self, now: Micros, id: ConnId) {
+    pub(super) fn on_opened(&mut self, now: Micros, id: ConnId) {
         let Some(conn) = self.pool.get_mut(id) else { return };
         conn.open = true;
-        let sent: Vec<TryRef> = conn.sent.iter().filter(|sent| !sent.over).map(|sent| sent.of).collect();
-        // What was given up before anything could be written is not written.
-        conn.sent.retain(|sent| !sent.over);
-        for of in sent {
-            self.ask(now, of, id);
+        let tries: Vec<TryRef> =
+            conn.sent.iter().filter(|sent| !sent.cancelled).map(|sent| sent.try_ref).collect();
+        // Tries that were cancelled while the connection was being opened are not written.
+        conn.sent.retain(|sent| !sent.cancelled);
+        for try_ref in tries {
+            self.send(now, try_ref, id);
         }
     }
 
-    pub(super) fn written(&mut self, now: Micros, conn: ConnId, id: RequestId) {
+    pub(super) fn on_written(&mut self, now: Micros, conn: ConnId, id: RequestId) {
         let Some(conn) = self.pool.get(conn) else { return };
-        let sent: Vec<TryRef> = conn.sent.iter().map(|sent| sent.of).collect();
-        for of in sent {
-            if let Some(this) = self.live_try(of).filter(|this| this.id == id) {
-                this.written = Some(now);
+        let tries: Vec<TryRef> = conn.sent.iter().map(|sent| sent.try_ref).collect();
+        for try_ref in tries {
+            if let Some(current) = self.active_try(try_ref).filter(|current| current.id == id) {
+                current.written = Some(now);
             }
         }
     }
 
-    pub(super) fn answered(&mut self, now: Micros, id: ConnId, name: Option<RequestId>, reply: Reply) {
+    pub(super) fn on_response(
+        &mut self,
+        now: Micros,
+        id: ConnId,
+        response_id: Option<RequestId>,
+        reply: Reply,
+    ) {
         let Some(conn) = self.pool.get_mut(id) else { return };
         let Some(sent) = conn.sent.pop_front() else {
-            self.orders.push_back(Order::Unasked(id, name));
+            self.orders.push_back(Order::Unsolicited(id, response_id));
             return self.close(now, id);
         };
         conn.used = true;
-        let next = conn.sent.front().map(|sent| sent.of);
-        if let Some(this) = next.and_then(|of| self.live_try(of)) {
-            this.first = Some(now);
-        }
-        let own = RequestId::of(self.seed, sent.of.number, sent.of.attempt);
-        let foreign = name.is_some_and(|name| name != own);
-        let reply = if foreign { Reply::Spoilt } else { reply };
-        if reply == Reply::Spoilt
+        let next = conn.sent.front().map(|sent| sent.try_ref);
+        if let Some(current) = next.and_then(|try_ref| self.active_try(try_ref)) {
+            current.at_front = Some(now);
+        }
+        let own_id = RequestId::of(self.seed, sent.try_ref.number, sent.try_ref.attempt);
+        let foreign = response_id.is_some_and(|response_id| response_id != own_id);
+        let reply = if foreign { Reply::Corrupt } else { reply };
+        if reply == Reply::Corrupt
             && let Some(conn) = self.pool.get_mut(id)
         {
-            // What comes behind another's answer cannot be trusted to be anyone's.
-            conn.doomed = true;
+            // After a corrupt response, later responses on the connection cannot be matched to their requests.
+            conn.closing = true;
         }
-        self.settle(now, id);
-        if sent.over {
-            self.orders.push_back(Order::Late(id, own));
+        self.release(now, id);
+        if sent.cancelled {
+            self.orders.push_back(Order::Late(id, own_id));
         } else {
             let end = match reply {
                 Reply::Served => End::Served,
-                Reply::Spoilt => End::Spoilt,
+                Reply::Corrupt => End::Corrupt,
                 Reply::Busy(after) => End::Refused(after),
                 Reply::Failed => End::Failed,
             };
-            self.end_try(now, sent.of, end);
+            self.end_try(now, sent.try_ref, end);
         }
     }
 
-    /// Closes a connection that is done, or has it wait for its next request, and serves who waits for one.
-    fn settle(&mut self, now: Micros, id: ConnId) {
+    /// After a response: closes the connection or makes it idle if it has no other request, and assigns waiting
+    /// tries.
+    fn release(&mut self, now: Micros, id: ConnId) {
         let Some(conn) = self.pool.get(id) else { return };
-        let (from, node, empty) = (conn.from, conn.node, conn.sent.iter().all(|sent| sent.over));
-        let doomed = conn.doomed;
+        let (from, node, empty) = (conn.from, conn.node, conn.sent.iter().all(|sent| sent.cancelled));
+        let closing = conn.closing;
         let Some(habits) = self.habits(from.population) else { return };
-        let (keep, idle) = (habits.keep, habits.idle);
-        if doomed || keep == Keep::One {
+        let (reuse, idle_timeout) = (habits.reuse, habits.idle_timeout);
+        if closing || reuse == ReusePolicy::OnePerRequest {
             if empty {
                 self.close(now, id);
             }
             return;
         }
         if conn.sent.is_empty() {
-            self.pool.set_idle(now, id, keep == Keep::Reuse);
-            let timer = self.pool.get_mut(id).map(|conn| std::mem::replace(&mut conn.idle_timer, true));
-            if let (Some(idle), Some(false)) = (idle, timer) {
-                self.timer(now + idle, Timer::Idle(id));
+            self.pool.set_idle(now, id, reuse == ReusePolicy::Reuse);
+            let timer_was_set =
+                self.pool.get_mut(id).map(|conn| std::mem::replace(&mut conn.idle_timer_set, true));
+            if let (Some(idle_timeout), Some(false)) = (idle_timeout, timer_was_set) {
+                self.set_timer(now + idle_timeout, Timer::IdleTimeout(id));
             }
         }
-        self.serve_waiting(now, from, node);
+        self.assign_waiting(now, from, node);
     }
 
-    /// A connection has become free, or there is room for one.
-    fn serve_waiting(&mut self, now: Micros, from: Origin, node: NodeId) {
+    /// Assigns waiting tries of the client and of the node, after a connection became idle or was closed.
+    fn assign_waiting(&mut self, now: Micros, from: ClientEndpoint, node: NodeId) {
         let Some(habits) = self.habits(from.population) else { return };
-        let (keep, most, pipeline) = (habits.keep, habits.most, habits.pipeline);
-        while self.pool.may_take(from, keep, most, pipeline)
-            && let Some(of) = self.pool.next_of_client(from)
+        let (reuse, max_connections, pipeline) = (habits.reuse, habits.max_connections, habits.pipeline);
+        while self.pool.may_assign(from, reuse, max_connections, pipeline)
+            && let Some(try_ref) = self.pool.pop_waiting_for_client(from)
         {
-            if self.live(of).is_some() {
-                self.place(now, of, false);
+            if self.active_request(try_ref).is_some() {
+                self.assign_connection(now, try_ref, false);
                 break;
             }
         }
-        let room = |this: &Self| {
-            this.plan.room.is_none_or(|room| this.pool.count(node) < room)
-                || this.pool.longest_idle(node).is_some()
+        let node_has_capacity = |clients: &Self| {
+            clients.plan.max_connections_per_node.is_none_or(|max| clients.pool.count(node) < max)
+                || clients.pool.longest_idle(node).is_some()
         };
-        while room(self)
-            && let Some(of) = self.pool.next_of_node(node)
+        while node_has_capacity(self)
+            && let Some(try_ref) = self.pool.pop_waiting_for_node(node)
         {
-            if self.live(of).is_some() {
-                self.place(now, of, false);
+            if self.active_request(try_ref).is_some() {
+                self.assign_connection(now, try_ref, false);
                 break;
             }
         }
     }
 
-    /// A connection's timer: it has been idle for long enough, or will be later, or is in use.
-    pub(super) fn idle(&mut self, now: Micros, id: ConnId) {
+    /// The idle timer of a connection: closes the connection if it has been idle for the whole timeout, or sets the
+    /// timer again if it became idle later. Does nothing for a connection in use.
+    pub(super) fn on_idle_timeout(&mut self, now: Micros, id: ConnId) {
         let Some(conn) = self.pool.get_mut(id) else { return };
-        conn.idle_timer = false;
-        let limit = self.pool.get(id).and_then(|conn| self.habits(conn.from.population)?.idle);
-        let Some((since, limit)) = self.pool.idle_since(id).zip(limit) else { return };
-        if since + limit <= now {
+        conn.idle_timer_set = false;
+        let timeout = self.pool.get(id).and_then(|conn| self.habits(conn.from.population)?.idle_timeout);
+        let Some((since, timeout)) = self.pool.idle_since(id).zip(timeout) else { return };
+        if since + timeout <= now {
             self.close(now, id);
         } else if let Some(conn) = self.pool.get_mut(id) {
-            conn.idle_timer = true;
-            self.timer(since + limit, Timer::Idle(id));
+            conn.idle_timer_set = true;
+            self.set_timer(since + timeout, Timer::IdleTimeout(id));
         }
     }
 
     pub(super) fn close(&mut self, now: Micros, id: ConnId) {
         if self.pool.get(id).is_some() {
             self.orders.push_back(Order::Close(id));
-            self.ended(now, id);
+            self.on_closed(now, id);
         }
     }
 
-    /// A connection is no more.
-    pub(super) fn ended(&mut self, now: Micros, id: ConnId) {
+    /// Removes a connection that is closed or was not established. Its tries end, or are sent once more on a new
+    /// connection where the close crossed the request (see [`Habits::resend_window`](super::Habits::resend_window)).
+    pub(super) fn on_closed(&mut self, now: Micros, id: ConnId) {
         let Some(conn) = self.pool.remove(id) else { return };
-        let window = self.habits(conn.from.population).and_then(|habits| habits.resend);
+        let resend_window = self.habits(conn.from.population).and_then(|habits| habits.resend_window);
         for sent in &conn.sent {
-            if sent.over {
+            if sent.cancelled {
                 continue;
             }
-            let Some(this) = self.live_try(sent.of) else { continue };
-            let soon = this.ordered.zip(window).is_some_and(|(at, window)| now - at <= window);
+            let Some(current) = self.active_try(sent.try_ref) else { continue };
+            let within_window =
+                current.ordered_at.zip(resend_window).is_some_and(|(at, window)| now - at <= window);
             if !conn.open {
-                self.end_try(now, sent.of, End::Unreachable);
-            } else if conn.used && !sent.began && soon && this.resent.is_none() {
-                this.resent = Some(now);
-                this.ordered = None;
-                this.written = None;
-                self.place(now, sent.of, true);
+                self.end_try(now, sent.try_ref, End::Unreachable);
+            } else if conn.used && !sent.response_started && within_window && current.resent.is_none() {
+                current.resent = Some(now);
+                current.ordered_at = None;
+                current.written = None;
+                self.assign_connection(now, sent.try_ref, true);
             } else {
-                self.end_try(now, sent.of, End::Broken);
+                self.end_try(now, sent.try_ref, End::Broken);
             }
         }
-        self.serve_waiting(now, conn.from, conn.node);
+        self.assign_waiting(now, conn.from, conn.node);
     }
 }
--- a/crates/model/src/clients/machine.rs
+++ b/crates/model/src/clients/machine.rs
@@ -1,4 +1,4 @@
-//! The machine that plays all clients of a load.
+//! The state machine of all clients of a load.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -8,45 +8,48 @@
 
 use super::pool::{Pool, TryRef};
 use super::{
-    ClientsError, ClientsPlan, ConnId, End, Event, Front, Habits, NodeId, Order, Origin, Story, Tally, Try,
+    ClientEndpoint, ClientsError, ClientsPlan, ConnId, End, Event, Front, Habits, NodeId, Order,
+    RequestRecord, Tally, Try,
 };
 use crate::Micros;
 use crate::arrivals::{Arrival, Arrivals, Class, RequestId};
-use crate::mix::{spot, unit};
+use crate::mix::{keyed_rng, unit};
 
-/// What comes due at a time.
+/// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The next try of a request.
-    Again(u64),
-    /// A try's time is up.
-    GiveUp(u64, u8),
-    /// The client leaves.
-    Leave(u64),
-    /// A connection must be up.
-    Connect(ConnId),
-    /// A connection may have been idle for long enough.
-    Idle(ConnId),
+    /// The next try of a request is due.
+    Retry(u64),
+    /// A try times out.
+    TryTimeout(u64, u8),
+    /// The client abandons the request.
+    Abandon(u64),
+    /// A connection must be established by now.
+    ConnectTimeout(ConnId),
+    /// A connection may have reached its idle timeout.
+    IdleTimeout(ConnId),
 }
 
-/// A request that is not over.
+/// A request that has not ended.
 #[derive(Debug)]
 pub(super) struct Request {
     pub(super) arrival: Arrival,
     pub(super) due: Micros,
     pub(super) tries: Vec<Try>,
-    /// The last try is out; else the request waits to try again.
-    trying: bool,
+    /// The last try has not ended. Else the request waits for its next try.
+    try_active: bool,
 }
 
-/// Where requests come from.
+/// The source of planned requests.
 #[derive(Debug)]
-enum Source {
+enum ArrivalSource {
+    /// Drawn from the load.
     Drawn(Box<Arrivals>),
+    /// Passed in by the caller.
     Given(std::vec::IntoIter<Arrival>),
 }
 
-impl Source {
+impl ArrivalSource {
     fn next(&mut self) -> Option<Arrival> {
         match self {
             Self::Drawn(arrivals) => arrivals.next(),
@@ -60,52 +63,55 @@
 pub struct Clients {
     pub(super) plan: ClientsPlan,
     pub(super) seed: u64,
-    arrivals: Source,
-    /// The next request, not yet due.
-    coming: Option<Arrival>,
-    /// The plan's time 0.
+    arrivals: ArrivalSource,
+    /// The next planned request.
+    upcoming: Option<Arrival>,
+    /// When the plan started, on the caller's clock.
     start: Option<Micros>,
     pub(super) front: Front,
     pub(super) pool: Pool,
     requests: FxHashMap<u64, Request>,
     timers: BinaryHeap<Reverse<(Micros, u64, Timer)>>,
-    timers_made: u64,
+    /// Number of timers set so far: orders timers that are due at the same time.
+    timer_seq: u64,
     pub(super) orders: VecDeque<Order>,
     tally: Tally,
 }
 
 impl Clients {
-    /// Ready to begin, with the requests that the load draws under the seed.
+    /// The clients of a plan, with the requests that are drawn from its load for a seed.
     ///
     /// # Errors
-    /// The first field of the plan that cannot be used.
+    /// The first invalid field of the plan.
     pub fn new(plan: ClientsPlan, seed: u64) -> Result<Self, ClientsError> {
         plan.check()?;
         let arrivals = Arrivals::new(&plan.load, seed)?;
-        Ok(Self::with(plan, seed, Source::Drawn(Box::new(arrivals))))
+        Ok(Self::with(plan, seed, ArrivalSource::Drawn(Box::new(arrivals))))
     }
 
-    /// The same with these requests instead, each number once: a part of a plan plays as it did in the whole.
+    /// The clients of a plan, with the given requests. Each request number may occur once. The draws of a request
+    /// depend only on the seed and its number, so that a subset of a plan's requests behaves as in the complete plan.
     ///
     /// # Errors
-    /// The first field of the plan or the first arrival that cannot be used.
+    /// The first invalid field of the plan, or the first invalid arrival.
     pub fn replay(plan: ClientsPlan, seed: u64, arrivals: Vec<Arrival>) -> Result<Self, ClientsError> {
         plan.check()?;
         let (classes, populations) = (plan.load.classes.len(), plan.load.populations.len());
-        let mut last = 0;
+        let mut last_at = 0;
         for arrival in &arrivals {
-            let known = usize::from(arrival.class) < classes && usize::from(arrival.population) < populations;
-            if !known || arrival.at < last {
+            let valid_indices =
+                usize::from(arrival.class) < classes && usize::from(arrival.population) < populations;
+            if !valid_indices || arrival.at < last_at {
                 return Err(ClientsError::Arrival(arrival.number));
             }
-            last = arrival.at;
+            last_at = arrival.at;
         }
-        Ok(Self::with(plan, seed, Source::Given(arrivals.into_iter())))
+        Ok(Self::with(plan, seed, ArrivalSource::Given(arrivals.into_iter())))
     }
 
-    fn with(plan: ClientsPlan, seed: u64, mut arrivals: Source) -> Self {
+    fn with(plan: ClientsPlan, seed: u64, mut arrivals: ArrivalSource) -> Self {
         Self {
-            coming: arrivals.next(),
+            upcoming: arrivals.next(),
             arrivals,
             seed,
             start: None,
@@ -113,33 +119,33 @@
             pool: Pool::new(plan.front.zones.len()),
             requests: FxHashMap::default(),
             timers: BinaryHeap::new(),
-            timers_made: 0,
+            timer_seq: 0,
             orders: VecDeque::new(),
             tally: Tally::default(),
             plan,
         }
     }
 
-    /// The plan's time 0 is at this time. Before that only nodes are asked whether they are there.
+    /// Starts the plan at this time. Before that, the clients only probe the nodes.
     pub fn begin(&mut self, at: Micros) {
         self.start.get_or_insert(at);
     }
 
-    /// Something happened.
+    /// Processes an event.
     pub fn handle(&mut self, now: Micros, event: Event) {
-        // Guards against a driver that comes late: what was due before comes before.
-        while self.advance(now - 1, now) {}
+        // The driver may report late: whatever was due before the event is processed before it.
+        while self.run_next_due(now - 1, now) {}
         match event {
-            Event::Opened(conn) => self.opened(now, conn),
-            Event::OpenFailed(conn, _) => self.ended(now, conn),
-            Event::Written(conn, id) => self.written(now, conn, id),
-            Event::Began(conn) => {
+            Event::Opened(conn) => self.on_opened(now, conn),
+            Event::OpenFailed(conn, _) => self.on_closed(now, conn),
+            Event::Written(conn, id) => self.on_written(now, conn, id),
+            Event::ResponseStarted(conn) => {
                 if let Some(first) = self.pool.get_mut(conn).and_then(|conn| conn.sent.front_mut()) {
-                    first.began = true;
+                    first.response_started = true;
                 }
             }
-            Event::Answered(conn, id, reply) => self.answered(now, conn, id, reply),
-            Event::Closed(conn) => self.ended(now, conn),
+            Event::Answered(conn, id, reply) => self.on_response(now, conn, id, reply),
+            Event::Closed(conn) => self.on_closed(now, conn),
             Event::Probed(node, ok) => self.front.probed(now, node, ok),
             Event::Stopping(node) => self.front.stopping(now, node, self.seed),
             Event::Started(node) => self.front.started(node),
@@ -152,79 +158,79 @@
             if let Some(order) = self.orders.pop_front() {
                 return Some(order);
             }
-            if !self.advance(now, now) {
+            if !self.run_next_due(now, now) {
                 return self.front.poll(now).map(Order::Probe);
             }
         }
     }
 
-    /// Does the first thing due by a time, if there is one. It is now somewhat later.
-    fn advance(&mut self, by: Micros, now: Micros) -> bool {
+    /// Processes the first timer or arrival that is due by `by`, if any, at the current time `now`.
+    fn run_next_due(&mut self, by: Micros, now: Micros) -> bool {
         let timer = self.timers.peek().map(|timer| timer.0.0).filter(|at| *at <= by);
-        let coming = self.next_arrival().filter(|at| *at <= by);
-        match (timer, coming) {
-            (Some(at), coming) if coming.is_none_or(|coming| at <= coming) => {
+        let arrival = self.next_arrival_at().filter(|at| *at <= by);
+        match (timer, arrival) {
+            (Some(at), arrival) if arrival.is_none_or(|arrival| at <= arrival) => {
                 if let Some(Reverse((at, _, timer))) = self.timers.pop() {
-                    self.fire(now, at, timer);
+                    self.on_timer(now, at, timer);
                 }
             }
-            (_, Some(at)) => self.arrive(now, at),
+            (_, Some(at)) => self.start_request(now, at),
             _ => return false,
         }
         true
     }
 
-    /// When to poll again if nothing happens before; a time long past if there are orders to take.
+    /// When to poll again if no event occurs before; `Micros::MIN` if orders are already queued.
     pub fn next(&self) -> Option<Micros> {
         if !self.orders.is_empty() {
             return Some(Micros::MIN);
         }
         let timer = self.timers.peek().map(|timer| timer.0.0);
-        [timer, self.next_arrival(), self.front.next()].into_iter().flatten().min()
+        [timer, self.next_arrival_at(), self.front.next()].into_iter().flatten().min()
     }
 
-    /// The plan has been played and every request is over.
+    /// Whether all planned requests have arrived and ended.
     pub fn done(&self) -> bool {
-        self.coming.is_none() && self.requests.is_empty() && self.orders.is_empty()
+        self.upcoming.is_none() && self.requests.is_empty() && self.orders.is_empty()
     }
 
-    /// Sums over the requests that are over.
+    /// Totals of the requests that have ended.
     pub fn tally(&self) -> Tally {
         self.tally
     }
 
-    /// Requests that are not over.
+    /// Number of requests that have not ended.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Connections that clients hold or are opening.
+    /// Number of connections that clients hold or are opening.
     pub fn connections(&self) -> usize {
         self.pool.len()
     }
 
-    /// Connections to one node.
+    /// Number of connections to one node, those being opened included.
     pub fn connections_to(&self, node: NodeId) -> u32 {
         self.pool.count(node)
     }
 
-    /// The front, to ask which nodes are in use.
+    /// The load balancer in front of the nodes, which knows the nodes that are in use.
     pub fn front(&self) -> &Front {
         &self.front
     }
 
-    /// The load's classes.
+    /// The classes of the load.
     pub fn classes(&self) -> &[Class] {
         &self.plan.load.classes
     }
 
-    fn next_arrival(&self) -> Option<Micros> {
-        Some(self.start? + self.coming?.at)
+    fn next_arrival_at(&self) -> Option<Micros> {
+        Some(self.start? + self.upcoming?.at)
     }
 
-    pub(super) fn timer(&mut self, at: Micros, timer: Timer) {
-        self.timers.push(Reverse((at, self.timers_made, timer)));
-        self.timers_made += 1;
+    pub(super) fn set_timer(&mut self, at: Micros, timer: Timer) {
+        self.timers.push(Reverse((at, self.timer_seq, timer)));
+        self.timer_seq += 1;
     }
 
     pub(super) fn habits(&self, population: u16) -> Option<&Habits> {
@@ -235,9 +241,9 @@
         self.plan.load.classes.get(usize::from(arrival.class))
     }
 
-    pub(super) fn origin(&self, arrival: &Arrival) -> Option<Origin> {
+    pub(super) fn client_endpoint(&self, arrival: &Arrival) -> Option<ClientEndpoint> {
         let population = self.plan.load.populations.get(usize::from(arrival.population))?;
-        Some(Origin {
+        Some(ClientEndpoint {
             population: arrival.population,
             source: arrival.source,
             address: population.address(arrival.source),
@@ -245,128 +251,133 @@
         })
     }
 
-    /// The planned request comes.
-    fn arrive(&mut self, now: Micros, due: Micros) {
-        let Some(arrival) = self.coming.take() else { return };
-        self.coming = self.arrivals.next();
+    /// Starts the next planned request.
+    fn start_request(&mut self, now: Micros, due: Micros) {
+        let Some(arrival) = self.upcoming.take() else { return };
+        self.upcoming = self.arrivals.next();
         let (Some(habits), Some(class)) = (self.habits(arrival.population), self.class(&arrival)) else {
             return;
         };
-        let mut draws = spot(self.seed, "leaves", arrival.number, 0);
-        if unit(&mut draws) < habits.leaves {
-            let at = due + part(&mut draws, habits.leaves_after, class.give_up);
-            self.timer(at, Timer::Leave(arrival.number));
+        let mut draws = keyed_rng(self.seed, "leaves", arrival.number, 0);
+        if unit(&mut draws) < habits.abandon_share {
+            let at = due + draw_share(&mut draws, habits.abandon_after_share, class.give_up);
+            self.set_timer(at, Timer::Abandon(arrival.number));
         }
-        self.requests.insert(arrival.number, Request { arrival, due, tries: Vec::new(), trying: false });
-        self.begin_try(now, due, arrival.number);
+        self.requests.insert(arrival.number, Request { arrival, due, tries: Vec::new(), try_active: false });
+        self.start_try(now, due, arrival.number);
     }
 
-    fn fire(&mut self, now: Micros, at: Micros, timer: Timer) {
+    fn on_timer(&mut self, now: Micros, at: Micros, timer: Timer) {
         match timer {
-            Timer::Again(number) => self.begin_try(now, at, number),
-            Timer::GiveUp(number, attempt) => self.give_up(now, TryRef { number, attempt }, End::TimedOut),
-            Timer::Leave(number) => self.leave(now, number),
-            Timer::Connect(conn) => {
+            Timer::Retry(number) => self.start_try(now, at, number),
+            Timer::TryTimeout(number, attempt) => {
+                self.cancel_try(now, TryRef { number, attempt }, End::TimedOut)
+            }
+            Timer::Abandon(number) => self.abandon(now, number),
+            Timer::ConnectTimeout(conn) => {
                 if self.pool.get(conn).is_some_and(|conn| !conn.open) {
                     self.orders.push_back(Order::Close(conn));
-                    self.ended(now, conn);
+                    self.on_closed(now, conn);
                 }
             }
-            Timer::Idle(conn) => self.idle(now, conn),
+            Timer::IdleTimeout(conn) => self.on_idle_timeout(now, conn),
         }
     }
 
-    /// A try is due. It may be late, which its latency shows.
-    fn begin_try(&mut self, now: Micros, due: Micros, number: u64) {
+    /// Starts a try that was due at `due`. If `now` is later, the delay counts towards its latency.
+    fn start_try(&mut self, now: Micros, due: Micros, number: u64) {
         let Some(request) = self.requests.get(&number) else { return };
-        let (arrival, first, attempt) = (request.arrival, request.due, request.tries.len() as u8);
+        let (arrival, first_due, attempt) = (request.arrival, request.due, request.tries.len() as u8);
         let (Some(habits), Some(class)) = (self.habits(arrival.population), self.class(&arrival)) else {
             return;
         };
-        let mut draws = spot(self.seed, "patience", number, attempt.into());
-        let wait = part(&mut draws, habits.patience, class.give_up).max(1);
-        let until = (due + wait).min(first + class.give_up);
+        let mut draws = keyed_rng(self.seed, "patience", number, attempt.into());
+        let wait = draw_share(&mut draws, habits.try_timeout_share, class.give_up).max(1);
+        let deadline = (due + wait).min(first_due + class.give_up);
         let id = RequestId::of(self.seed, number, attempt);
-        self.timer(until, Timer::GiveUp(number, attempt));
+        self.set_timer(deadline, Timer::TryTimeout(number, attempt));
         if let Some(request) = self.requests.get_mut(&number) {
-            request.trying = true;
+            request.try_active = true;
             request.tries.push(Try {
                 id,
                 due,
-                taken: now,
-                until,
+                started: now,
+                deadline,
                 node: None,
                 conn: None,
-                ordered: None,
+                ordered_at: None,
                 written: None,
                 resent: None,
-                first: None,
-                over: None,
+                at_front: None,
+                ended_at: None,
                 end: None,
             });
         }
-        self.place(now, TryRef { number, attempt }, false);
+        self.assign_connection(now, TryRef { number, attempt }, false);
     }
 
-    /// The request of a try that is still out.
-    pub(super) fn live(&self, of: TryRef) -> Option<&Request> {
-        let request = self.requests.get(&of.number)?;
-        (request.trying && request.tries.len() == usize::from(of.attempt) + 1).then_some(request)
+    /// The request of a try, if that try has not ended.
+    pub(super) fn active_request(&self, try_ref: TryRef) -> Option<&Request> {
+        let request = self.requests.get(&try_ref.number)?;
+        (request.try_active && request.tries.len() == usize::from(try_ref.attempt) + 1).then_some(request)
     }
 
-    pub(super) fn live_try(&mut self, of: TryRef) -> Option<&mut Try> {
-        self.live(of)?;
-        self.requests.get_mut(&of.number)?.tries.last_mut()
+    /// A try, if it has not ended.
+    pub(super) fn active_try(&mut self, try_ref: TryRef) -> Option<&mut Try> {
+        self.active_request(try_ref)?;
+        self.requests.get_mut(&try_ref.number)?.tries.last_mut()
     }
 
-    fn leave(&mut self, now: Micros, number: u64) {
+    fn abandon(&mut self, now: Micros, number: u64) {
         let Some(request) = self.requests.get(&number) else { return };
-        if request.trying {
+        if request.try_active {
             let attempt = (request.tries.len() as u8).saturating_sub(1);
-            self.give_up(now, TryRef { number, attempt }, End::Left);
+            self.cancel_try(now, TryRef { number, attempt }, End::Abandoned);
         } else {
-            self.finish(now, number, End::Left);
+            self.finish(now, number, End::Abandoned);
         }
     }
 
-    /// The client waits no longer. Its connection is closed, at once or when nothing else is on it.
-    fn give_up(&mut self, now: Micros, of: TryRef, end: End) {
-        let Some(this) = self.live_try(of) else { return };
-        let conn = this.conn;
+    /// Ends a try without its response. Its connection is closed: now, or once the client waits for no other
+    /// response on it.
+    fn cancel_try(&mut self, now: Micros, try_ref: TryRef, end: End) {
+        let Some(current) = self.active_try(try_ref) else { return };
+        let conn = current.conn;
         if let Some((id, conn)) = conn.and_then(|id| Some((id, self.pool.get_mut(id)?))) {
-            conn.doomed = true;
-            if let Some(sent) = conn.sent.iter_mut().find(|sent| sent.of == of) {
-                sent.over = true;
+            conn.closing = true;
+            if let Some(sent) = conn.sent.iter_mut().find(|sent| sent.try_ref == try_ref) {
+                sent.cancelled = true;
             }
-            if conn.sent.iter().all(|sent| sent.over) {
+            if conn.sent.iter().all(|sent| sent.cancelled) {
                 self.close(now, id);
             }
         }
-        self.end_try(now, of, end);
+        self.end_try(now, try_ref, end);
     }
 
-    /// A try has ended: the request is over or tries again after a wait.
-    pub(super) fn end_try(&mut self, now: Micros, of: TryRef, end: End) {
-        let Some(this) = self.live_try(of) else { return };
-        this.over = Some(now);
-        this.end = Some(end);
-        match self.next_try(now, of.number, end) {
+    /// Records a try's end. The request ends too, or its next try is scheduled.
+    pub(super) fn end_try(&mut self, now: Micros, try_ref: TryRef, end: End) {
+        let Some(current) = self.active_try(try_ref) else { return };
+        current.ended_at = Some(now);
+        current.end = Some(end);
+        match self.next_try_at(now, try_ref.number, end) {
             Some(at) => {
-                if let Some(request) = self.requests.get_mut(&of.number) {
-                    request.trying = false;
+                if let Some(request) = self.requests.get_mut(&try_ref.number) {
+                    request.try_active = false;
                 }
-                self.timer(at, Timer::Again(of.number));
+                self.set_timer(at, Timer::Retry(try_ref.number));
             }
-            None => self.finish(now, of.number, end),
+            None => self.finish(now, try_ref.number, end),
         }
     }
 
-    fn next_try(&self, now: Micros, number: u64, end: End) -> Option<Micros> {
+    fn next_try_at(&self, now: Micros, number: u64, end: End) -> Option<Micros> {
         let request = self.requests.get(&number)?;
         let (class, habits) = (self.class(&request.arrival)?, self.habits(request.arrival.population)?);
-        let heeds = unit(&mut spot(self.seed, "heeds", number, 0)) < habits.retry.heeds;
-        let end = if let (End::Refused(_), false) = (end, heeds) { End::Refused(None) } else { end };
-        let mut draws = spot(self.seed, "retry", number, request.tries.len() as u64);
+        let honours_busy =
+            unit(&mut keyed_rng(self.seed, "heeds", number, 0)) < habits.retry.honours_busy_share;
+        let end = if let (End::Refused(_), false) = (end, honours_busy) { End::Refused(None) } else { end };
+        let mut draws = keyed_rng(self.seed, "retry", number, request.tries.len() as u64);
         let at = habits.retry.next(class, &request.tries, now, end, &mut draws)?;
         (at < request.due + class.give_up).then_some(at)
     }
@@ -374,23 +385,23 @@
     fn finish(&mut self, now: Micros, number: u64, end: End) {
         let Some(request) = self.requests.remove(&number) else { return };
         let Some(class) = self.class(&request.arrival) else { return };
-        let story = Story {
+        let record = RequestRecord {
             arrival: request.arrival,
             due: request.due,
             end,
-            over: now,
+            ended_at: now,
             worth: class.worth,
-            earned: Story::earns(class, request.due, now, end),
+            earned: RequestRecord::worth_earned(class, request.due, now, end),
             tries: request.tries,
         };
-        self.tally.add(&story);
-        self.orders.push_back(Order::Over(Box::new(story)));
+        self.tally.add(&record);
+        self.orders.push_back(Order::Finished(Box::new(record)));
     }
 }
 
-/// A share of a time, even between two.
-fn part(draws: &mut impl RngCore, (low, high): (f64, f64), of: Micros) -> Micros {
-    ((low + (high - low) * unit(draws)) * of as f64 + 0.5) as Micros
+/// A duration drawn uniformly between two shares of `total`.
+fn draw_share(draws: &mut impl RngCore, (low, high): (f64, f64), total: Micros) -> Micros {
+    ((low + (high - low) * unit(draws)) * total as f64 + 0.5) as Micros
 }
 
 #[cfg(test)]
--- a/crates/model/src/clients/mod.rs
+++ b/crates/model/src/clients/mod.rs
@@ -1,135 +1,135 @@
-//! Clients: when they ask, on which connections, how long they wait, and what they do when it fails.
+//! Clients: when they send requests, on which connections, how long they wait for a response, and how they retry.
 //!
-//! [`Clients`] is one machine for all populations. The driver carries its orders out, on sockets or in simulated
-//! time, and tells it what happened:
+//! [`Clients`] is one state machine for all populations. The driver executes its orders, on sockets or in simulated
+//! time, and reports events to it:
 //!
-//! - `begin(at)`: the plan's time 0 is that time on the caller's clock;
-//! - `handle(now, Event)`: something happened;
-//! - `poll(now) -> Option<Order>`: what is due by now, until there is nothing left;
-//! - `next() -> Option<Micros>`: when to poll again if nothing happens before.
+//! - `begin(at)`: sets the time on the caller's clock at which the plan starts;
+//! - `handle(now, Event)`: reports an event;
+//! - `poll(now) -> Option<Order>`: returns the next order that is due, or `None` when no more are due;
+//! - `next() -> Option<Micros>`: when to poll again if no event occurs before.
 //!
-//! Latency counts from when a try was due, so that neither a driver that comes late nor a client that waits for a
+//! Latency is measured from when a try was due, so that neither a driver that polls late nor a client that waits for a
 //! free connection hides it (no coordinated omission).
 
-mod ask;
 mod bad;
 mod bad_bytes;
 mod exchange;
 mod front;
 mod habits;
 mod machine;
+mod outgoing;
 mod pace;
 mod plan;
 mod pool;
+mod record;
 mod retry;
-mod story;
 
-pub use ask::Ask;
 pub use bad::{BadClients, BadError, BadEvent, BadOrder, BadPlan, Verdict};
 pub use bad_bytes::{BadKind, Chunk, Context, bad_bytes};
-pub use front::{Deal, Front, FrontPlan, Health};
-pub use habits::{Habits, Keep, Reader};
+pub use front::{Front, FrontPlan, Health, NodeSelection};
+pub use habits::{Habits, Reader, ReusePolicy};
 pub use machine::Clients;
+pub use outgoing::OutgoingRequest;
 pub use pace::Pace;
 pub use plan::{ClientsError, ClientsPlan};
+pub use record::{End, RequestRecord, Tally, Try};
 pub use retry::Retry;
-pub use story::{End, Story, Tally, Try};
 
 use crate::Micros;
 use crate::arrivals::RequestId;
 
-/// A node, by its place in [`FrontPlan::zones`].
+/// A node, by its index in [`FrontPlan::zones`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub u32);
 
-/// A client's connection, named by the machine that asks for it and never twice.
+/// The id of a client's connection. The state machine that orders the connection assigns it and never reuses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
-/// Where a connection comes from.
+/// The client end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Origin {
-    /// The population.
+pub struct ClientEndpoint {
+    /// Index of the population.
     pub population: u16,
-    /// The client in it.
+    /// Index of the client in the population.
     pub source: u32,
-    /// The client's address, by number within the population: clients may share one.
+    /// Index of the client's address in the population. Several clients may share an address.
     pub address: u32,
-    /// The zone.
+    /// The client's zone.
     pub zone: u16,
 }
 
-/// What a client makes of an answer, once its last byte has come.
+/// How a client classifies a response, once its last byte has arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// `VA` with the value made for this request, or `HD` with a receipt for it.
+    /// `VA` with the value that was made for this request, or `HD` with a receipt for it.
     Served,
-    /// `VA` or `HD` with anything else.
-    Spoilt,
-    /// `SERVER_ERROR busy`, with the wait it names.
+    /// `VA` or `HD` with any other content.
+    Corrupt,
+    /// `SERVER_ERROR busy`, with the wait that it asks for, if any.
     Busy(Option<Micros>),
-    /// Any other line.
+    /// Any other response line.
     Failed,
 }
 
-/// Why a connection did not come up.
+/// Why a connection was not established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotOpen {
-    /// Refused by the node's machine.
+pub enum ConnectFailure {
+    /// Refused by the node's host.
     Refused,
-    /// Reset before it was up.
+    /// Reset before it was established.
     Reset,
-    /// The driver could not, or it took too long.
+    /// The driver could not open it, or it took too long.
     Other,
 }
 
-/// What happened.
+/// An event that the driver reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A connection is up.
+    /// A connection is established.
     Opened(ConnId),
-    /// A connection did not come up, and is no more.
-    OpenFailed(ConnId, NotOpen),
+    /// A connection was not established; its id is no longer in use.
+    OpenFailed(ConnId, ConnectFailure),
     /// The last byte of a request has been written.
     Written(ConnId, RequestId),
-    /// The first byte of the next answer has come.
-    Began(ConnId),
-    /// An answer has come whole. The id is that of its `O`, where it has one.
+    /// The first byte of the next response on the connection has arrived.
+    ResponseStarted(ConnId),
+    /// A response is complete. The id is that of its `O` flag, if it has one.
     Answered(ConnId, Option<RequestId>, Reply),
-    /// The node closed the connection, or it was reset. It is no more.
+    /// The node closed the connection, or it was reset; its id is no longer in use.
     Closed(ConnId),
-    /// A node answered `mn` with `MN` (true), or it did not within the driver's limit.
+    /// A node answered `mn` with `MN` (true), or did not within the driver's time limit (false).
     Probed(NodeId, bool),
-    /// A planned stop of the node begins.
+    /// A planned stop of the node has begun.
     Stopping(NodeId),
-    /// The node has been started again.
+    /// The node has been restarted.
     Started(NodeId),
 }
 
-/// What to do. An order for a connection that is no more is to be ignored.
+/// An action for the driver. It ignores an order for a connection that no longer exists.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    /// Open a connection to a node. `Opened` or `OpenFailed` is owed.
+    /// Open a connection to a node. The driver must report `Opened` or `OpenFailed`.
     Open {
-        /// Its name from now on.
+        /// The connection's id.
         conn: ConnId,
-        /// Where to.
+        /// The node to connect to.
         node: NodeId,
-        /// Where from.
-        from: Origin,
-        /// How fast to read.
+        /// The client that connects.
+        from: ClientEndpoint,
+        /// How fast the client reads.
         reader: Reader,
     },
     /// Write a request on an open connection.
-    Ask(ConnId, Ask),
-    /// Close a connection. No `Closed` follows.
+    Send(ConnId, OutgoingRequest),
+    /// Close a connection. The driver reports no `Closed` for it.
     Close(ConnId),
-    /// Ask a node `mn`, on a connection of the driver's own. `Probed` is owed.
+    /// Send `mn` to a node, on a connection of the driver's own. The driver must report `Probed`.
     Probe(NodeId),
-    /// A request is over.
-    Over(Box<Story>),
-    /// An answer came for a try that had ended before, on a connection kept for others.
+    /// A request has ended.
+    Finished(Box<RequestRecord>),
+    /// A response arrived for a try that had already ended, on a connection kept open for other requests.
     Late(ConnId, RequestId),
-    /// An answer came that nobody waited for. The connection is closed.
-    Unasked(ConnId, Option<RequestId>),
+    /// A response arrived on a connection without a pending request. The connection is closed.
+    Unsolicited(ConnId, Option<RequestId>),
 }
--- a/crates/model/src/clients/ask.rs
+++ b/crates/model/src/clients/outgoing.rs
@@ -1,31 +1,31 @@
-//! A try as it goes on the wire.
+//! A try of a request as a memcache meta command.
 
 use std::io::Write;
 
 use crate::Micros;
 use crate::arrivals::{Arrival, Class, RequestId};
 
-/// One command to write.
+/// A command to write on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct OutgoingRequest {
     /// The try's id.
     pub id: RequestId,
-    /// The request as planned.
+    /// The planned request.
     pub arrival: Arrival,
-    /// Which try it is, from 0.
+    /// Number of the try, from 0.
     pub attempt: u8,
-    /// How long the client waits from now on.
+    /// How long the client still waits for the response.
     pub wait: Micros,
-    /// A further try of a population that marks those.
-    pub again: bool,
+    /// Whether the command carries `r=1`: it is not the first try, and its population marks retries.
+    pub marked_retry: bool,
 }
 
-impl Ask {
-    /// The command line with its CRLF. A write's value of `arrival.size` bytes and another CRLF follow.
+impl OutgoingRequest {
+    /// The command line with its CRLF. For a write, the value of `arrival.size` bytes and another CRLF must follow.
     pub fn line(&self, class: &Class) -> Vec<u8> {
         let mut line = Vec::with_capacity(96);
         let key = self.arrival.key.0;
-        // Writing to a vector cannot fail.
+        // Writing to a `Vec` cannot fail.
         let _ = match class.write {
             true => write!(line, "ms {key:016x} {}", self.arrival.size),
             false => write!(line, "mg {key:016x} v"),
@@ -35,7 +35,7 @@
         if self.arrival.once != 0 {
             let _ = write!(line, ",k={:016x}", self.arrival.once);
         }
-        line.extend_from_slice(if self.again { b",r=1\r\n" } else { b"\r\n" });
+        line.extend_from_slice(if self.marked_retry { b",r=1\r\n" } else { b"\r\n" });
         line
     }
 }
@@ -46,7 +46,7 @@
     use crate::keys::Key;
 
     #[test]
-    fn lines_are_those_of_the_protocol() {
+    fn command_lines_match_protocol() {
         let arrival = Arrival {
             number: 0,
             at: 0,
@@ -58,9 +58,10 @@
             once: 0x5c0f_6e1a_2b3d_4c59,
         };
         let id = RequestId(0x9b1f_03aa_5c7e_2d41);
-        let put = Ask { id, arrival, attempt: 0, wait: 480_900, again: false };
+        let put = OutgoingRequest { id, arrival, attempt: 0, wait: 480_900, marked_retry: false };
         let class = |name: &str, write| Class { name: name.into(), write, ..Class::default() };
-        let read = Ask { arrival: Arrival { once: 0, ..arrival }, again: true, wait: 300, ..put };
+        let read =
+            OutgoingRequest { arrival: Arrival { once: 0, ..arrival }, marked_retry: true, wait: 300, ..put };
         for (ask, class, line) in [
             (
                 put,
--- a/crates/model/src/clients/pace.rs
+++ b/crates/model/src/clients/pace.rs
@@ -1,27 +1,28 @@
-//! A reader's pace: how many bytes it takes in now.
+//! Limits the rate at which a client reads from a connection.
 
 use super::Reader;
 use crate::Micros;
 
-/// Keeps one connection's reading to a [`Reader`]. Bytes not taken stay with the sender, whose buffers fill.
+/// Limits the reads of one connection to those that a [`Reader`] allows. Unread bytes back up into the sender's
+/// buffers.
 #[derive(Clone, Debug)]
 pub struct Pace {
     reader: Reader,
-    /// When the next byte may be taken.
+    /// When the next byte may be read.
     from: Micros,
 }
 
-/// A slow reader catches up on at most this much time at once.
+/// Unused time of a slow reader that counts towards its next read, at most. It bounds the size of a single read.
 const CATCH_UP: Micros = 100_000;
 
 impl Pace {
-    /// For a connection that opened now.
+    /// The limit for a connection that is established now.
     pub fn new(reader: Reader, now: Micros) -> Self {
-        let late = if let Reader::Late(wait) = reader { wait } else { 0 };
-        Self { reader, from: now + late }
+        let delay = if let Reader::Late(wait) = reader { wait } else { 0 };
+        Self { reader, from: now + delay }
     }
 
-    /// Bytes that may be taken in now.
+    /// Number of bytes that may be read now.
     pub fn may_take(&self, now: Micros) -> usize {
         if now < self.from {
             return 0;
@@ -35,7 +36,7 @@
         }
     }
 
-    /// So many bytes were taken in.
+    /// Records that bytes were read.
     pub fn took(&mut self, now: Micros, bytes: usize) {
         if let Reader::Slow(rate) = self.reader {
             let span = (bytes as u128 * 1_000_000).div_ceil(u128::from(rate.max(1))) as Micros;
@@ -43,7 +44,7 @@
         }
     }
 
-    /// When there is something to take again, if not now.
+    /// When reading may continue; `None` if bytes may be read now.
     pub fn next(&self, now: Micros) -> Option<Micros> {
         (now < self.from).then_some(self.from)
     }
@@ -54,7 +55,7 @@
     use super::*;
 
     #[test]
-    fn slow_readers_keep_their_rate_and_late_ones_begin_late() {
+    fn slow_reader_keeps_its_rate_and_late_reader_starts_late() {
         let mut pace = Pace::new(Reader::Slow(10_000), 0);
         let (mut now, mut taken) = (0, 0);
         while now < 10_000_000 {
@@ -63,7 +64,7 @@
             taken += bytes;
             now = pace.next(now).unwrap_or(now + 1000);
         }
-        assert!((99_000..=101_100).contains(&taken), "{taken} bytes in 10 s at 10,000 a second");
+        assert!((99_000..=101_100).contains(&taken), "{taken} bytes in 10 s at 10,000 bytes per second");
         let late = Pace::new(Reader::Late(500), 100);
         assert_eq!((late.may_take(599), late.next(100), late.may_take(600)), (0, Some(600), usize::MAX));
     }
--- a/crates/model/src/clients/plan.rs
+++ b/crates/model/src/clients/plan.rs
@@ -1,63 +1,63 @@
-//! All that a population of clients is played from, and what may be wrong with it.
+//! The configuration of [`Clients`](super::Clients), and its validation.
 
 use thiserror::Error;
 
 use super::{FrontPlan, Habits};
 use crate::arrivals::{Load, LoadError};
 
-/// What clients there are and how they behave.
+/// The load, how its clients behave, and the load balancer in front of the nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientsPlan {
-    /// What they ask for.
+    /// The requests that clients send.
     pub load: Load,
-    /// How each population behaves, in the order of the load.
+    /// How each population behaves, in the order of [`Load::populations`].
     pub habits: Vec<Habits>,
-    /// The layer before the nodes.
+    /// The load balancer in front of the nodes.
     pub front: FrontPlan,
-    /// Connections that all clients may hold to one node.
-    pub room: Option<u32>,
+    /// Maximum number of connections that all clients together hold to one node; `None` for no limit.
+    pub max_connections_per_node: Option<u32>,
 }
 
-/// What is wrong with a plan.
+/// Why a plan is invalid.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum ClientsError {
-    /// The load cannot be drawn.
+    /// The load is invalid.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// Habits are missing, or are there for no population.
+    /// The number of habits differs from the number of populations.
     #[error("{habits} habits for {populations} populations")]
     Habits {
-        /// How many habits there are.
+        /// Number of habits.
         habits: usize,
-        /// How many populations.
+        /// Number of populations.
         populations: usize,
     },
-    /// A habit cannot be used.
+    /// A field of a population's habits is invalid.
     #[error("habits of population {population:?}: {field} {fault}")]
     Habit {
         /// The population's name.
         population: String,
         /// The field.
         field: &'static str,
-        /// What is wrong with it.
+        /// Why the field is invalid.
         fault: &'static str,
     },
-    /// A given arrival names a population or class that there is not, or comes before the one before it.
+    /// A given arrival refers to a population or class that does not exist, or is earlier than its predecessor.
     #[error("arrival {0} does not fit the load")]
     Arrival(u64),
-    /// Nobody to ask.
+    /// The plan has no node to send requests to.
     #[error("there are no nodes")]
     NoNodes,
-    /// No connection could be opened.
-    #[error("room must be above 0")]
-    NoRoom,
+    /// The connection limit is 0, so that no connection could be opened.
+    #[error("max_connections_per_node must be above 0")]
+    NoConnections,
 }
 
 impl ClientsPlan {
-    /// Whether it can be played.
+    /// Validates the plan.
     ///
     /// # Errors
-    /// The first field that cannot be used.
+    /// The first invalid field.
     pub fn check(&self) -> Result<(), ClientsError> {
         self.load.check()?;
         let (habits, populations) = (self.habits.len(), self.load.populations.len());
@@ -67,8 +67,8 @@
         if self.front.zones.is_empty() {
             return Err(ClientsError::NoNodes);
         }
-        if self.room == Some(0) {
-            return Err(ClientsError::NoRoom);
+        if self.max_connections_per_node == Some(0) {
+            return Err(ClientsError::NoConnections);
         }
         for (habits, population) in self.habits.iter().zip(&self.load.populations) {
             if let Some((field, fault)) = habits.fault() {
--- a/crates/model/src/clients/retry.rs
+++ b/crates/model/src/clients/retry.rs
@@ -1,4 +1,4 @@
-//! When a client asks again.
+//! When a client retries a failed request.
 
 use rand::RngCore;
 
@@ -7,21 +7,21 @@
 use crate::arrivals::{Class, Effect};
 use crate::mix::Spread;
 
-/// When a client asks again after a try that did not serve it.
+/// A client's retry policy: exponential backoff, optionally with the server's requested wait.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Retry {
-    /// Tries in all, the first included.
+    /// Maximum number of tries, the first included.
     pub tries: u8,
-    /// The wait before the second try.
+    /// The backoff before the second try.
     pub wait: Spread,
-    /// Each further wait is this many times as long.
+    /// Each later backoff is this factor times the one before.
     pub growth: f64,
-    /// No wait is longer, unless a `busy` asks for it.
-    pub most: Micros,
-    /// Waits as long as a `busy MS` asks, up to this; `None` takes no notice of it.
-    pub heeds_busy: Option<Micros>,
-    /// Share of the requests whose client takes notice, 0 to 1.
-    pub heeds: f64,
+    /// Maximum backoff. A wait that `busy` asks for may be longer.
+    pub max_wait: Micros,
+    /// Maximum wait on request of `busy MS`; `None` ignores such requests.
+    pub max_requested_wait: Option<Micros>,
+    /// Share of the requests, 0 to 1, whose client honours the wait that `busy` asks for.
+    pub honours_busy_share: f64,
 }
 
 impl Default for Retry {
@@ -30,15 +30,16 @@
             tries: 3,
             wait: Spread::Exponential(1e5),
             growth: 2.0,
-            most: 2_000_000,
-            heeds_busy: Some(2_000_000),
-            heeds: 1.0,
+            max_wait: 2_000_000,
+            max_requested_wait: Some(2_000_000),
+            honours_busy_share: 1.0,
         }
     }
 }
 
 impl Retry {
-    /// When the try after these is due, the last of which has just ended; `None` if there is to be none.
+    /// When the next try is due, after `tries`, the last of which has just ended with `end`. `None` if the request is
+    /// not retried.
     pub(super) fn next(
         &self,
         class: &Class,
@@ -47,9 +48,9 @@
         end: End,
         draws: &mut impl RngCore,
     ) -> Option<Micros> {
-        let asked = match end {
-            End::Served | End::Spoilt | End::Left => return None,
-            End::Refused(after) => self.heeds_busy.and_then(|most| after.map(|after| after.min(most))),
+        let requested_wait = match end {
+            End::Served | End::Corrupt | End::Abandoned => return None,
+            End::Refused(after) => self.max_requested_wait.and_then(|max| after.map(|after| after.min(max))),
             _ => None,
         };
         if tries.len() >= usize::from(self.tries) {
@@ -57,12 +58,13 @@
         }
         let growth = libm::pow(self.growth, tries.len() as f64 - 1.0);
         let drawn = self.wait.draw(draws) as f64 * growth;
-        let at = now + (drawn as Micros).clamp(0, self.most).max(asked.unwrap_or(0));
-        // The first try that may have run: guarded requests are repeated only within the window after it. One that a
-        // close crossed was sent again because it had not been read.
-        let maybe_ran = |this: &&Try| this.ordered.is_some() && !matches!(this.end, Some(End::Refused(_)));
-        let since = tries.iter().find(maybe_ran).and_then(|this| this.ordered);
-        let allowed = match (class.effect, since) {
+        let at = now + (drawn as Micros).clamp(0, self.max_wait).max(requested_wait.unwrap_or(0));
+        // When the first try that may have been executed was sent: a guarded request is retried only within the
+        // deduplication window after it. A try that was resent because a close crossed it had not been read on the
+        // first connection; its send time is that on the second.
+        let may_have_run = |one: &&Try| one.ordered_at.is_some() && !matches!(one.end, Some(End::Refused(_)));
+        let first_run = tries.iter().find(may_have_run).and_then(|one| one.ordered_at);
+        let allowed = match (class.effect, first_run) {
             (Effect::Free, _) | (_, None) => true,
             (Effect::Guarded, Some(since)) => class.dropped_by_all && at < since + class.window,
             (Effect::SingleShot, Some(_)) => false,
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,8 @@
-//! The systems that a node serves, as state machines over time: cache servers, origin, discovery, clients and
-//! the network between them.
+//! Models of the systems around a load-balancer node, as state machines over time: cache servers, origin, discovery,
+//! clients and the network between them.
 //!
-//! No I/O and no clock: time comes in with each call, and what is due comes out. Every draw comes from one seed.
+//! The models do no I/O and read no clock: the caller passes the current time with each call and gets back the
+//! actions that are due. All random draws derive from one seed.
 #![forbid(unsafe_code)]
 #![warn(missing_docs, unreachable_pub)]
 
@@ -17,5 +18,5 @@
 pub mod server;
 pub mod value;
 
-/// Microseconds, as a point on the caller's clock or as a length.
+/// Microseconds: a point in time on the caller's clock, or a duration.
 pub type Micros = i64;
--- a/crates/model/src/network/links.rs
+++ b/crates/model/src/network/links.rs
@@ -1,7 +1,7 @@
 //! What holds between two hosts now: delays, and which faults are on.
 
 use crate::Micros;
-use crate::mix::{Spread, spot, unit};
+use crate::mix::{Spread, keyed_rng, unit};
 use rand::RngCore;
 
 /// A machine on the network, by number.
@@ -176,7 +176,7 @@
         if !self.passes(from, to) || !self.passes(to, from) {
             return Fate::Never;
         }
-        let luck = unit(&mut spot(self.seed, "lose", number, 0));
+        let luck = unit(&mut keyed_rng(self.seed, "lose", number, 0));
         let mut fate = Fate::Opens;
         for fault in self.faults(from, to) {
             match fault {
--- a/crates/model/src/origin.rs
+++ b/crates/model/src/origin.rs
@@ -14,7 +14,7 @@
     Act, Answer, Books, ConfigError, Event, Found, Keeper, Kind, Note, OriginConfig, Outbox, Request, Server,
     Sizes, WarmUp,
 };
-use crate::value::{Key, MIN_SIZE, Made, Maker, Uid, mix, unit};
+use crate::value::{Key, MIN_SIZE, Maker, Uid, ValueSpec, mix, unit};
 
 /// The origin.
 pub type Origin = Server<Contents>;
@@ -105,9 +105,10 @@
     ) -> (Answer, Option<Note>) {
         let (key, maker) = (request.key, Maker::Origin(uid));
         match found {
-            Found::Copy { version, size } => {
-                (Answer::Hit { value: Made { key, version, maker, request: Some(request.id), size } }, None)
-            }
+            Found::Copy { version, size } => (
+                Answer::Hit { value: ValueSpec { key, version, maker, request: Some(request.id), size } },
+                None,
+            ),
             Found::Change | Found::Missing { .. } => {
                 let (effect, receipt) = self.records.write(now, request, maker);
                 if let Some(effect) = effect {
--- a/crates/model/src/profile.rs
+++ b/crates/model/src/profile.rs
@@ -1,18 +1,18 @@
-//! A rate over time: steps, ramps, bursts and days, as straight pieces.
+//! Request rates over time: steps, ramps, bursts and daily cycles, as piecewise linear functions.
 
 use crate::Micros;
 
-/// Requests a second over time. Straight between its points, with jumps where two points share a time; before the
-/// first point and after the last it holds the rate found there.
+/// Requests per second over time. The rate is linear between points and jumps where two points have the same time.
+/// Before the first point and after the last it is constant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Profile {
-    /// Time in seconds and rate a second, times never falling.
+    /// Times in seconds, in non-decreasing order, and rates per second.
     points: Vec<(f64, f64)>,
-    /// Expected arrivals from 0 to each point.
+    /// Expected arrivals from time 0 to each point.
     before: Vec<f64>,
 }
 
-/// Straight pieces a day is drawn with. The cosine differs from them by less than 1 - cos(pi / 96), 0.06 %.
+/// Linear pieces per day. They differ from the cosine by less than 1 - cos(pi / 96), which is 0.06 %.
 const DAY_PIECES: u32 = 96;
 
 fn seconds(at: Micros) -> f64 {
@@ -20,8 +20,8 @@
 }
 
 impl Profile {
-    /// From points of time and rate. Points are put in order of time; points of one time keep theirs. A rate below
-    /// 0 counts as 0.
+    /// A profile from points of time and rate. Points are sorted by time; points with the same time keep their order.
+    /// A rate below 0 counts as 0.
     pub fn new(points: impl IntoIterator<Item = (Micros, f64)>) -> Self {
         let mut sorted: Vec<(Micros, f64)> = points.into_iter().map(|(at, rate)| (at.max(0), rate)).collect();
         sorted.sort_by_key(|point| point.0);
@@ -45,12 +45,12 @@
         Self { points, before }
     }
 
-    /// Always this rate.
+    /// A constant rate.
     pub fn constant(rate: f64) -> Self {
         Self::new([(0, rate)])
     }
 
-    /// Jumps from the rate so far to each step's rate at its time. Before the first step nothing comes.
+    /// A step function: at each step's time the rate jumps to the step's rate. Before the first step it is 0.
     pub fn steps(steps: &[(Micros, f64)]) -> Self {
         let mut points = vec![(0, 0.0)];
         let mut last = 0.0;
@@ -61,17 +61,17 @@
         Self::new(points)
     }
 
-    /// This rate from the first time to the second and nothing otherwise; added to a base it is a burst.
+    /// A constant rate between two times and 0 otherwise. Added to a base rate, it is a burst.
     pub fn burst(from: Micros, until: Micros, rate: f64) -> Self {
         Self::steps(&[(from, rate), (until, 0.0)])
     }
 
-    /// From the first rate to the second in a straight line between the times; held before and after.
+    /// A linear ramp from the first rate to the second between two times, constant before and after.
     pub fn ramp(from: Micros, until: Micros, low: f64, high: f64) -> Self {
         Self::new([(from, low), (until, high)])
     }
 
-    /// A day: `mean * (1 - swing * cos(2 pi t / period))`, lowest at 0, for `span`. `swing` is 0 to 1.
+    /// A daily cycle: `mean * (1 - swing * cos(2 pi t / period))`, lowest at 0, for `span`. `swing` is 0 to 1.
     pub fn day(mean: f64, swing: f64, period: Micros, span: Micros) -> Self {
         let piece = (period / Micros::from(DAY_PIECES)).max(1);
         let pieces = (span / piece + 1).clamp(1, 1_000_000);
@@ -81,7 +81,7 @@
         }))
     }
 
-    /// Both together.
+    /// The sum of two profiles.
     pub fn plus(&self, other: &Self) -> Self {
         let mut times: Vec<f64> = self.points.iter().chain(&other.points).map(|point| point.0).collect();
         times.sort_by(f64::total_cmp);
@@ -90,34 +90,34 @@
         Self::of(
             times
                 .into_iter()
-                .flat_map(|at| [(at, both(at, Self::left_of)), (at, both(at, Self::right_of))])
+                .flat_map(|at| [(at, both(at, Self::rate_before)), (at, both(at, Self::rate_after))])
                 .collect(),
         )
     }
 
-    /// This rate times a factor.
+    /// The profile with all rates multiplied by a factor.
     pub fn times(&self, factor: f64) -> Self {
         Self::of(self.points.iter().map(|&(at, rate)| (at, rate * factor)).collect())
     }
 
-    /// Requests a second at a time (just after it, where the rate jumps).
+    /// Requests per second at a time; where the rate jumps, the rate after the jump.
     pub fn rate(&self, at: Micros) -> f64 {
-        self.right_of(seconds(at.max(0)))
+        self.rate_after(seconds(at.max(0)))
     }
 
-    /// The highest rate from 0 to a time.
+    /// The highest rate from time 0 to a time.
     pub fn highest(&self, until: Micros) -> f64 {
         let until = seconds(until);
         let within = self.points.iter().filter(|point| point.0 <= until).map(|point| point.1);
-        within.fold(self.left_of(until), f64::max)
+        within.fold(self.rate_before(until), f64::max)
     }
 
-    /// Expected arrivals from 0 to a time: the integral of the rate.
+    /// Expected arrivals from time 0 to a time: the integral of the rate.
     pub fn expected(&self, until: Micros) -> f64 {
         self.expected_at(seconds(until.max(0)))
     }
 
-    /// Expected arrivals from 0 to a time in seconds.
+    /// Expected arrivals from time 0 to a time in seconds.
     pub(crate) fn expected_at(&self, until: f64) -> f64 {
         let next = self.points.partition_point(|point| point.0 <= until);
         let last = next.saturating_sub(1);
@@ -127,36 +127,39 @@
         })
     }
 
-    /// When that many arrivals are expected, in seconds; `None` if never. Inverse of `expected`, O(log points).
-    pub(crate) fn reaches(&self, arrivals: f64) -> Option<f64> {
+    /// The time in seconds by which this many arrivals are expected; `None` if there is none. The inverse of
+    /// `expected`, in time logarithmic in the number of points.
+    pub(crate) fn time_of_arrivals(&self, arrivals: f64) -> Option<f64> {
         let next = self.before.partition_point(|&before| before <= arrivals);
         let from = next.saturating_sub(1);
         let &(at, rate) = self.points.get(from)?;
-        let over = arrivals - self.before.get(from)?;
+        let rest = arrivals - self.before.get(from)?;
         let slope = match self.points.get(next) {
             Some(&(end, last)) => (last - rate) / (end - at),
             None => 0.0,
         };
-        // The root of rate x + slope x^2 / 2 = over, written so that nothing cancels.
-        let bottom = rate + libm::sqrt((rate * rate + 2.0 * slope * over).max(0.0));
+        // Solves rate x + slope x^2 / 2 = rest for x, in the form without cancellation.
+        let denominator = rate + libm::sqrt((rate * rate + 2.0 * slope * rest).max(0.0));
         let end = self.points.get(next).map_or(f64::INFINITY, |point| point.0);
-        if over <= 0.0 {
+        if rest <= 0.0 {
             return Some(at);
         }
-        (bottom > 0.0).then(|| (at + 2.0 * over / bottom).min(end))
+        (denominator > 0.0).then(|| (at + 2.0 * rest / denominator).min(end))
     }
 
-    fn right_of(&self, at: f64) -> f64 {
+    /// The rate at a time; where the rate jumps, the rate after the jump.
+    fn rate_after(&self, at: f64) -> f64 {
         let next = self.points.partition_point(|point| point.0 <= at);
         self.between(next, at)
     }
 
-    fn left_of(&self, at: f64) -> f64 {
+    /// The rate at a time; where the rate jumps, the rate before the jump.
+    fn rate_before(&self, at: f64) -> f64 {
         let next = self.points.partition_point(|point| point.0 < at);
         self.between(next, at)
     }
 
-    /// The rate at a time between the point before that index and the point there.
+    /// The rate at a time, interpolated between the points at `next - 1` and `next`.
     fn between(&self, next: usize, at: f64) -> f64 {
         match (next.checked_sub(1).and_then(|i| self.points.get(i)), self.points.get(next)) {
             (Some(a), Some(b)) if b.0 > a.0 => a.1 + (b.1 - a.1) * ((at - a.0) / (b.0 - a.0)),
@@ -173,9 +176,9 @@
 
     const S: Micros = 1_000_000;
 
-    /// Rate at times, and the integral worked out by hand.
+    /// Rates, and integrals computed by hand.
     #[test]
-    fn rates_and_integrals() {
+    fn rates_and_integrals_of_each_shape() {
         let base = Profile::constant(10.0);
         for (profile, rates, until, expected) in [
             (base.clone(), vec![(0, 10.0), (7, 10.0)], 5, 50.0),
@@ -195,7 +198,7 @@
             }
             let got = profile.expected(until * S);
             assert!((got - expected).abs() < 1e-9, "{profile:?} to {until}: {got}, not {expected}");
-            let back = profile.reaches(expected - 1e-9).unwrap_or(f64::INFINITY);
+            let back = profile.time_of_arrivals(expected - 1e-9).unwrap_or(f64::INFINITY);
             assert!(back <= until as f64 + 1e-6, "{profile:?}: {expected} reached at {back}");
             assert!(
                 (profile.expected(crate::mix::micros(back)) - expected).abs() < 1e-3,
@@ -205,7 +208,7 @@
     }
 
     #[test]
-    fn a_day_is_a_cosine() {
+    fn daily_cycle_is_a_cosine() {
         let day = Profile::day(100.0, 0.6, 86_400 * S, 2 * 86_400 * S);
         for (hour, rate) in [(0, 40.0), (6, 100.0), (12, 160.0), (18, 100.0), (36, 160.0)] {
             assert!(
@@ -219,10 +222,10 @@
     }
 
     #[test]
-    fn nothing_more_comes_after_a_burst() {
+    fn no_arrivals_after_a_burst() {
         let burst = Profile::burst(S, 3 * S, 7.0);
-        assert_eq!(burst.reaches(14.5), None);
-        assert!(burst.reaches(13.9).is_some_and(|at| at < 3.0));
-        assert_eq!(Profile::constant(0.0).reaches(0.1), None);
+        assert_eq!(burst.time_of_arrivals(14.5), None);
+        assert!(burst.time_of_arrivals(13.9).is_some_and(|at| at < 3.0));
+        assert_eq!(Profile::constant(0.0).time_of_arrivals(0.1), None);
     }
 }
--- a/crates/model/src/server/cache.rs
+++ b/crates/model/src/server/cache.rs
@@ -12,7 +12,7 @@
 use super::time::{Nanos, from_micros};
 use super::warmth::{Pressure, Warmth};
 use crate::Micros;
-use crate::value::{Key, MIN_SIZE, Made, Maker, Receipt, Uid};
+use crate::value::{Key, MIN_SIZE, Maker, Receipt, Uid, ValueSpec};
 
 /// A cache server.
 pub type CacheServer = Server<Cache>;
@@ -106,7 +106,7 @@
         let (key, maker) = (request.key, Maker::Cache(uid));
         let (answer, note) = match (found, request.kind) {
             (Found::Copy { version, size }, _) => {
-                let value = Made { key, version, maker, request: Some(request.id), size };
+                let value = ValueSpec { key, version, maker, request: Some(request.id), size };
                 (Answer::Hit { value }, Some(Note::Hit))
             }
             (Found::Missing { others_fetch }, kind) => {
--- a/crates/model/src/server/message.rs
+++ b/crates/model/src/server/message.rs
@@ -1,7 +1,7 @@
 //! What goes into a server and what comes out. No bytes: parsing and writing are the codec's.
 
 use crate::Micros;
-use crate::value::{IdempotencyKey, Key, Made, Maker, Receipt, RequestId, Uid};
+use crate::value::{IdempotencyKey, Key, Maker, Receipt, RequestId, Uid, ValueSpec};
 
 /// A connection, by the number that the driver gave it. Numbers are never used again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -227,7 +227,7 @@
     /// The value of the key.
     Hit {
         /// What the value is; its bytes are `value::make(&value)`.
-        value: Made,
+        value: ValueSpec,
     },
     /// The key is not kept here.
     Miss {
--- a/crates/model/tests/world.rs
+++ b/crates/model/tests/world.rs
@@ -5,8 +5,8 @@
 use lapisrudder_model::Micros;
 use lapisrudder_model::arrivals::{Class, Digest, Load, Population, RequestId};
 use lapisrudder_model::clients::{
-    Clients, ClientsPlan, ConnId, Deal, End, Event, FrontPlan, Habits, Health, NodeId, NotOpen, Order, Reply,
-    Story, Tally,
+    Clients, ClientsPlan, ConnId, ConnectFailure, End, Event, FrontPlan, Habits, Health, NodeId,
+    NodeSelection, Order, Reply, RequestRecord, Tally,
 };
 use lapisrudder_model::mix::Spread;
 use lapisrudder_model::network::{
@@ -38,19 +38,25 @@
     agenda: BTreeMap<(Micros, u64), Do>,
     made: u64,
     faults: Vec<FaultId>,
-    stories: Vec<Story>,
+    stories: Vec<RequestRecord>,
 }
 
 fn world(split: Split, seed: u64) -> World {
-    let class = Class { name: "read".into(), give_up: S, aim: S / 4, worth: 1.0, ..Class::default() };
+    let class =
+        Class { name: "read".into(), give_up: S, latency_target: S / 4, worth: 1.0, ..Class::default() };
     let population = Population { sources: 50, rate: Profile::constant(400.0), ..Population::default() };
     let delay = |base| Delay { base, jitter: Spread::Exponential(200.0) };
     let health = Some(Health { every: S / 2, notice: 3 * S / 2 });
     let plan = ClientsPlan {
         load: Load { span: 10 * S, classes: vec![class], populations: vec![population] },
-        habits: vec![Habits { patience: (0.3, 0.3), connect_limit: S / 5, ..Habits::default() }],
-        front: FrontPlan { zones: vec![0, 0], deal: Deal::Any, health, linger: Spread::Fixed(0) },
-        room: Some(100),
+        habits: vec![Habits { try_timeout_share: (0.3, 0.3), connect_timeout: S / 5, ..Habits::default() }],
+        front: FrontPlan {
+            zones: vec![0, 0],
+            selection: NodeSelection::Any,
+            health,
+            linger: Spread::Fixed(0),
+        },
+        max_connections_per_node: Some(100),
     };
     let links = LinksPlan { zones: vec![0; 3], near: delay(300), far: delay(2000), pairs: Vec::new() };
     let net = NetworkPlan { links, split, buffer: 4096, short_writes: false, bandwidth: None };
@@ -80,7 +86,7 @@
                 self.conns.insert(conn, on);
                 self.names.insert(on, conn);
             }
-            Order::Ask(conn, ask) => {
+            Order::Send(conn, ask) => {
                 let line = ask.line(&self.clients.classes()[0]);
                 assert_eq!(self.net.send(now, self.conns[&conn], Side::Client, &line), line.len());
                 self.clients.handle(now, Event::Written(conn, ask.id));
@@ -94,8 +100,10 @@
                 let up = self.net.links().connect(0, CLIENTS, Host(node.0 + 1)) == Fate::Opens;
                 self.clients.handle(now, Event::Probed(node, up));
             }
-            Order::Over(story) => self.stories.push(*story),
-            Order::Late(..) | Order::Unasked(..) => panic!("{order:?}: no request shares a connection here"),
+            Order::Finished(story) => self.stories.push(*story),
+            Order::Late(..) | Order::Unsolicited(..) => {
+                panic!("{order:?}: no request shares a connection here")
+            }
         }
     }
 
@@ -109,7 +117,9 @@
         };
         match delivery {
             Delivery::Opened(conn) => self.clients.handle(now, Event::Opened(self.names[&conn])),
-            Delivery::Refused(conn) => over(self, conn, |name| Event::OpenFailed(name, NotOpen::Refused)),
+            Delivery::Refused(conn) => {
+                over(self, conn, |name| Event::OpenFailed(name, ConnectFailure::Refused))
+            }
             Delivery::Data(conn, side, bytes) => {
                 let mut came = self.came.remove(&(conn, side)).unwrap_or_default();
                 came.extend_from_slice(&bytes);
@@ -153,7 +163,7 @@
     }
 
     /// Plays to the end: the stories and their digest.
-    fn play(mut self) -> (Vec<Story>, Digest, usize) {
+    fn play(mut self) -> (Vec<RequestRecord>, Digest, usize) {
         let node = |n| Which::Host(Host(n));
         self.plan(2 * S, Do::Begin(node(1), Fault::Cut(Heal::Stay)));
         self.plan(4 * S, Do::End);
@@ -200,12 +210,12 @@
         // 400 a second for 10 s, within 4 deviations.
         assert!(tally.requests.abs_diff(4000) < 253 && tally.goodput() > 0.9, "{tally:?}");
         // A request that meets no fault takes one try; those of the cut and of the killed node more, or fail.
-        let hurt = |story: &&Story| story.tries.len() > 1 || story.end != End::Served;
+        let hurt = |story: &&RequestRecord| story.tries.len() > 1 || story.end != End::Served;
         let seconds: Vec<Micros> = stories.iter().filter(hurt).map(|story| story.due / S).collect();
         let in_second = |n| seconds.iter().filter(|second| **second == n).count();
         assert!(in_second(2) > 20 && in_second(6) > 1, "{seconds:?}");
         assert_eq!([0, 4, 8, 9].map(in_second), [0; 4]);
-        assert!(stories.iter().all(|story| story.over - story.due <= S));
+        assert!(stories.iter().all(|story| story.ended_at - story.due <= S));
     }
 }
 
@@ -213,8 +223,9 @@
 fn a_node_is_used_again_once_it_answers() {
     let (stories, ..) = world(Split::Whole, 5).play();
     let by = |node, from: Micros, to: Micros| {
-        let first =
-            |story: &&Story| (from..to).contains(&story.due) && story.tries[0].node == Some(NodeId(node));
+        let first = |story: &&RequestRecord| {
+            (from..to).contains(&story.due) && story.tries[0].node == Some(NodeId(node))
+        };
         stories.iter().filter(first).count()
     };
     assert!(by(0, 0, 2 * S) > 100 && by(0, 37 * S / 10, 4 * S) == 0 && by(0, 6 * S, 7 * S) > 100);
