--- a/crates/model/src/arrivals/mod.rs
+++ b/crates/model/src/arrivals/mod.rs
@@ -25,7 +25,7 @@
 
 pub use load::{Class, Effect, Load, LoadError, OnOff, Population};
 
-use times::Times;
+use times::ArrivalProcess;
 
 use crate::Micros;
 use crate::draw::stream;
@@ -172,7 +172,7 @@
     fn queue_next(&mut self, population: u16) {
         let i = usize::from(population);
         if let (Some(stream), Some(from)) = (self.streams.get_mut(i), self.load.populations.get(i))
-            && let Some((at, source)) = stream.times.next(from, self.load.span)
+            && let Some((at, source)) = stream.process.next(from, self.load.span)
         {
             self.due.push(Reverse((at, population, source)));
         }
@@ -208,7 +208,7 @@
 /// purpose does not change the others.
 #[derive(Clone, Debug)]
 struct Stream {
-    times: Times,
+    process: ArrivalProcess,
     /// Classes with their cumulative weights.
     mix: Vec<(u16, f64)>,
     classes: ChaCha8Rng,
@@ -227,7 +227,7 @@
             mix.push((class as u16, sum));
         }
         Self {
-            times: Times::new(population, seed, n),
+            process: ArrivalProcess::new(population, seed, n),
             mix,
             classes: stream(seed, "classes", n),
             keys: KeyDraw::new(population.keys.clone(), number),
--- a/crates/model/src/arrivals/times.rs
+++ b/crates/model/src/arrivals/times.rs
@@ -13,18 +13,18 @@
 
 /// The arrival process of one population. Yields arrivals in order of time.
 #[derive(Clone, Debug)]
-pub(super) enum Times {
+pub(super) enum ArrivalProcess {
     /// All clients together are one Poisson process.
     Poisson(Box<Poisson>),
     /// Each client is an on-off source.
     OnOff(Box<OnOffSources>),
 }
 
-impl Times {
+impl ArrivalProcess {
     pub(super) fn new(population: &Population, seed: u64, number: u64) -> Self {
         match population.on_off {
             None => Self::Poisson(Box::new(Poisson {
-                gaps: stream(seed, "gaps", number),
+                gap_draws: stream(seed, "gaps", number),
                 expected: 0.0,
                 source_draws: stream(seed, "who", number),
                 sources: Zipf::new(population.sources, population.skew),
@@ -52,7 +52,7 @@
 /// independently for each arrival, which splits the process into one Poisson process per client.
 #[derive(Clone, Debug)]
 pub(super) struct Poisson {
-    gaps: ChaCha8Rng,
+    gap_draws: ChaCha8Rng,
     /// Integral of the rate from 0 to the last arrival.
     expected: f64,
     source_draws: ChaCha8Rng,
@@ -61,7 +61,7 @@
 
 impl Poisson {
     fn next(&mut self, population: &Population, span: Micros) -> Option<(Micros, u32)> {
-        self.expected += exponential(&mut self.gaps);
+        self.expected += exponential(&mut self.gap_draws);
         let at = micros(population.rate.time_of_arrivals(self.expected)?);
         (at < span).then(|| (at, self.sources.draw(&mut self.source_draws)))
     }
--- a/crates/model/src/clients/bad.rs
+++ b/crates/model/src/clients/bad.rs
@@ -89,14 +89,14 @@
     /// When it was established.
     pub opened: Micros,
     /// When the first error or close arrived; `None` if none arrived in time.
-    pub met: Option<Micros>,
+    pub rejected_at: Option<Micros>,
     /// The node should have rejected it and did not. A connection that the client itself closes need not be rejected.
-    pub missed: bool,
-    /// It was served as though its request had been executed, which is a violation. With `borrowed` it is one only if
-    /// the other client's request was still in progress when the node read this one.
+    pub not_rejected: bool,
+    /// It was served as though its request had been executed, which is a violation. With `foreign_id` it is one only
+    /// if the other client's request was still in progress when the node read this one.
     pub served: bool,
     /// The other client's request id that it used.
-    pub borrowed: Option<RequestId>,
+    pub foreign_id: Option<RequestId>,
 }
 
 #[derive(Debug)]
@@ -107,9 +107,9 @@
     /// How many times the client has reconnected.
     round: u32,
     opened: Option<Micros>,
-    met: Option<Micros>,
+    rejected_at: Option<Micros>,
     served: bool,
-    borrowed: Option<RequestId>,
+    foreign_id: Option<RequestId>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -136,6 +136,7 @@
     next_id: u64,
     due: BinaryHeap<Reverse<(Micros, Timer)>>,
     orders: VecDeque<BadOrder>,
+    /// The id of another client's request that was last reported as in progress.
     open_request: Option<RequestId>,
 }
 
@@ -201,7 +202,7 @@
             }
             BadEvent::Error(id) => {
                 if let Some(conn) = self.conns.get_mut(&id) {
-                    conn.met.get_or_insert(now);
+                    conn.rejected_at.get_or_insert(now);
                 }
                 if self.kind(id) == Some(BadKind::Again) {
                     self.reconnect(now, id);
@@ -215,7 +216,7 @@
             }
             BadEvent::Closed(id) => {
                 if let Some(conn) = self.conns.get_mut(&id) {
-                    conn.met.get_or_insert(now);
+                    conn.rejected_at.get_or_insert(now);
                 }
                 self.reconnect(now, id);
                 self.report(id, false);
@@ -277,7 +278,16 @@
             NodeId(below(&mut keyed_rng(self.seed, "bad-node", number, draw), self.nodes.into()) as u32);
         self.conns.insert(
             conn,
-            Conn { node, population, number, round, opened: None, met: None, served: false, borrowed: None },
+            Conn {
+                node,
+                population,
+                number,
+                round,
+                opened: None,
+                rejected_at: None,
+                served: false,
+                foreign_id: None,
+            },
         );
         self.orders.push_back(BadOrder::Open { conn, node, population, zone });
     }
@@ -287,8 +297,8 @@
         let Some(conn) = self.conns.get_mut(&id) else { return };
         conn.opened = Some(now);
         if kind == BadKind::ForeignId {
-            conn.borrowed = self.open_request;
-            if conn.borrowed.is_none() {
+            conn.foreign_id = self.open_request;
+            if conn.foreign_id.is_none() {
                 // With an id of its own, this client would not misbehave.
                 return self.close(id, false);
             }
@@ -332,10 +342,10 @@
             node: conn.node,
             kind,
             opened,
-            met: conn.met,
-            missed: expired && conn.met.is_none() && !answered,
+            rejected_at: conn.rejected_at,
+            not_rejected: expired && conn.rejected_at.is_none() && !answered,
             served,
-            borrowed: conn.borrowed,
+            foreign_id: conn.foreign_id,
         }));
     }
 }
--- a/crates/model/src/clients/bad/tests.rs
+++ b/crates/model/src/clients/bad/tests.rs
@@ -53,7 +53,7 @@
     let (error, close, serve) = (BadEvent::Error, BadEvent::Closed, BadEvent::Served);
     type Case = (BadKind, Vec<NodeAction>, Option<Micros>, bool, bool);
     let cases: [Case; 9] = [
-        // The kind, what the node does; `met`, `missed` and `served` of the verdict.
+        // The kind, what the node does; `rejected_at`, `not_rejected` and `served` of the verdict.
         (BadKind::Noise, vec![(10, error)], Some(1010), false, false),
         (BadKind::Noise, vec![(20, close)], Some(1020), false, false),
         (BadKind::Noise, vec![], None, true, false),
@@ -64,12 +64,16 @@
         (BadKind::Burst, vec![(10, serve)], None, false, false),
         (BadKind::Half, vec![], None, false, false),
     ];
-    for (kind, node, met, missed, served) in cases {
+    for (kind, node, rejected_at, not_rejected, served) in cases {
         let (opened, verdicts, _) = run(kind, &node);
         assert_eq!((opened, verdicts.len()), (1, 1), "{kind:?}");
         let verdict = verdicts[0];
-        assert_eq!((verdict.met, verdict.missed, verdict.served), (met, missed, served), "{kind:?}");
-        assert_eq!(verdict.borrowed.is_some(), kind == BadKind::ForeignId);
+        assert_eq!(
+            (verdict.rejected_at, verdict.not_rejected, verdict.served),
+            (rejected_at, not_rejected, served),
+            "{kind:?}"
+        );
+        assert_eq!(verdict.foreign_id.is_some(), kind == BadKind::ForeignId);
     }
 }
 
@@ -79,5 +83,7 @@
     assert_eq!((opened, verdicts.len()), (4, 4), "the first connection and three reconnects");
     let (opened, verdicts, closed) = run(BadKind::Silent, &[(2 * S, BadEvent::Closed)]);
     assert!((100..=300).contains(&opened) && verdicts.len() == opened && closed == 0);
-    assert!(verdicts.iter().all(|verdict| verdict.met == Some(2 * S + 1000) && !verdict.missed));
+    assert!(
+        verdicts.iter().all(|verdict| verdict.rejected_at == Some(2 * S + 1000) && !verdict.not_rejected)
+    );
 }
--- a/crates/model/src/clients/exchange.rs
+++ b/crates/model/src/clients/exchange.rs
@@ -4,7 +4,7 @@
 use rand::RngCore;
 
 use super::machine::{Clients, Timer};
-use super::pool::{Sent, TryRef};
+use super::pool::{PendingTry, TryRef};
 use super::{ClientEndpoint, ConnId, End, NodeId, Order, OutgoingRequest, Reply, ReusePolicy};
 use crate::Micros;
 use crate::arrivals::RequestId;
@@ -63,8 +63,8 @@
     /// Appends a try to a connection's pipeline, and sends it if the connection is open.
     fn assign_to(&mut self, now: Micros, try_ref: TryRef, id: ConnId) {
         let Some(conn) = self.pool.get_mut(id) else { return };
-        conn.sent.push_back(Sent { try_ref, cancelled: false, response_started: false });
-        let (node, open, at_front) = (conn.node, conn.open, conn.sent.len() == 1);
+        conn.pending.push_back(PendingTry { try_ref, cancelled: false, response_started: false });
+        let (node, open, at_front) = (conn.node, conn.open, conn.pending.len() == 1);
         if let Some(current) = self.active_try(try_ref) {
             current.node = Some(node);
             current.conn = Some(id);
@@ -96,9 +96,9 @@
         let Some(conn) = self.pool.get_mut(id) else { return };
         conn.open = true;
         let tries: Vec<TryRef> =
-            conn.sent.iter().filter(|sent| !sent.cancelled).map(|sent| sent.try_ref).collect();
+            conn.pending.iter().filter(|pending| !pending.cancelled).map(|pending| pending.try_ref).collect();
         // Tries that were cancelled while the connection was being opened are not written.
-        conn.sent.retain(|sent| !sent.cancelled);
+        conn.pending.retain(|pending| !pending.cancelled);
         for try_ref in tries {
             self.send(now, try_ref, id);
         }
@@ -106,7 +106,7 @@
 
     pub(super) fn on_written(&mut self, now: Micros, conn: ConnId, id: RequestId) {
         let Some(conn) = self.pool.get(conn) else { return };
-        let tries: Vec<TryRef> = conn.sent.iter().map(|sent| sent.try_ref).collect();
+        let tries: Vec<TryRef> = conn.pending.iter().map(|pending| pending.try_ref).collect();
         for try_ref in tries {
             if let Some(current) = self.active_try(try_ref).filter(|current| current.id == id) {
                 current.written = Some(now);
@@ -122,16 +122,16 @@
         reply: Reply,
     ) {
         let Some(conn) = self.pool.get_mut(id) else { return };
-        let Some(sent) = conn.sent.pop_front() else {
+        let Some(pending) = conn.pending.pop_front() else {
             self.orders.push_back(Order::Unsolicited(id, response_id));
             return self.close(now, id);
         };
         conn.used = true;
-        let next = conn.sent.front().map(|sent| sent.try_ref);
+        let next = conn.pending.front().map(|pending| pending.try_ref);
         if let Some(current) = next.and_then(|try_ref| self.active_try(try_ref)) {
             current.at_front = Some(now);
         }
-        let own_id = RequestId::of(self.seed, sent.try_ref.number, sent.try_ref.attempt);
+        let own_id = RequestId::of(self.seed, pending.try_ref.number, pending.try_ref.attempt);
         let foreign = response_id.is_some_and(|response_id| response_id != own_id);
         let reply = if foreign { Reply::Corrupt } else { reply };
         if reply == Reply::Corrupt
@@ -141,7 +141,7 @@
             conn.closing = true;
         }
         self.release(now, id);
-        if sent.cancelled {
+        if pending.cancelled {
             self.orders.push_back(Order::Late(id, own_id));
         } else {
             let end = match reply {
@@ -150,7 +150,7 @@
                 Reply::Busy(after) => End::Refused(after),
                 Reply::Failed => End::Failed,
             };
-            self.end_try(now, sent.try_ref, end);
+            self.end_try(now, pending.try_ref, end);
         }
     }
 
@@ -158,7 +158,8 @@
     /// tries.
     fn release(&mut self, now: Micros, id: ConnId) {
         let Some(conn) = self.pool.get(id) else { return };
-        let (from, node, empty) = (conn.from, conn.node, conn.sent.iter().all(|sent| sent.cancelled));
+        let (from, node, empty) =
+            (conn.from, conn.node, conn.pending.iter().all(|pending| pending.cancelled));
         let closing = conn.closing;
         let Some(habits) = self.habits(from.population) else { return };
         let (reuse, idle_timeout) = (habits.reuse, habits.idle_timeout);
@@ -168,7 +169,7 @@
             }
             return;
         }
-        if conn.sent.is_empty() {
+        if conn.pending.is_empty() {
             self.pool.set_idle(now, id, reuse == ReusePolicy::Reuse);
             let timer_was_set =
                 self.pool.get_mut(id).map(|conn| std::mem::replace(&mut conn.idle_timer_set, true));
@@ -232,22 +233,22 @@
     pub(super) fn on_closed(&mut self, now: Micros, id: ConnId) {
         let Some(conn) = self.pool.remove(id) else { return };
         let resend_window = self.habits(conn.from.population).and_then(|habits| habits.resend_window);
-        for sent in &conn.sent {
-            if sent.cancelled {
+        for pending in &conn.pending {
+            if pending.cancelled {
                 continue;
             }
-            let Some(current) = self.active_try(sent.try_ref) else { continue };
+            let Some(current) = self.active_try(pending.try_ref) else { continue };
             let within_window =
                 current.ordered_at.zip(resend_window).is_some_and(|(at, window)| now - at <= window);
             if !conn.open {
-                self.end_try(now, sent.try_ref, End::Unreachable);
-            } else if conn.used && !sent.response_started && within_window && current.resent.is_none() {
+                self.end_try(now, pending.try_ref, End::Unreachable);
+            } else if conn.used && !pending.response_started && within_window && current.resent.is_none() {
                 current.resent = Some(now);
                 current.ordered_at = None;
                 current.written = None;
-                self.assign_connection(now, sent.try_ref, true);
+                self.assign_connection(now, pending.try_ref, true);
             } else {
-                self.end_try(now, sent.try_ref, End::Broken);
+                self.end_try(now, pending.try_ref, End::Broken);
             }
         }
         self.assign_waiting(now, conn.from, conn.node);
--- a/crates/model/src/clients/machine.rs
+++ b/crates/model/src/clients/machine.rs
@@ -140,7 +140,7 @@
             Event::OpenFailed(conn, _) => self.on_closed(now, conn),
             Event::Written(conn, id) => self.on_written(now, conn, id),
             Event::ResponseStarted(conn) => {
-                if let Some(first) = self.pool.get_mut(conn).and_then(|conn| conn.sent.front_mut()) {
+                if let Some(first) = self.pool.get_mut(conn).and_then(|conn| conn.pending.front_mut()) {
                     first.response_started = true;
                 }
             }
@@ -345,10 +345,10 @@
         let conn = current.conn;
         if let Some((id, conn)) = conn.and_then(|id| Some((id, self.pool.get_mut(id)?))) {
             conn.closing = true;
-            if let Some(sent) = conn.sent.iter_mut().find(|sent| sent.try_ref == try_ref) {
-                sent.cancelled = true;
+            if let Some(pending) = conn.pending.iter_mut().find(|pending| pending.try_ref == try_ref) {
+                pending.cancelled = true;
             }
-            if conn.sent.iter().all(|sent| sent.cancelled) {
+            if conn.pending.iter().all(|pending| pending.cancelled) {
                 self.close(now, id);
             }
         }
--- a/crates/model/src/clients/machine/tests.rs
+++ b/crates/model/src/clients/machine/tests.rs
@@ -10,12 +10,12 @@
 
 /// What the node does with the next request that it receives.
 #[derive(Clone, Copy, Debug)]
-enum Act {
-    /// Responds after so many milliseconds.
+enum Action {
+    /// Responds after this many milliseconds.
     Answer(Micros, Reply),
-    /// Responds with another request's id after so many milliseconds.
+    /// Responds with another request's id after this many milliseconds.
     Foreign(Micros),
-    /// Closes the connection after so many milliseconds.
+    /// Closes the connection after this many milliseconds.
     Close(Micros),
     /// Does not respond.
     Never,
@@ -29,7 +29,7 @@
     Never,
 }
 
-use Act::{Answer, Close, Foreign, Never};
+use Action::{Answer, Close, Foreign, Never};
 use Reply::{Busy, Failed, Served};
 
 #[derive(Clone)]
@@ -42,14 +42,14 @@
     /// When each request is due, in milliseconds, and its client.
     requests: Vec<(Micros, u32)>,
     connects: Vec<ConnectOutcome>,
-    acts: Vec<Act>,
+    acts: Vec<Action>,
     /// Further events, with their times in milliseconds.
     events: Vec<(Micros, Event)>,
     expected: &'static [&'static str],
 }
 
 impl Case {
-    fn new(name: &'static str, acts: &[Act], expected: &'static [&'static str]) -> Self {
+    fn new(name: &'static str, acts: &[Action], expected: &'static [&'static str]) -> Self {
         Self {
             name,
             ready: true,
@@ -115,12 +115,12 @@
     for (n, (at, event)) in case.events.iter().enumerate() {
         events.insert((at * MS, n), *event);
     }
-    let (mut now, mut made) = (0, 1000);
+    let (mut now, mut event_seq) = (0, 1000);
     while now <= 5000 * MS {
         while let Some(order) = clients.poll(now) {
-            made += 1;
+            event_seq += 1;
             let at = now / MS;
-            let mut after = |wait: Micros, event| events.insert((now + wait * MS, made), event);
+            let mut after = |wait: Micros, event| events.insert((now + wait * MS, event_seq), event);
             match order {
                 Order::Open { conn, from, .. } => {
                     lines.push(format!("{at} open {} by {}", conn.0, from.source));
@@ -595,7 +595,7 @@
     let first_request_lines = |lines: Vec<String>| -> Vec<String> {
         lines
             .into_iter()
-            .filter(|line| line.contains("send 0.") || line.contains("end 0"))
+            .filter(|line| line.contains("send 0.") || line.contains(" end 0 "))
             .map(|line| {
                 let words: Vec<&str> = line.split(' ').filter(|word| word.parse::<u32>().is_err()).collect();
                 format!("{} {}", line.split(' ').next().unwrap_or_default(), words.join(" "))
--- a/crates/model/src/clients/pace.rs
+++ b/crates/model/src/clients/pace.rs
@@ -13,7 +13,7 @@
 }
 
 /// Unused time of a slow reader that counts towards its next read, at most. It bounds the size of a single read.
-const CATCH_UP: Micros = 100_000;
+const MAX_CATCH_UP: Micros = 100_000;
 
 impl Pace {
     /// The limit for a connection that is established now.
@@ -30,7 +30,7 @@
         match self.reader {
             Reader::Full | Reader::Late(_) => usize::MAX,
             Reader::Slow(rate) => {
-                let span = (now - self.from).min(CATCH_UP) as u128;
+                let span = (now - self.from).min(MAX_CATCH_UP) as u128;
                 (span * u128::from(rate) / 1_000_000 + 1) as usize
             }
         }
@@ -40,7 +40,7 @@
     pub fn took(&mut self, now: Micros, bytes: usize) {
         if let Reader::Slow(rate) = self.reader {
             let span = (bytes as u128 * 1_000_000).div_ceil(u128::from(rate.max(1))) as Micros;
-            self.from = self.from.max(now - CATCH_UP) + span;
+            self.from = self.from.max(now - MAX_CATCH_UP) + span;
         }
     }
 
--- a/crates/model/src/clients/pool.rs
+++ b/crates/model/src/clients/pool.rs
@@ -14,9 +14,9 @@
     pub(super) attempt: u8,
 }
 
-/// A try on a connection.
+/// A try on a connection, from its assignment until its response is complete.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Sent {
+pub(super) struct PendingTry {
     pub(super) try_ref: TryRef,
     /// The client no longer waits for its response.
     pub(super) cancelled: bool,
@@ -31,7 +31,7 @@
     pub(super) node: NodeId,
     pub(super) open: bool,
     /// Tries whose response is pending, in the order of their commands.
-    pub(super) sent: VecDeque<Sent>,
+    pub(super) pending: VecDeque<PendingTry>,
     /// A response has arrived on it.
     pub(super) used: bool,
     /// Takes no further request, and is closed once no response is awaited on it.
@@ -131,7 +131,7 @@
         let client = self.clients.get(&(from.population, from.source))?;
         let candidates = client.conns.iter().filter_map(|id| {
             let conn = self.conns.get(id)?;
-            let pending = conn.sent.len();
+            let pending = conn.pending.len();
             (!conn.closing && pending < pipeline as usize).then_some((pending, *id))
         });
         candidates.min().map(|found| found.1)
@@ -148,7 +148,7 @@
             from,
             node,
             open: false,
-            sent: VecDeque::new(),
+            pending: VecDeque::new(),
             used: false,
             closing: false,
             idle_since: None,
