--- a/crates/model/src/arrivals/load.rs
+++ b/crates/model/src/arrivals/load.rs
@@ -38,15 +38,16 @@
     pub worth: f64,
     /// Share of the worth, 0 to 1, that a response after the latency target earns.
     pub late_worth: f64,
-    /// How long servers deduplicate repeats of a guarded request; `dropped_by_all` says whether all servers do.
+    /// How long servers deduplicate repeats of a guarded request; `dropped_by_all` says whether all servers
+    /// do.
     pub window: Micros,
-    /// All servers deduplicate repeats (`group` is `all`). Only then does a client retry a guarded request that may
-    /// have been executed.
+    /// All servers deduplicate repeats (`group` is `all`). Only then does a client retry a guarded request
+    /// that may have been executed.
     pub dropped_by_all: bool,
 }
 
-/// An on-off source: each client alternates between a period with requests and a period without, independently of
-/// the other clients.
+/// An on-off source: each client alternates between a period with requests and a period without,
+/// independently of the other clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OnOff {
     /// Duration of an on period, in which the client sends requests.
@@ -149,7 +150,8 @@
 }
 
 impl Class {
-    /// The first invalid field and why it is invalid. Messages call `latency_target` by its outer name, `aim`.
+    /// The first invalid field and why it is invalid. Messages call `latency_target` by its outer name,
+    /// `aim`.
     fn fault(&self) -> Option<(&'static str, &'static str)> {
         if self.give_up <= 0 {
             return Some(("give_up", "must be above 0"));
@@ -171,7 +173,8 @@
 }
 
 impl Population {
-    /// The first invalid field and why it is invalid. Messages call `sources_per_address` by its outer name, `behind`.
+    /// The first invalid field and why it is invalid. Messages call `sources_per_address` by its outer name,
+    /// `behind`.
     fn fault(&self, classes: usize) -> Option<(&'static str, &'static str)> {
         if self.sources == 0 {
             return Some(("sources", "must be above 0"));
--- a/crates/model/src/arrivals/mod.rs
+++ b/crates/model/src/arrivals/mod.rs
@@ -1,5 +1,5 @@
-//! The plan of a load: which requests arrive when. Arrivals are drawn independently of how earlier requests fare
-//! (open loop).
+//! The plan of a load: which requests arrive when. Arrivals are drawn independently of how earlier requests
+//! fare (open loop).
 //!
 //! ```
 //! use lapisrudder_model::arrivals::{Class, Load, Plan, Population};
@@ -7,7 +7,13 @@
 //!
 //! let load = Load {
 //!     span: 10_000_000,
-//!     classes: vec![Class { name: "read".into(), give_up: 2_500_000, latency_target: 750_000, worth: 5.0, ..Class::default() }],
+//!     classes: vec![Class {
+//!         name: "read".into(),
+//!         give_up: 2_500_000,
+//!         latency_target: 750_000,
+//!         worth: 5.0,
+//!         ..Class::default()
+//!     }],
 //!     populations: vec![Population { rate: Profile::constant(300.0), ..Population::default() }],
 //! };
 //! let plan = Plan::draw(&load, 7)?;
@@ -37,8 +43,8 @@
 pub struct RequestId(pub u64);
 
 impl RequestId {
-    /// The id of a request's try; tries are numbered from 0 to 255. For one seed the mapping is a bijection, so ids
-    /// are unique for up to 2^56 requests.
+    /// The id of a request's try; tries are numbered from 0 to 255. For one seed the mapping is a bijection,
+    /// so ids are unique for up to 2^56 requests.
     pub fn of(seed: u64, number: u64, attempt: u8) -> Self {
         Self(mix((number << 8 | u64::from(attempt)) ^ mix(seed ^ 0x7265_7175_6573_7400)))
     }
@@ -137,7 +143,8 @@
     }
 }
 
-/// An iterator that draws the arrivals of a load one by one in order of time, for plans too long to hold in memory.
+/// An iterator that draws the arrivals of a load one by one in order of time, for plans too long to hold in
+/// memory.
 #[derive(Clone, Debug)]
 pub struct Arrivals {
     load: Load,
@@ -204,8 +211,8 @@
     }
 }
 
-/// The random draws of one population. Each purpose has its own random stream, so that a draw more or less for one
-/// purpose does not change the others.
+/// The random draws of one population. Each purpose has its own random stream, so that a draw more or less
+/// for one purpose does not change the others.
 #[derive(Clone, Debug)]
 struct Stream {
     process: ArrivalProcess,
--- a/crates/model/src/arrivals/tests.rs
+++ b/crates/model/src/arrivals/tests.rs
@@ -56,7 +56,8 @@
 fn same_seed_draws_identical_plan() {
     let plan = draw(&full_featured(), 42);
     assert_eq!(plan, draw(&full_featured(), 42));
-    // Pinned digest: detects a machine, build or library version that draws different values for the same seed.
+    // Pinned digest: detects a machine, build or library version that draws different values for the same
+    // seed.
     assert_eq!((plan.arrivals.len(), plan.digest().to_string().as_str()), (5019, "84394e936cd6258a"));
     assert_ne!(plan.digest(), draw(&full_featured(), 43).digest());
     assert!(plan.arrivals.windows(2).all(|pair| pair[0].at <= pair[1].at));
@@ -64,9 +65,10 @@
     assert!(plan.arrivals.iter().all(|a| (a.size > 0, a.once > 0) == (a.class == 1, a.class == 1)));
 }
 
-/// The index of dispersion of the arrival counts per window. The counts of a Poisson process have a variance equal to
-/// their mean. For n windows the index times (n - 1) is chi-square with n - 1 degrees of freedom (Cox and Lewis,
-/// 1966), so the index has mean 1 and standard deviation sqrt(2 / (n - 1)); tests allow 4 standard deviations.
+/// The index of dispersion of the arrival counts per window. The counts of a Poisson process have a variance
+/// equal to their mean. For n windows the index times (n - 1) is chi-square with n - 1 degrees of freedom
+/// (Cox and Lewis, 1966), so the index has mean 1 and standard deviation sqrt(2 / (n - 1)); tests allow 4
+/// standard deviations.
 fn dispersion(plan: &Plan, windows: usize, window: Micros) -> f64 {
     let mut counts = vec![0.0; windows];
     for arrival in &plan.arrivals {
@@ -83,8 +85,8 @@
     let plan = draw(&load(100 * S, vec![sources]), 1);
     let index = dispersion(&plan, 2000, 50_000);
     assert!((index - 1.0).abs() < 4.0 * (2.0 / 1999.0f64).sqrt(), "index of dispersion {index}");
-    // Kolmogorov-Smirnov test: the largest difference of the gaps' distribution from 1 - e^-x exceeds
-    // 1.95 / sqrt(n) with a probability of 1 in 1,000. Checked for all gaps, and for the gaps of one client, which
+    // Kolmogorov-Smirnov test: the largest difference of the gaps' distribution from 1 - e^-x exceeds 1.95 /
+    // sqrt(n) with a probability of 1 in 1,000. Checked for all gaps, and for the gaps of one client, which
     // must be a Poisson process too.
     let gaps = |include: &dyn Fn(&Arrival) -> bool, mean: f64| {
         let times: Vec<Micros> = plan.arrivals.iter().filter(|a| include(a)).map(|a| a.at).collect();
@@ -102,8 +104,8 @@
     }
 }
 
-/// The number of arrivals up to a time is Poisson with the integral of the rate as mean: within 4 standard deviations
-/// (the square root of the mean).
+/// The number of arrivals up to a time is Poisson with the integral of the rate as mean: within 4 standard
+/// deviations (the square root of the mean).
 #[test]
 fn arrivals_follow_rate_profile() {
     for profile in [
@@ -124,11 +126,11 @@
     }
 }
 
-/// On-off sources keep the mean rate, and their bursts show as a higher index of dispersion. For a rate with mean m
-/// and variance V whose autocorrelation decays exponentially with time constant T, the counts over a window w have
-/// the index 1 + 2 V T / m x (1 - T / w) for w much longer than T (Cox and Lewis, 1966, on doubly stochastic
-/// processes). Here a client sends 20 requests per second for half of the time: V = 20^2 / 4, m = 10, and
-/// T = 1 / (1 + 1) s.
+/// On-off sources keep the mean rate, and their bursts show as a higher index of dispersion. For a rate with
+/// mean m and variance V whose autocorrelation decays exponentially with time constant T, the counts over a
+/// window w have the index 1 + 2 V T / m x (1 - T / w) for w much longer than T (Cox and Lewis, 1966, on
+/// doubly stochastic processes). Here a client sends 20 requests per second for half of the time: V = 20^2 /
+/// 4, m = 10, and T = 1 / (1 + 1) s.
 #[test]
 fn on_off_sources_keep_mean_rate_and_are_bursty() {
     let on_off = OnOff { on: Spread::Exponential(1e6), off: Spread::Exponential(1e6) };
--- a/crates/model/src/arrivals/times.rs
+++ b/crates/model/src/arrivals/times.rs
@@ -47,9 +47,10 @@
     }
 }
 
-/// A Poisson process whose rate varies over time, sampled by time change: the integral of the rate between two
-/// arrivals is exponential with mean 1 (Çinlar, Introduction to Stochastic Processes, 1975, 4.7). The client is drawn
-/// independently for each arrival, which splits the process into one Poisson process per client.
+/// A Poisson process whose rate varies over time, sampled by time change: the integral of the rate between
+/// two arrivals is exponential with mean 1 (Çinlar, Introduction to Stochastic Processes, 1975, 4.7). The
+/// client is drawn independently for each arrival, which splits the process into one Poisson process per
+/// client.
 #[derive(Clone, Debug)]
 pub(super) struct Poisson {
     gap_draws: ChaCha8Rng,
@@ -88,9 +89,9 @@
         Some((at, source))
     }
 
-    /// Draws each client's state at time 0. The probability of being on is the mean on period over the sum of the
-    /// mean on and off periods. The rest of the period in progress is drawn as a full period: exact for an
-    /// exponential distribution, too long for others.
+    /// Draws each client's state at time 0. The probability of being on is the mean on period over the sum of
+    /// the mean on and off periods. The rest of the period in progress is drawn as a full period: exact for
+    /// an exponential distribution, too long for others.
     fn start(&mut self, population: &Population, span: Micros) {
         let (on, off) = (self.on_off.on.mean(), self.on_off.off.mean());
         for source in 0..population.sources {
@@ -108,8 +109,8 @@
         from + self.on_off.on.draw(&mut self.draws).max(1) as f64 / 1e6
     }
 
-    /// Queues the client's next arrival after `from`, a time in its on period. A Poisson process is memoryless, so a
-    /// new gap is drawn for each on period.
+    /// Queues the client's next arrival after `from`, a time in its on period. A Poisson process is
+    /// memoryless, so a new gap is drawn for each on period.
     fn queue_next(&mut self, population: &Population, span: Micros, source: u32, mut from: f64) {
         let (on, off) = (self.on_off.on.mean(), self.on_off.off.mean());
         let per_client = (on + off) / on / f64::from(population.sources.max(1));
--- a/crates/model/src/clients/bad.rs
+++ b/crates/model/src/clients/bad.rs
@@ -90,10 +90,11 @@
     pub opened: Micros,
     /// When the first error or close arrived; `None` if none arrived in time.
     pub rejected_at: Option<Micros>,
-    /// The node should have rejected it and did not. A connection that the client itself closes need not be rejected.
+    /// The node should have rejected it and did not. A connection that the client itself closes need not be
+    /// rejected.
     pub not_rejected: bool,
-    /// It was served as though its request had been executed, which is a violation. With `foreign_id` it is one only
-    /// if the other client's request was still in progress when the node read this one.
+    /// It was served as though its request had been executed, which is a violation. With `foreign_id` it is
+    /// one only if the other client's request was still in progress when the node read this one.
     pub served: bool,
     /// The other client's request id that it used.
     pub foreign_id: Option<RequestId>,
@@ -329,7 +330,8 @@
         }
     }
 
-    /// Removes a connection and reports its verdict. `expired` says that the time limit for rejecting it has passed.
+    /// Removes a connection and reports its verdict. `expired` says that the time limit for rejecting it has
+    /// passed.
     fn report(&mut self, id: ConnId, expired: bool) {
         let Some(kind) = self.kind(id) else { return };
         let Some(conn) = self.conns.remove(&id) else { return };
--- a/crates/model/src/clients/bad/tests.rs
+++ b/crates/model/src/clients/bad/tests.rs
@@ -5,9 +5,9 @@
 /// What the node does, and how long after the connection is established.
 type NodeAction = (Micros, fn(ConnId) -> BadEvent);
 
-/// Runs one client of a kind, which starts at time 0. Each connection is established after 1 ms, and the node then
-/// does the given actions on it. Returns the number of connections, the verdicts, and the number of connections that
-/// the client closed.
+/// Runs one client of a kind, which starts at time 0. Each connection is established after 1 ms, and the node
+/// then does the given actions on it. Returns the number of connections, the verdicts, and the number of
+/// connections that the client closed.
 fn run(kind: BadKind, node: &[NodeAction]) -> (usize, Vec<Verdict>, usize) {
     let plan = BadPlan { kind, zone: 0, rate: Profile::burst(0, 1000, 1e9), again: 3 };
     let mut bad = BadClients::new(vec![plan], "read", 2, 1, 1).unwrap();
--- a/crates/model/src/clients/bad_bytes.rs
+++ b/crates/model/src/clients/bad_bytes.rs
@@ -1,4 +1,5 @@
-//! The bytes that misbehaving clients send. They are generated as test data; nothing in this module parses them.
+//! The bytes that misbehaving clients send. They are generated as test data; nothing in this module parses
+//! them.
 
 use bytes::Bytes;
 use rand::RngCore;
@@ -77,12 +78,14 @@
         NAMES.iter().find(|(_, kind_name)| *kind_name == name).map(|(kind, _)| *kind)
     }
 
-    /// Time limit, from when the connection is established, within which the node must send an error or close it.
+    /// Time limit, from when the connection is established, within which the node must send an error or close
+    /// it.
     pub fn reject_within(self) -> Micros {
         if self == Self::HugeValue { 6_000_000 } else { 3_000_000 }
     }
 
-    /// Whether serving a request of this kind is a violation: all kinds but [`BadKind::Burst`] send invalid requests.
+    /// Whether serving a request of this kind is a violation: all kinds but [`BadKind::Burst`] send invalid
+    /// requests.
     pub fn must_not_be_served(self) -> bool {
         self != Self::Burst
     }
--- a/crates/model/src/clients/exchange.rs
+++ b/crates/model/src/clients/exchange.rs
@@ -11,8 +11,8 @@
 use crate::mix::keyed_rng;
 
 impl Clients {
-    /// Assigns a try to a connection, or queues it until one is available. With `force_new` the connection is a new
-    /// one, whatever the client already holds.
+    /// Assigns a try to a connection, or queues it until one is available. With `force_new` the connection is
+    /// a new one, whatever the client already holds.
     pub(super) fn assign_connection(&mut self, now: Micros, try_ref: TryRef, force_new: bool) {
         let Some(arrival) = self.active_request(try_ref).map(|request| request.arrival) else { return };
         let (Some(from), Some(habits)) = (self.client_endpoint(&arrival), self.habits(arrival.population))
@@ -45,7 +45,8 @@
             return self.end_try(now, try_ref, End::Unreachable);
         };
         if self.plan.max_connections_per_node.is_some_and(|max| self.pool.count(node) >= max) {
-            // At the limit, the connection that has been idle for longest is closed to make way for the new one.
+            // At the limit, the connection that has been idle for longest is closed to make way for the new
+            // one.
             match self.pool.longest_idle(node) {
                 Some(oldest) => {
                     self.pool.remove(oldest);
@@ -137,7 +138,8 @@
         if reply == Reply::Corrupt
             && let Some(conn) = self.pool.get_mut(id)
         {
-            // After a corrupt response, later responses on the connection cannot be matched to their requests.
+            // After a corrupt response, later responses on the connection cannot be matched to their
+            // requests.
             conn.closing = true;
         }
         self.release(now, id);
@@ -154,8 +156,8 @@
         }
     }
 
-    /// After a response: closes the connection or makes it idle if it has no other request, and assigns waiting
-    /// tries.
+    /// After a response: closes the connection or makes it idle if it has no other request, and assigns
+    /// waiting tries.
     fn release(&mut self, now: Micros, id: ConnId) {
         let Some(conn) = self.pool.get(id) else { return };
         let (from, node, empty) =
@@ -206,8 +208,8 @@
         }
     }
 
-    /// The idle timer of a connection: closes the connection if it has been idle for the whole timeout, or sets the
-    /// timer again if it became idle later. Does nothing for a connection in use.
+    /// The idle timer of a connection: closes the connection if it has been idle for the whole timeout, or
+    /// sets the timer again if it became idle later. Does nothing for a connection in use.
     pub(super) fn on_idle_timeout(&mut self, now: Micros, id: ConnId) {
         let Some(conn) = self.pool.get_mut(id) else { return };
         conn.idle_timer_set = false;
@@ -228,8 +230,9 @@
         }
     }
 
-    /// Removes a connection that is closed or was not established. Its tries end, or are sent once more on a new
-    /// connection where the close crossed the request (see [`Habits::resend_window`](super::Habits::resend_window)).
+    /// Removes a connection that is closed or was not established. Its tries end, or are sent once more on a
+    /// new connection where the close crossed the request (see
+    /// [`Habits::resend_window`](super::Habits::resend_window)).
     pub(super) fn on_closed(&mut self, now: Micros, id: ConnId) {
         let Some(conn) = self.pool.remove(id) else { return };
         let resend_window = self.habits(conn.from.population).and_then(|habits| habits.resend_window);
--- a/crates/model/src/clients/front.rs
+++ b/crates/model/src/clients/front.rs
@@ -34,15 +34,15 @@
     pub zones: Vec<u16>,
     /// How the node for a connection is selected.
     pub selection: NodeSelection,
-    /// Health checks. Without them, a node is in use from its first successful [`Front::probed`] to its first failed
-    /// one.
+    /// Health checks. Without them, a node is in use from its first successful [`Front::probed`] to its first
+    /// failed one.
     pub health: Option<Health>,
     /// How long new connections still reach a node after its planned stop was announced.
     pub linger: Spread,
 }
 
-/// Tracks which nodes are in use. A node is in use from its first answer to `mn` until its last answer is older than
-/// [`Health::notice`].
+/// Tracks which nodes are in use. A node is in use from its first answer to `mn` until its last answer is
+/// older than [`Health::notice`].
 #[derive(Clone, Debug)]
 pub struct Front {
     plan: FrontPlan,
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Records that a planned stop of the node was announced. After the linger time the node is not in use until it
-    /// has restarted, see [`Front::started`].
+    /// Records that a planned stop of the node was announced. After the linger time the node is not in use
+    /// until it has restarted, see [`Front::started`].
     pub fn stopping(&mut self, now: Micros, node: NodeId, seed: u64) {
         let linger = self.plan.linger.draw(&mut keyed_rng(seed, "linger", node.0.into(), now as u64));
         if let Some(node) = self.nodes.get_mut(node.0 as usize) {
@@ -116,8 +116,8 @@
         node.answered.is_some_and(|at| now - at <= notice) && node.until.is_none_or(|until| now < until)
     }
 
-    /// Selects the node for a new connection of a client in a zone. `draw` is the random number that selects one of
-    /// several nodes.
+    /// Selects the node for a new connection of a client in a zone. `draw` is the random number that selects
+    /// one of several nodes.
     pub fn select_node(&self, now: Micros, zone: u16, source: u32, draw: u64) -> Option<NodeId> {
         let nodes = self.nodes.len() as u32;
         if self.plan.selection == NodeSelection::Sidecar {
--- a/crates/model/src/clients/habits.rs
+++ b/crates/model/src/clients/habits.rs
@@ -11,7 +11,8 @@
     Reuse,
     /// Closes it: one connection per request.
     OnePerRequest,
-    /// Keeps it open and never uses it again: a client that sends one request per connection and does not close it.
+    /// Keeps it open and never uses it again: a client that sends one request per connection and does not
+    /// close it.
     NeverReuse,
 }
 
@@ -32,25 +33,27 @@
 pub struct Habits {
     /// What clients do with a connection after a response.
     pub reuse: ReusePolicy,
-    /// Maximum number of connections per client. With [`ReusePolicy::Reuse`] all of them count, else those with a
-    /// request.
+    /// Maximum number of connections per client. With [`ReusePolicy::Reuse`] all of them count, else those
+    /// with a request.
     pub max_connections: u32,
-    /// Maximum number of pipelined requests per connection. With 1, each request waits for the previous response.
+    /// Maximum number of pipelined requests per connection. With 1, each request waits for the previous
+    /// response.
     pub pipeline: u32,
     /// A connection that has been idle for this long is closed; `None` keeps idle connections open.
     pub idle_timeout: Option<Micros>,
     /// A connection that is not established within this time has failed.
     pub connect_timeout: Micros,
-    /// How soon after a request a close counts as having crossed it on the wire, on a connection that has delivered a
-    /// response before and no byte of this one. Such a request is sent once more on a new connection. `None` never
-    /// resends.
+    /// How soon after a request a close counts as having crossed it on the wire, on a connection that has
+    /// delivered a response before and no byte of this one. Such a request is sent once more on a new
+    /// connection. `None` never resends.
     pub resend_window: Option<Micros>,
-    /// Timeout of a try, after which its connection is closed: a share of the class's `give_up`, drawn uniformly
-    /// between these two.
+    /// Timeout of a try, after which its connection is closed: a share of the class's `give_up`, drawn
+    /// uniformly between these two.
     pub try_timeout_share: (f64, f64),
     /// Share of the requests, 0 to 1, that the client abandons early, without another try.
     pub abandon_share: f64,
-    /// When such a request is abandoned: after a share of the class's `give_up`, drawn uniformly between these two.
+    /// When such a request is abandoned: after a share of the class's `give_up`, drawn uniformly between
+    /// these two.
     pub abandon_after_share: (f64, f64),
     /// When failed requests are retried.
     pub retry: Retry,
--- a/crates/model/src/clients/machine.rs
+++ b/crates/model/src/clients/machine.rs
@@ -89,8 +89,9 @@
         Ok(Self::with(plan, seed, ArrivalSource::Drawn(Box::new(arrivals))))
     }
 
-    /// The clients of a plan, with the given requests. Each request number may occur once. The draws of a request
-    /// depend only on the seed and its number, so that a subset of a plan's requests behaves as in the complete plan.
+    /// The clients of a plan, with the given requests. Each request number may occur once. The draws of a
+    /// request depend only on the seed and its number, so that a subset of a plan's requests behaves as in
+    /// the complete plan.
     ///
     /// # Errors
     /// The first invalid field of the plan, or the first invalid arrival.
--- a/crates/model/src/clients/machine/tests.rs
+++ b/crates/model/src/clients/machine/tests.rs
@@ -64,7 +64,8 @@
     }
 }
 
-/// A class worth 8 within 100 ms and 2 within 1 s; at most 3 tries with a backoff of 100 ms that doubles each time.
+/// A class worth 8 within 100 ms and 2 within 1 s; at most 3 tries with a backoff of 100 ms that doubles each
+/// time.
 fn plan(effect: Effect) -> ClientsPlan {
     let class = Class {
         name: "read".into(),
@@ -333,7 +334,7 @@
         Case {
             change: |plan| plan.habits[0].try_timeout_share = (0.4, 0.4),
             ..Case::new(
-                "try timeout is a share of the deadline; each retry uses a new connection; the last try gets the remaining time",
+                "times out after a share; each retry uses a new connection; the last gets the remaining time",
                 &[Never; 3],
                 &[
                     "0 open 0 by 0",
@@ -581,7 +582,8 @@
     ]);
 }
 
-/// A request's draws depend on the seed and its number alone: it takes the same course alone and among others.
+/// A request's draws depend on the seed and its number alone: it takes the same course alone and among
+/// others.
 #[test]
 fn draws_do_not_depend_on_other_requests() {
     let case = |requests: &[(Micros, u32)]| Case {
--- a/crates/model/src/clients/mod.rs
+++ b/crates/model/src/clients/mod.rs
@@ -1,15 +1,16 @@
-//! Clients: when they send requests, on which connections, how long they wait for a response, and how they retry.
+//! Clients: when they send requests, on which connections, how long they wait for a response, and how they
+//! retry.
 //!
-//! [`Clients`] is one state machine for all populations. The driver executes its orders, on sockets or in simulated
-//! time, and reports events to it:
+//! [`Clients`] is one state machine for all populations. The driver executes its orders, on sockets or in
+//! simulated time, and reports events to it:
 //!
 //! - `begin(at)`: sets the time on the caller's clock at which the plan starts;
 //! - `handle(now, Event)`: reports an event;
 //! - `poll(now) -> Option<Order>`: returns the next order that is due, or `None` when no more are due;
 //! - `next() -> Option<Micros>`: when to poll again if no event occurs before.
 //!
-//! Latency is measured from when a try was due, so that neither a driver that polls late nor a client that waits for a
-//! free connection hides it (no coordinated omission).
+//! Latency is measured from when a try was due, so that neither a driver that polls late nor a client that
+//! waits for a free connection hides it (no coordinated omission).
 
 mod bad;
 mod bad_bytes;
@@ -42,7 +43,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub u32);
 
-/// The id of a client's connection. The state machine that orders the connection assigns it and never reuses it.
+/// The id of a client's connection. The state machine that orders the connection assigns it and never reuses
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
--- a/crates/model/src/clients/outgoing.rs
+++ b/crates/model/src/clients/outgoing.rs
@@ -21,7 +21,8 @@
 }
 
 impl OutgoingRequest {
-    /// The command line with its CRLF. For a write, the value of `arrival.size` bytes and another CRLF must follow.
+    /// The command line with its CRLF. For a write, the value of `arrival.size` bytes and another CRLF must
+    /// follow.
     pub fn line(&self, class: &Class) -> Vec<u8> {
         let mut line = Vec::with_capacity(96);
         let key = self.arrival.key.0;
--- a/crates/model/src/clients/pace.rs
+++ b/crates/model/src/clients/pace.rs
@@ -3,8 +3,8 @@
 use super::Reader;
 use crate::Micros;
 
-/// Limits the reads of one connection to those that a [`Reader`] allows. Unread bytes back up into the sender's
-/// buffers.
+/// Limits the reads of one connection to those that a [`Reader`] allows. Unread bytes back up into the
+/// sender's buffers.
 #[derive(Clone, Debug)]
 pub struct Pace {
     reader: Reader,
@@ -12,7 +12,8 @@
     from: Micros,
 }
 
-/// Unused time of a slow reader that counts towards its next read, at most. It bounds the size of a single read.
+/// Unused time of a slow reader that counts towards its next read, at most. It bounds the size of a single
+/// read.
 const MAX_CATCH_UP: Micros = 100_000;
 
 impl Pace {
--- a/crates/model/src/clients/plan.rs
+++ b/crates/model/src/clients/plan.rs
@@ -42,7 +42,8 @@
         /// Why the field is invalid.
         fault: &'static str,
     },
-    /// A given arrival refers to a population or class that does not exist, or is earlier than its predecessor.
+    /// A given arrival refers to a population or class that does not exist, or is earlier than its
+    /// predecessor.
     #[error("arrival {0} does not fit the load")]
     Arrival(u64),
     /// The plan has no node to send requests to.
--- a/crates/model/src/clients/pool.rs
+++ b/crates/model/src/clients/pool.rs
@@ -117,8 +117,8 @@
             || self.least_loaded(from, reuse, pipeline).is_some()
     }
 
-    /// The client's connection with the fewest pending requests, if requests are pipelined and that connection has
-    /// fewer than `pipeline`.
+    /// The client's connection with the fewest pending requests, if requests are pipelined and that
+    /// connection has fewer than `pipeline`.
     pub(super) fn least_loaded(
         &self,
         from: ClientEndpoint,
@@ -158,8 +158,9 @@
         id
     }
 
-    /// Marks a connection without pending requests as idle. With `reusable` its client may use it for the next request.
-    /// Else the client keeps it open without using it again, and it no longer counts towards the client's limit.
+    /// Marks a connection without pending requests as idle. With `reusable` its client may use it for the
+    /// next request. Else the client keeps it open without using it again, and it no longer counts towards
+    /// the client's limit.
     pub(super) fn set_idle(&mut self, now: Micros, id: ConnId, reusable: bool) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         conn.idle_since = Some(now);
--- a/crates/model/src/clients/record.rs
+++ b/crates/model/src/clients/record.rs
@@ -32,7 +32,8 @@
     pub id: RequestId,
     /// When it was due to be sent. Latency is measured from here, whatever delayed the try.
     pub due: Micros,
-    /// When the client processed it: later than `due` by the driver's delay, not by any wait for a connection.
+    /// When the client processed it: later than `due` by the driver's delay, not by any wait for a
+    /// connection.
     pub started: Micros,
     /// When it times out.
     pub deadline: Micros,
--- a/crates/model/src/clients/retry.rs
+++ b/crates/model/src/clients/retry.rs
@@ -38,8 +38,8 @@
 }
 
 impl Retry {
-    /// When the next try is due, after `tries`, the last of which has just ended with `end`. `None` if the request is
-    /// not retried.
+    /// When the next try is due, after `tries`, the last of which has just ended with `end`. `None` if the
+    /// request is not retried.
     pub(super) fn next(
         &self,
         class: &Class,
@@ -59,9 +59,9 @@
         let growth = libm::pow(self.growth, tries.len() as f64 - 1.0);
         let drawn = self.wait.draw(draws) as f64 * growth;
         let at = now + (drawn as Micros).clamp(0, self.max_wait).max(requested_wait.unwrap_or(0));
-        // When the first try that may have been executed was sent: a guarded request is retried only within the
-        // deduplication window after it. A try that was resent because a close crossed it had not been read on the
-        // first connection; its send time is that on the second.
+        // When the first try that may have been executed was sent: a guarded request is retried only within
+        // the deduplication window after it. A try that was resent because a close crossed it had not been
+        // read on the first connection; its send time is that on the second.
         let may_have_run = |one: &&Try| one.ordered_at.is_some() && !matches!(one.end, Some(End::Refused(_)));
         let first_run = tries.iter().find(may_have_run).and_then(|one| one.ordered_at);
         let allowed = match (class.effect, first_run) {
--- a/crates/model/src/keys.rs
+++ b/crates/model/src/keys.rs
@@ -1,5 +1,5 @@
-//! Key popularity: a Zipf distribution over a set of keys whose ranks may drift, hot keys, and keys that are requested
-//! only once.
+//! Key popularity: a Zipf distribution over a set of keys whose ranks may drift, hot keys, and keys that are
+//! requested only once.
 
 use rand::RngCore;
 
@@ -20,9 +20,10 @@
 /// The Zipf distribution over ranks `0..population`: the probability of rank r is proportional to
 /// `(r + 1 + offset)^-exponent` (with an offset, the Zipf-Mandelbrot distribution).
 ///
-/// Sampled by rejection-inversion (Hörmann and Derflinger, ACM TOMACS 6(3), 1996): O(1) time per draw and O(1) memory,
-/// for any exponent of 0 or more. `rand_distr::Zipf` samples the same distribution, but uses the C library's powers
-/// if any crate of the build enables `num-traits/std`, and plans must be the same on every machine.
+/// Sampled by rejection-inversion (Hörmann and Derflinger, ACM TOMACS 6(3), 1996): O(1) time per draw and
+/// O(1) memory, for any exponent of 0 or more. `rand_distr::Zipf` samples the same distribution, but uses the
+/// C library's powers if any crate of the build enables `num-traits/std`, and plans must be the same on every
+/// machine.
 #[derive(Clone, Debug)]
 pub struct Zipf {
     n: f64,
@@ -32,12 +33,14 @@
     integral_low: f64,
     /// The other bound.
     integral_high: f64,
-    /// A rank that exceeds the sampled point by at most this much is accepted without evaluating the integral.
+    /// A rank that exceeds the sampled point by at most this much is accepted without evaluating the
+    /// integral.
     accept_distance: f64,
 }
 
 impl Zipf {
-    /// A distribution over `population` ranks (at least 1). An exponent below 0 counts as 0, which is uniform.
+    /// A distribution over `population` ranks (at least 1). An exponent below 0 counts as 0, which is
+    /// uniform.
     pub fn new(population: u32, exponent: f64) -> Self {
         Self::with_offset(population, exponent, 0.0)
     }
@@ -82,7 +85,8 @@
         weights.into_iter().map(|weight| weight / total).collect()
     }
 
-    /// An antiderivative of the weight. It is the logarithm at exponent 1 and continuous in the exponent around it.
+    /// An antiderivative of the weight. It is the logarithm at exponent 1 and continuous in the exponent
+    /// around it.
     fn integral(&self, x: f64) -> f64 {
         let log = libm::log(x + self.offset);
         expm1_over_x((1.0 - self.exponent) * log) * log
@@ -180,7 +184,8 @@
 pub struct KeyDraw {
     keys: Keys,
     zipf: Zipf,
-    /// The population's number, which separates its fresh keys from those of other populations in the same space.
+    /// The population's number, which separates its fresh keys from those of other populations in the same
+    /// space.
     owner: u16,
     /// Number of fresh keys drawn so far.
     fresh: u64,
@@ -231,8 +236,8 @@
         }
     }
 
-    /// Builds a key from 14 bits of space, 2 of kind, 16 of generation and 32 of number. The packed word is hashed by a
-    /// bijection: distinct parts give distinct keys, and the keys reveal nothing about the parts.
+    /// Builds a key from 14 bits of space, 2 of kind, 16 of generation and 32 of number. The packed word is
+    /// hashed by a bijection: distinct parts give distinct keys, and the keys reveal nothing about the parts.
     fn key(&self, kind: Kind, generation: u32, number: u32) -> Key {
         let parts = (u64::from(self.keys.space) & 0x3fff) << 50
             | (kind as u64) << 48
@@ -247,9 +252,9 @@
     use super::*;
     use crate::draw::stream;
 
-    /// Compares rank frequencies with the distribution by Pearson's chi-square test over up to 60 groups of ranks. With
-    /// 60 groups its mean is 59 and its standard deviation sqrt(2 x 59) = 10.9; a correct draw exceeds 59 + 5 x 10.9
-    /// with a probability of 1 in a million.
+    /// Compares rank frequencies with the distribution by Pearson's chi-square test over up to 60 groups of
+    /// ranks. With 60 groups its mean is 59 and its standard deviation sqrt(2 x 59) = 10.9; a correct draw
+    /// exceeds 59 + 5 x 10.9 with a probability of 1 in a million.
     #[test]
     fn rank_frequencies_follow_zipf_distribution() {
         for (population, exponent, offset) in [
@@ -265,7 +270,8 @@
             let mut rng = stream(11, "zipf", population.into());
             let n = 300_000;
             let shares = zipf.shares();
-            // Groups of consecutive ranks with a share of about 1/60 each; a rank of the head may have far more alone.
+            // Groups of consecutive ranks with a share of about 1/60 each; a rank of the head may have far
+            // more alone.
             let mut group = Vec::new();
             let (mut sum, mut groups) = (0.0, vec![0.0]);
             for share in &shares {
@@ -328,7 +334,7 @@
         let (most_frequent, distinct) = count(2000);
         assert!(
             most_frequent < 2000,
-            "the first rank of a Zipf distribution with exponent 0.9 over 10,000 keys has a share of 0.06, not {most_frequent} draws"
+            "rank 0 of Zipf with exponent 0.9 over 10,000 keys has a share of 0.06, not {most_frequent} draws"
         );
         assert!(distinct > 4000, "a fifth of the keys is fresh");
     }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,8 @@
-//! Models of the systems around a load-balancer node, as state machines over time: cache servers, origin, discovery,
-//! clients and the network between them.
+//! Models of the systems around a load-balancer node, as state machines over time: cache servers, origin,
+//! discovery, clients and the network between them.
 //!
-//! The models do no I/O and read no clock: the caller passes the current time with each call and gets back the
-//! actions that are due. All random draws derive from one seed.
+//! The models do no I/O and read no clock: the caller passes the current time with each call and gets back
+//! the actions that are due. All random draws derive from one seed.
 #![forbid(unsafe_code)]
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/model/src/mix.rs
+++ b/crates/model/src/mix.rs
@@ -1,15 +1,15 @@
 //! Random draws that depend only on a seed and a key, and the probability distributions of the plans.
 //!
-//! Logarithms and powers come from `libm`, in Rust, not from the platform's C library. IEEE 754 requires correctly
-//! rounded sums, products, quotients and square roots, but not these functions, and a difference in the last digit
-//! would make plans differ between machines.
+//! Logarithms and powers come from `libm`, in Rust, not from the platform's C library. IEEE 754 requires
+//! correctly rounded sums, products, quotients and square roots, but not these functions, and a difference in
+//! the last digit would make plans differ between machines.
 
 use rand::RngCore;
 
 use crate::Micros;
 
-/// The finalizer of SplitMix64 (Steele, Lea and Flood, OOPSLA 2014): a bijection on 64 bits, so that different inputs
-/// have different hashes.
+/// The finalizer of SplitMix64 (Steele, Lea and Flood, OOPSLA 2014): a bijection on 64 bits, so that
+/// different inputs have different hashes.
 pub fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -20,9 +20,9 @@
 #[derive(Clone, Debug)]
 pub struct SplitMix(u64);
 
-/// The random generator for one event, keyed by seed, purpose and two numbers (for example a request and its try).
-/// Unlike those of a shared stream, its draws do not depend on earlier draws, so that a request's waits are the same
-/// whatever happened to other requests.
+/// The random generator for one event, keyed by seed, purpose and two numbers (for example a request and its
+/// try). Unlike those of a shared stream, its draws do not depend on earlier draws, so that a request's waits
+/// are the same whatever happened to other requests.
 pub fn keyed_rng(seed: u64, purpose: &str, a: u64, b: u64) -> SplitMix {
     let hash = purpose.bytes().fold(mix(seed), |h, byte| mix(h ^ u64::from(byte)));
     SplitMix(mix(mix(hash ^ a).wrapping_add(b)))
@@ -61,7 +61,8 @@
     -libm::log(unit_open(rng))
 }
 
-/// Uniform on `0..n`; 0 if `n` is 0. Lemire's multiplication method without rejection: the bias is below n / 2^64.
+/// Uniform on `0..n`; 0 if `n` is 0. Lemire's multiplication method without rejection: the bias is below n /
+/// 2^64.
 pub fn below(rng: &mut impl RngCore, n: u64) -> u64 {
     ((u128::from(rng.next_u64()) * u128::from(n)) >> 64) as u64
 }
@@ -165,8 +166,8 @@
         assert!((0..5).all(|i| (0..i).all(|j| all[i] != all[j])), "{all:?}");
     }
 
-    /// The mean of n draws is within 4 standard errors (s / sqrt(n)) of the distribution's mean. A correct draw fails
-    /// with a probability of 1 in 16,000.
+    /// The mean of n draws is within 4 standard errors (s / sqrt(n)) of the distribution's mean. A correct
+    /// draw fails with a probability of 1 in 16,000.
     #[test]
     fn sample_means_match_distribution_means() {
         let n = 40_000;
--- a/crates/model/src/profile.rs
+++ b/crates/model/src/profile.rs
@@ -2,8 +2,8 @@
 
 use crate::Micros;
 
-/// Requests per second over time. The rate is linear between points and jumps where two points have the same time.
-/// Before the first point and after the last it is constant.
+/// Requests per second over time. The rate is linear between points and jumps where two points have the same
+/// time. Before the first point and after the last it is constant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Profile {
     /// Times in seconds, in non-decreasing order, and rates per second.
@@ -20,8 +20,8 @@
 }
 
 impl Profile {
-    /// A profile from points of time and rate. Points are sorted by time; points with the same time keep their order.
-    /// A rate below 0 counts as 0.
+    /// A profile from points of time and rate. Points are sorted by time; points with the same time keep
+    /// their order. A rate below 0 counts as 0.
     pub fn new(points: impl IntoIterator<Item = (Micros, f64)>) -> Self {
         let mut sorted: Vec<(Micros, f64)> = points.into_iter().map(|(at, rate)| (at.max(0), rate)).collect();
         sorted.sort_by_key(|point| point.0);
@@ -71,7 +71,8 @@
         Self::new([(from, low), (until, high)])
     }
 
-    /// A daily cycle: `mean * (1 - swing * cos(2 pi t / period))`, lowest at 0, for `span`. `swing` is 0 to 1.
+    /// A daily cycle: `mean * (1 - swing * cos(2 pi t / period))`, lowest at 0, for `span`. `swing` is 0 to
+    /// 1.
     pub fn day(mean: f64, swing: f64, period: Micros, span: Micros) -> Self {
         let piece = (period / Micros::from(DAY_PIECES)).max(1);
         let pieces = (span / piece + 1).clamp(1, 1_000_000);
--- a/crates/model/src/value.rs
+++ b/crates/model/src/value.rs
@@ -1,14 +1,15 @@
-//! Self-describing values: the bytes of a value say which server made it, for which key and for which request.
+//! Self-describing values: the bytes of a value say which server made it, for which key and for which
+//! request.
 //!
-//! A value is made by one server for one request: its bytes are a function of the key, the version of the object,
-//! the server that answered, the request, and the length. [`check`] generates the bytes again and compares each one, so
-//! that it detects truncated responses, mixtures of two responses and responses to another request. The receipt of a
-//! write carries the same information in one word.
+//! A value is made by one server for one request: its bytes are a function of the key, the version of the
+//! object, the server that answered, the request, and the length. [`check`] generates the bytes again and
+//! compares each one, so that it detects truncated responses, mixtures of two responses and responses to
+//! another request. The receipt of a write carries the same information in one word.
 //!
-//! Layout (little endian): magic `lrv1`, flags (bit 0: made by the origin, bit 1: made for one request), length, zero
-//! (4 bytes each); key, version, request, maker, checksum of the 48 bytes before (8 bytes each). After this header come
-//! pseudorandom bytes that are a function of the checksum and the position, so that any part of a large value can be
-//! generated alone.
+//! Layout (little endian): magic `lrv1`, flags (bit 0: made by the origin, bit 1: made for one request),
+//! length, zero (4 bytes each); key, version, request, maker, checksum of the 48 bytes before (8 bytes each).
+//! After this header come pseudorandom bytes that are a function of the checksum and the position, so that
+//! any part of a large value can be generated alone.
 
 use std::fmt;
 
@@ -25,8 +26,8 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// Parses the word on the wire: 16 lower-case hexadecimal digits give their number, and any other word
-            /// gives its hash (see [`digest`]).
+            /// Parses the word on the wire: 16 lower-case hexadecimal digits give their number, and any other
+            /// word gives its hash (see [`digest`]).
             pub fn of(word: &[u8]) -> Self {
                 Self(parse_hex(word).unwrap_or_else(|| digest(word)))
             }
@@ -76,8 +77,8 @@
     mix(bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)))
 }
 
-/// The finalizer of SplitMix64 (Steele, Lea and Flood, 2014): a bijection in which each output bit depends on all input
-/// bits.
+/// The finalizer of SplitMix64 (Steele, Lea and Flood, 2014): a bijection in which each output bit depends on
+/// all input bits.
 pub fn mix(x: u64) -> u64 {
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -253,8 +254,8 @@
     Ok(made)
 }
 
-/// The receipt of a write: the version that it created. A repeat within the deduplication window of its idempotency key
-/// gets the receipt of the first write again.
+/// The receipt of a write: the version that it created. A repeat within the deduplication window of its
+/// idempotency key gets the receipt of the first write again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Receipt {
     /// The key of the object.
