--- a/crates/lab/src/check/day.rs
+++ b/crates/lab/src/check/day.rs
@@ -587,7 +587,7 @@
         let (mut ledger, e) = Day::play(how);
         let found = check_ledger(&mut ledger, &e);
         if rules(&found) != rule.into_iter().collect() {
-            let first = found.first().map(|v| v.tell(&Index::of(&ledger))).unwrap_or_default();
+            let first = found.first().map(|v| v.report(&Index::of(&ledger))).unwrap_or_default();
             wrong.push(format!("{how:?}: wanted {rule:?}, found {:?}\n{first}", rules(&found)));
         }
     }
@@ -598,7 +598,7 @@
 fn a_story_has_both_ends_in_order() {
     let (mut ledger, e) = Day::play(Wrong::RepeatsBooking);
     let found = check_ledger(&mut ledger, &e);
-    let text = found.first().map(|v| v.tell(&Index::of(&ledger))).unwrap_or_default();
+    let text = found.first().map(|v| v.report(&Index::of(&ledger))).unwrap_or_default();
     let parts = [
         "rule effects broken at 13.040 s",
         "class pay",
--- a/crates/lab/src/fleet/result.rs
+++ b/crates/lab/src/fleet/result.rs
@@ -62,7 +62,7 @@
     let holds = history.file.holds.iter().filter(|hold| !holds(hold, &outcome));
     let kept: Vec<String> = holds.map(|hold| format!("does not hold: {}: {}", hold.that, hold.why)).collect();
     outcome.ok = !late && outcome.rules_broken == 0 && kept.is_empty();
-    outcome.told.extend(kept);
+    outcome.failures.extend(kept);
     outcome
 }
 
--- a/crates/lab/src/sim/hands.rs
+++ b/crates/lab/src/sim/hands.rs
@@ -14,8 +14,8 @@
 use lapisrudder_model::clients::NodeId;
 use lapisrudder_model::discovery::{Event as Told, Outage, View};
 use lapisrudder_model::draw::stream;
-use lapisrudder_model::mix::{SplitMix, Spread, exponential, spot, unit};
-use lapisrudder_model::network::{Conn, Fault as Link, FaultId, Heal, Host, Side as End, Which};
+use lapisrudder_model::mix::{SplitMix, Spread, exponential, keyed_rng, unit};
+use lapisrudder_model::network::{Conn, Fault as Link, FaultId, Heal, Host, Side as End, HostSet};
 use lapisrudder_model::server::{Event as Happening, Fault, Noise, NoiseSet, State};
 use lapisrudder_model::value::Uid;
 use rand_distr::{Distribution, Exp};
@@ -84,7 +84,7 @@
             resets_on: false,
             renamed: 0,
             starts: BTreeMap::new(),
-            draws: spot(day.seed, "hands", 0, 0),
+            draws: keyed_rng(day.seed, "hands", 0, 0),
             changes_per_s: e.world.origin.changes_per_s,
             keys: (e.loads.iter().enumerate())
                 .map(|(n, l)| lapisrudder_model::keys::KeyDraw::new(crate::load::keys_of(l), n as u16))
@@ -207,7 +207,7 @@
                 let extra = millis(self.e.world.discovery.call_ms * (times - 1.0));
                 let slow = Link::Slow(Spread::Fixed(extra));
                 let ids = self.catalog.hosts.to_vec();
-                let ids = ids.into_iter().map(|h| self.cx.net.begin(Which::Host(h), Which::Any, false, slow));
+                let ids = ids.into_iter().map(|h| self.cx.net.begin(HostSet::Host(h), HostSet::Any, false, slow));
                 let ids = ids.collect();
                 self.hands.links.insert(of, ids);
             }
@@ -341,7 +341,7 @@
         let mut ids = Vec::new();
         for a in &a {
             for b in &b {
-                ids.push(self.cx.net.begin(Which::Host(*a), Which::Host(*b), true, link));
+                ids.push(self.cx.net.begin(HostSet::Host(*a), HostSet::Host(*b), true, link));
             }
         }
         self.hands.links.entry(of).or_default().extend(ids);
@@ -461,10 +461,10 @@
             return;
         }
         if host.door.is_none() {
-            let here = Which::Host(host.host);
+            let here = HostSet::Host(host.host);
             host.door = Some(match silent {
-                true => self.cx.net.begin(Which::Any, here, true, Link::Cut(Heal::Reset)),
-                false => self.cx.net.begin(Which::Any, here, false, Link::Refuse),
+                true => self.cx.net.begin(HostSet::Any, here, true, Link::Cut(Heal::Reset)),
+                false => self.cx.net.begin(HostSet::Any, here, false, Link::Refuse),
             });
         }
         let no = host.no;
@@ -616,7 +616,7 @@
             Blow::CutLink(ms) => {
                 let (a, b) = (self.nodes[node].host, self.servers.hosts[place].host);
                 let cut = Link::Cut(Heal::Resume);
-                let id = self.cx.net.begin(Which::Host(a), Which::Host(b), true, cut);
+                let id = self.cx.net.begin(HostSet::Host(a), HostSet::Host(b), true, cut);
                 self.hands.push(after(ms), Deed::LinkOff(id));
             }
             Blow::Reset => {
@@ -645,5 +645,5 @@
     }
     let variance = libm::log1p(cv * cv);
     let median = ms * 1e3 / libm::exp(variance / 2.0);
-    Spread::LogNormal { median, sigma: libm::sqrt(variance), most: Micros::MAX / 2 }
+    Spread::LogNormal { median, sigma: libm::sqrt(variance), max: Micros::MAX / 2 }
 }
--- a/crates/lab/src/sim/world.rs
+++ b/crates/lab/src/sim/world.rs
@@ -21,9 +21,9 @@
 use lapisrudder_config::{Environment, Platform};
 use lapisrudder_model::clients::{NodeId, Tally};
 use lapisrudder_model::discovery::{Address as Site, Discovery, DiscoveryPlan, Event as Told};
-use lapisrudder_model::mix::{mix, spot};
+use lapisrudder_model::mix::{mix, keyed_rng};
 use lapisrudder_model::network::{
-    Delivery, Fault, FaultId, Host, LinksPlan, Network, NetworkPlan, Side, Split, Which,
+    Delivery, Fault, FaultId, Host, LinksPlan, Network, NetworkPlan, Side, Split, HostSet,
 };
 use lapisrudder_model::origin::Origin;
 use lapisrudder_model::server::{CacheServer, State};
@@ -251,7 +251,7 @@
                 capacity: f64::from(machine.cores) * machine.speed * 1e6,
             };
             let no = add(&mut cx, info);
-            let noise = spot(seed, "spoilt answers", u64::from(no.0), 0);
+            let noise = keyed_rng(seed, "spoilt answers", u64::from(no.0), 0);
             let host = Host(2 + place as u32);
             let machine = Machine::Cache(Box::new(cache));
             let parts = (no, host, server.zone);
@@ -283,7 +283,7 @@
                 capacity: f64::from(machine.cores) * machine.speed * 1e6,
             };
             let no = add(&mut cx, info);
-            let noise = spot(seed, "spoilt answers", u64::from(no.0), 0);
+            let noise = keyed_rng(seed, "spoilt answers", u64::from(no.0), 0);
             let host = Host(2 + spec.servers.len() as u32);
             let model = Machine::Origin(Box::new(model));
             let parts = (no, host, origin.zone);
@@ -745,7 +745,7 @@
             process.close_all(&mut self.cx);
         }
         if host.door.is_none() {
-            host.door = Some(self.cx.net.begin(Which::Any, Which::Host(host.host), false, Fault::Refuse));
+            host.door = Some(self.cx.net.begin(HostSet::Any, HostSet::Host(host.host), false, Fault::Refuse));
         }
         self.arm(Seat::Node(n as u32), None);
         let _ = now;
@@ -759,7 +759,7 @@
         self.cx.node(NodeEvent::Signalled { node: NodeNo(n as u16), signal: Signal::Kill });
         self.cx.net.kill(self.cx.now, host.host);
         if host.door.is_none() {
-            host.door = Some(self.cx.net.begin(Which::Any, Which::Host(host.host), false, Fault::Refuse));
+            host.door = Some(self.cx.net.begin(HostSet::Any, HostSet::Host(host.host), false, Fault::Refuse));
         }
         self.arm(Seat::Node(n as u32), None);
         self.cx.node(NodeEvent::Ended { node: NodeNo(n as u16), status: None });
@@ -772,7 +772,7 @@
     fn server_gone(&mut self, place: usize, silent: bool) {
         let Some(host) = self.servers.hosts.get_mut(place) else { return };
         if host.machine.state() == State::Down && host.door.is_none() {
-            host.door = Some(self.cx.net.begin(Which::Any, Which::Host(host.host), false, Fault::Refuse));
+            host.door = Some(self.cx.net.begin(HostSet::Any, HostSet::Host(host.host), false, Fault::Refuse));
             if self.day.habits.mend_s > 0.0 {
                 // Operators start again what has fallen.
                 self.hands.back_at(self.cx.now + seconds(self.day.habits.mend_s), place);
--- a/crates/model/examples/speed.rs
+++ b/crates/model/examples/speed.rs
@@ -14,8 +14,8 @@
 
 fn run(servers: u64, requests: u64) -> Result<(), Box<dyn Error>> {
     let class = Class { work: Dist::LogNormal { mean_us: 1000.0, cv: 1.5 }, ..Class::default() };
-    let tip = Some(Tip { multiple: 3.0, window_us: 2_000_000 });
-    let machine = Machine { classes: vec![class], choke: Choke { at: 3.0, loss: 0.1 }, ..Machine::default() };
+    let tip = Some(OverloadThreshold { multiple: 3.0, window_us: 2_000_000 });
+    let machine = Machine { classes: vec![class], choke: ConcurrencyPenalty { at: 3.0, loss: 0.1 }, ..Machine::default() };
     let warm_up = WarmUp { start: 0.2, tip, ..WarmUp::default() };
     let config = CacheConfig { machine, warm_up, memory: 20 << 20, ..CacheConfig::default() };
     let mut world = Vec::new();
--- a/crates/model/src/discovery/machine.rs
+++ b/crates/model/src/discovery/machine.rs
@@ -166,7 +166,7 @@
     }
 
     /// Who counts as told of what since the last call of this. A `told` or `due` may lie before earlier entries'.
-    pub fn take_tellings(&mut self) -> Vec<Telling> {
+    pub fn take_notifications(&mut self) -> Vec<Telling> {
         std::mem::take(&mut self.books.tellings)
     }
 
--- a/crates/model/src/discovery/machine/tests.rs
+++ b/crates/model/src/discovery/machine/tests.rs
@@ -55,7 +55,7 @@
             discovery.handle(now, event);
         }
     }
-    let told = discovery.take_tellings().into_iter().map(|t| {
+    let told = discovery.take_notifications().into_iter().map(|t| {
         format!(
             "{} {:?} {}: due {}ms, told {}ms, {:?}",
             t.uid,
@@ -305,7 +305,7 @@
     discovery.handle(0, call(1, Ask::Full));
     while discovery.poll(20_000_000).is_some() {}
     let told: Vec<_> =
-        discovery.take_tellings().into_iter().map(|telling| (telling.told, telling.how)).collect();
+        discovery.take_notifications().into_iter().map(|telling| (telling.told, telling.how)).collect();
     assert_eq!(told, [(6_000_000, How::Late)]);
 }
 
--- a/crates/model/src/network/links.rs
+++ b/crates/model/src/network/links.rs
@@ -1,7 +1,7 @@
 //! What holds between two hosts now: delays, and which faults are on.
 
 use crate::Micros;
-use crate::mix::{Spread, spot, unit};
+use crate::mix::{Spread, keyed_rng, unit};
 use rand::RngCore;
 
 /// A machine on the network, by number.
@@ -10,7 +10,7 @@
 
 /// One or more hosts, as one end of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Which {
+pub enum HostSet {
     /// Every host.
     Any,
     /// This one.
@@ -55,7 +55,7 @@
 
 /// What a new connection comes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum ConnectOutcome {
     /// It opens.
     Opens,
     /// It is refused.
@@ -91,8 +91,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Active {
     id: FaultId,
-    from: Which,
-    to: Which,
+    from: HostSet,
+    to: HostSet,
     both: bool,
     pub(super) fault: Fault,
 }
@@ -126,7 +126,7 @@
 
     /// Switches a fault on, from one end to the other or in both directions. For faults of new connections the
     /// direction is that of the connect.
-    pub fn begin(&mut self, from: Which, to: Which, both: bool, fault: Fault) -> FaultId {
+    pub fn begin(&mut self, from: HostSet, to: HostSet, both: bool, fault: Fault) -> FaultId {
         let id = FaultId(self.made);
         self.made += 1;
         self.active.push(Active { id, from, to, both, fault });
@@ -148,11 +148,11 @@
             || (active.both && self.of(active.from, to) && self.of(active.to, from))
     }
 
-    pub(super) fn of(&self, which: Which, host: Host) -> bool {
+    pub(super) fn of(&self, which: HostSet, host: Host) -> bool {
         match which {
-            Which::Any => true,
-            Which::Host(this) => this == host,
-            Which::Zone(zone) => self.zone(host) == zone,
+            HostSet::Any => true,
+            HostSet::Host(this) => this == host,
+            HostSet::Zone(zone) => self.zone(host) == zone,
         }
     }
 
@@ -172,18 +172,18 @@
 
     /// What a connect from one host to another comes to now. `number` tells connections apart: the same one has the
     /// same luck each time.
-    pub fn connect(&self, number: u64, from: Host, to: Host) -> Fate {
+    pub fn connect(&self, number: u64, from: Host, to: Host) -> ConnectOutcome {
         if !self.passes(from, to) || !self.passes(to, from) {
-            return Fate::Never;
+            return ConnectOutcome::Never;
         }
-        let luck = unit(&mut spot(self.seed, "lose", number, 0));
-        let mut fate = Fate::Opens;
+        let luck = unit(&mut keyed_rng(self.seed, "lose", number, 0));
+        let mut fate = ConnectOutcome::Opens;
         for fault in self.faults(from, to) {
             match fault {
-                Fault::Refuse => return Fate::Refused,
-                Fault::NeverOpens => return Fate::Never,
-                Fault::LoseNew(share) if luck < share => return Fate::Never,
-                Fault::ResetNew => fate = Fate::Reset,
+                Fault::Refuse => return ConnectOutcome::Refused,
+                Fault::NeverOpens => return ConnectOutcome::Never,
+                Fault::LoseNew(share) if luck < share => return ConnectOutcome::Never,
+                Fault::ResetNew => fate = ConnectOutcome::Reset,
                 _ => {}
             }
         }
@@ -222,30 +222,30 @@
 
     #[test]
     fn faults_hold_where_and_while_they_are_on() {
-        use Fate::{Never, Opens, Refused, Reset};
+        use ConnectOutcome::{Never, Opens, Refused, Reset};
         let (h0, h1, h2) = (Host(0), Host(1), Host(2));
         let cases = [
             // from, to, both, fault; then the fates 0 to 1, 0 to 2, 2 to 0; then whether 0 to 2 and 2 to 0 pass.
             (
-                Which::Zone(0),
-                Which::Zone(1),
+                HostSet::Zone(0),
+                HostSet::Zone(1),
                 false,
                 Fault::Cut(Heal::Stay),
                 [Opens, Never, Never],
                 [false, true],
             ),
             (
-                Which::Zone(0),
-                Which::Zone(1),
+                HostSet::Zone(0),
+                HostSet::Zone(1),
                 true,
                 Fault::Cut(Heal::Stay),
                 [Opens, Never, Never],
                 [false, false],
             ),
-            (Which::Any, Which::Host(h2), false, Fault::Refuse, [Opens, Refused, Opens], [true, true]),
-            (Which::Any, Which::Host(h2), false, Fault::NeverOpens, [Opens, Never, Opens], [true, true]),
-            (Which::Host(h0), Which::Any, false, Fault::ResetNew, [Reset, Reset, Opens], [true, true]),
-            (Which::Any, Which::Any, false, Fault::LoseNew(1.0), [Never, Never, Never], [true, true]),
+            (HostSet::Any, HostSet::Host(h2), false, Fault::Refuse, [Opens, Refused, Opens], [true, true]),
+            (HostSet::Any, HostSet::Host(h2), false, Fault::NeverOpens, [Opens, Never, Opens], [true, true]),
+            (HostSet::Host(h0), HostSet::Any, false, Fault::ResetNew, [Reset, Reset, Opens], [true, true]),
+            (HostSet::Any, HostSet::Any, false, Fault::LoseNew(1.0), [Never, Never, Never], [true, true]),
         ];
         for (from, to, both, fault, fates, passes) in cases {
             let mut links = links();
@@ -264,10 +264,10 @@
         let mut draws = crate::draw::stream(1, "delay", 0);
         let mut delay = |links: &Links, a, b| links.delay(Host(a), Host(b), &mut draws);
         assert_eq!([(0, 1), (0, 2), (0, 3), (3, 0)].map(|(a, b)| delay(&links, a, b)), [100, 900, 5000, 900]);
-        links.begin(Which::Host(Host(2)), Which::Any, true, Fault::Slow(Spread::Fixed(50)));
+        links.begin(HostSet::Host(Host(2)), HostSet::Any, true, Fault::Slow(Spread::Fixed(50)));
         assert_eq!([(0, 1), (0, 2), (2, 0)].map(|(a, b)| delay(&links, a, b)), [100, 950, 950]);
-        links.begin(Which::Any, Which::Any, false, Fault::LoseNew(0.25));
-        let lost = (0..10_000).filter(|&n| links.connect(n, Host(0), Host(1)) == Fate::Never).count();
+        links.begin(HostSet::Any, HostSet::Any, false, Fault::LoseNew(0.25));
+        let lost = (0..10_000).filter(|&n| links.connect(n, Host(0), Host(1)) == ConnectOutcome::Never).count();
         // 4 deviations of a binomial share of 0.25 in 10,000.
         assert!(lost.abs_diff(2500) < 174, "{lost}");
     }
--- a/crates/model/src/network/mod.rs
+++ b/crates/model/src/network/mod.rs
@@ -10,7 +10,7 @@
 mod pipe;
 mod streams;
 
-pub use links::{Delay, Fate, Fault, FaultId, Heal, Host, Links, LinksPlan, Which};
+pub use links::{Delay, ConnectOutcome, Fault, FaultId, Heal, Host, Links, LinksPlan, HostSet};
 pub use streams::{Network, NetworkPlan, Split};
 
 use bytes::Bytes;
--- a/crates/model/src/network/pipe.rs
+++ b/crates/model/src/network/pipe.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 
-use super::{Fate, Heal, Host, Side};
+use super::{ConnectOutcome, Heal, Host, Side};
 use crate::Micros;
 
 /// What travels one way of a connection, in order.
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     /// The first packet is under way; what becomes of it is known.
-    Connecting(Fate),
+    Connecting(ConnectOutcome),
     /// The server has heard of it.
     Up,
     /// A connect that does not come up: into a cut that does this at its end, or for another reason.
--- a/crates/model/src/network/streams.rs
+++ b/crates/model/src/network/streams.rs
@@ -8,7 +8,7 @@
 use rustc_hash::FxHashMap;
 
 use super::pipe::{Pipe, Stage, What};
-use super::{Conn, Delivery, Fate, Fault, FaultId, Heal, Host, Links, LinksPlan, Side, Which};
+use super::{Conn, Delivery, ConnectOutcome, Fault, FaultId, Heal, Host, Links, LinksPlan, Side, HostSet};
 use crate::Micros;
 use crate::draw::stream;
 use crate::mix::below;
@@ -110,7 +110,7 @@
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         let (from, to) = (pipe.from, pipe.to);
         let fate = self.links.connect(conn.0, from, to);
-        if fate == Fate::Never {
+        if fate == ConnectOutcome::Never {
             pipe.stage = Stage::Lost(self.links.cut(from, to).or_else(|| self.links.cut(to, from)));
             return;
         }
@@ -215,7 +215,7 @@
     }
 
     /// Resets the open connections between two ends: each side gets one.
-    pub fn reset_between(&mut self, now: Micros, a: Which, b: Which) {
+    pub fn reset_between(&mut self, now: Micros, a: HostSet, b: HostSet) {
         let up = self.sorted(|links, pipe| {
             let (from, to) = (pipe.from, pipe.to);
             let meet = (links.of(a, from) && links.of(b, to)) || (links.of(a, to) && links.of(b, from));
@@ -228,7 +228,7 @@
     }
 
     /// Switches a fault on; see [`Links::begin`].
-    pub fn begin(&mut self, from: Which, to: Which, both: bool, fault: Fault) -> FaultId {
+    pub fn begin(&mut self, from: HostSet, to: HostSet, both: bool, fault: Fault) -> FaultId {
         self.links.begin(from, to, both, fault)
     }
 
@@ -340,11 +340,11 @@
         }
         pipe.stage = Stage::Up;
         let answer = match fate {
-            Fate::Refused | Fate::Never => What::Refused,
-            Fate::Reset => What::Reset,
-            Fate::Opens => What::Opened,
+            ConnectOutcome::Refused | ConnectOutcome::Never => What::Refused,
+            ConnectOutcome::Reset => What::Reset,
+            ConnectOutcome::Opens => What::Opened,
         };
-        if fate == Fate::Opens {
+        if fate == ConnectOutcome::Opens {
             self.ready.push_back(Delivery::Accepted { conn, from, to });
         } else {
             pipe.way(Side::Server).gone = true;
--- a/crates/model/src/origin.rs
+++ b/crates/model/src/origin.rs
@@ -11,10 +11,10 @@
 use crate::server::time::Nanos;
 use crate::server::warmth::Warmth;
 use crate::server::{
-    Act, Answer, Books, ConfigError, Event, Found, Keeper, Kind, Note, OriginConfig, Outbox, Request, Server,
+    Act, Answer, ServerStats, ConfigError, Event, Found, Keeper, Kind, Note, OriginConfig, Outbox, Request, Server,
     Sizes, WarmUp,
 };
-use crate::value::{Key, MIN_SIZE, Made, Maker, Uid, mix, unit};
+use crate::value::{Key, MIN_SIZE, ValueSpec, Maker, Uid, mix, unit};
 
 /// The origin.
 pub type Origin = Server<Contents>;
@@ -106,7 +106,7 @@
         let (key, maker) = (request.key, Maker::Origin(uid));
         match found {
             Found::Copy { version, size } => {
-                (Answer::Hit { value: Made { key, version, maker, request: Some(request.id), size } }, None)
+                (Answer::Hit { value: ValueSpec { key, version, maker, request: Some(request.id), size } }, None)
             }
             Found::Change | Found::Missing { .. } => {
                 let (effect, receipt) = self.records.write(now, request, maker);
@@ -134,7 +134,7 @@
     /// Contents, versions and receipts last.
     fn restart(&mut self) {}
 
-    fn book(&self, books: &mut Books) {
+    fn book(&self, books: &mut ServerStats) {
         (books.effects, books.repeats) = (self.records.ledger().effects(), self.records.ledger().repeats());
     }
 
--- a/crates/model/src/server/books.rs
+++ b/crates/model/src/server/books.rs
@@ -4,7 +4,7 @@
 
 /// Counts since the start of the run (restarts do not set them back) and how things stand now.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Books {
+pub struct ServerStats {
     /// Connects accepted.
     pub accepted: u64,
     /// Connects refused or ignored.
--- a/crates/model/src/server/cache.rs
+++ b/crates/model/src/server/cache.rs
@@ -1,6 +1,6 @@
 //! The contents of a cache server: copies of objects, and who was told to fetch what.
 
-use super::books::Books;
+use super::books::ServerStats;
 use super::config::{CacheConfig, Writes};
 use super::error::ConfigError;
 use super::expiring::Expiring;
@@ -12,7 +12,7 @@
 use super::time::{Nanos, from_micros};
 use super::warmth::{Pressure, Warmth};
 use crate::Micros;
-use crate::value::{Key, MIN_SIZE, Made, Maker, Receipt, Uid};
+use crate::value::{Key, MIN_SIZE, ValueSpec, Maker, Receipt, Uid};
 
 /// A cache server.
 pub type CacheServer = Server<Cache>;
@@ -84,13 +84,13 @@
                 if let Some((version, size)) = self.objects.get(now, key) {
                     return (self.sized(work, size), Found::Copy { version, size });
                 }
-                let others_fetch = self.fetches.find(now, key).is_some();
-                if !others_fetch && self.lease > 0 {
+                let fetch_in_progress = self.fetches.find(now, key).is_some();
+                if !fetch_in_progress && self.lease > 0 {
                     self.fetches.keep(now, self.lease, key, ());
                 }
-                (miss, Found::Missing { others_fetch })
+                (miss, Found::Missing { fetch_in_progress })
             }
-            Kind::Write if self.writes == Writes::Miss => (miss, Found::Missing { others_fetch: false }),
+            Kind::Write if self.writes == Writes::Miss => (miss, Found::Missing { fetch_in_progress: false }),
             Kind::Write | Kind::Store { .. } => (self.sized(work, request.size), Found::Change),
         }
     }
@@ -106,12 +106,12 @@
         let (key, maker) = (request.key, Maker::Cache(uid));
         let (answer, note) = match (found, request.kind) {
             (Found::Copy { version, size }, _) => {
-                let value = Made { key, version, maker, request: Some(request.id), size };
+                let value = ValueSpec { key, version, maker, request: Some(request.id), size };
                 (Answer::Hit { value }, Some(Note::Hit))
             }
-            (Found::Missing { others_fetch }, kind) => {
-                let note = if others_fetch { Note::MissOthersFetch } else { Note::Miss };
-                (Answer::Miss { others_fetch }, (kind == Kind::Read).then_some(note))
+            (Found::Missing { fetch_in_progress }, kind) => {
+                let note = if fetch_in_progress { Note::MissFetchInProgress } else { Note::Miss };
+                (Answer::Miss { fetch_in_progress }, (kind == Kind::Read).then_some(note))
             }
             (Found::Change, Kind::Store { version }) => {
                 self.put(now, key, version, request.size);
@@ -132,7 +132,7 @@
     fn tell(&mut self, now: Nanos, event: &Event, up: bool, _: &mut Outbox) {
         match *event {
             Event::Fill { key, version, size } if up => self.put(now, key, version, size),
-            Event::Void { key, version } => self.objects.void(key, version),
+            Event::Invalidate { key, version } => self.objects.void(key, version),
             Event::Learn { keyed, receipt, class } if up => self.records.learn(now, keyed, receipt, class),
             _ => {}
         }
@@ -149,7 +149,7 @@
         self.records.forget_receipts();
     }
 
-    fn book(&self, books: &mut Books) {
+    fn book(&self, books: &mut ServerStats) {
         let removals = self.objects.removals();
         (books.evicted, books.expired, books.voided) = (removals.evicted, removals.expired, removals.voided);
         (books.objects, books.memory, books.stored) =
--- a/crates/model/src/server/flow.rs
+++ b/crates/model/src/server/flow.rs
@@ -156,9 +156,9 @@
                 books.hits += 1;
                 books.bytes_out += u64::from(value.size());
             }
-            Answer::Miss { others_fetch } => {
+            Answer::Miss { fetch_in_progress } => {
                 books.misses += 1;
-                books.misses_others_fetch += u64::from(*others_fetch);
+                books.misses_others_fetch += u64::from(*fetch_in_progress);
             }
             Answer::Receipt(_) => books.receipts += 1,
             Answer::Busy(BusyReason::Full) => books.busy_full += 1,
--- a/crates/model/src/server/host.rs
+++ b/crates/model/src/server/host.rs
@@ -5,8 +5,8 @@
 
 use rand_chacha::ChaCha8Rng;
 
-use super::books::Books;
-use super::config::{Machine, Overdriven};
+use super::books::ServerStats;
+use super::config::{Machine, OverloadOutage};
 use super::dist::{Dist, Sampler};
 use super::error::ConfigError;
 use super::keeper::{Begun, Keeper, Outbox};
@@ -49,7 +49,7 @@
 }
 
 impl Overload {
-    pub(crate) fn stops(over: &Overdriven) -> Result<Self, ConfigError> {
+    pub(crate) fn stops(over: &OverloadOutage) -> Result<Self, ConfigError> {
         let (resets, left) = (over.resets, over.most);
         let down = over.down.sampler("overdriven.down")?;
         Ok(Self::Stops { pressure: Pressure::new(&over.tip), down, resets, left })
@@ -100,7 +100,7 @@
     pub(super) troubles: Troubles,
     pub(super) draws: Draws,
     pub(super) out: Outbox,
-    pub(super) books: Books,
+    pub(super) books: ServerStats,
     held_area: u128,
     held_since: Nanos,
     told_drained: bool,
@@ -156,7 +156,7 @@
                 rng: draw::stream(seed, "server work", uid.0),
             },
             out: Outbox::default(),
-            books: Books::default(),
+            books: ServerStats::default(),
             held_area: 0,
             held_since: now,
             told_drained: false,
@@ -178,7 +178,7 @@
                 State::Up | State::Draining => self.take(request),
             },
             Event::Fault(fault) => self.fault(fault),
-            Event::Fill { .. } | Event::Void { .. } | Event::Change(_) | Event::Learn { .. } => {
+            Event::Fill { .. } | Event::Invalidate { .. } | Event::Change(_) | Event::Learn { .. } => {
                 let up = self.runs();
                 self.keeper.tell(self.now, &event, up, &mut self.out);
             }
@@ -235,7 +235,7 @@
     }
 
     /// What it has done and how it stands, by that time.
-    pub fn books(&mut self, now: Micros) -> Books {
+    pub fn books(&mut self, now: Micros) -> ServerStats {
         self.advance(from_micros(now));
         self.count_held();
         let mut books = self.books;
@@ -366,7 +366,7 @@
             Overload::Falls(pressure) => {
                 if !self.warmth.is_warm() && pressure.sent(now, work, capacity) {
                     self.books.falls += 1;
-                    self.out.push(now, Act::Fell);
+                    self.out.push(now, Act::Crashed);
                     self.go_down(State::Down);
                 }
             }
--- a/crates/model/src/server/keeper.rs
+++ b/crates/model/src/server/keeper.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use super::books::Books;
+use super::books::ServerStats;
 use super::message::{Act, Answer, ConnId, Effect, Event, Note, Order, Request};
 use super::records::Ledger;
 use super::time::{Nanos, to_micros};
@@ -22,7 +22,7 @@
     /// Nothing.
     Missing {
         /// Another request was told to fetch it.
-        others_fetch: bool,
+        fetch_in_progress: bool,
     },
     /// It writes.
     Change,
@@ -91,7 +91,7 @@
     fn restart(&mut self);
 
     /// Enters what it knows.
-    fn book(&self, books: &mut Books);
+    fn book(&self, books: &mut ServerStats);
 
     /// What was carried out here.
     fn ledger(&self) -> &Ledger;
--- a/crates/model/src/server/message.rs
+++ b/crates/model/src/server/message.rs
@@ -1,7 +1,7 @@
 //! What goes into a server and what comes out. No bytes: parsing and writing are the codec's.
 
 use crate::Micros;
-use crate::value::{IdempotencyKey, Key, Made, Maker, Receipt, RequestId, Uid};
+use crate::value::{IdempotencyKey, Key, ValueSpec, Maker, Receipt, RequestId, Uid};
 
 /// A connection, by the number that the driver gave it. Numbers are never used again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -227,12 +227,12 @@
     /// The value of the key.
     Hit {
         /// What the value is; its bytes are `value::make(&value)`.
-        value: Made,
+        value: ValueSpec,
     },
     /// The key is not kept here.
     Miss {
         /// Another request was told so lately and its fill has not come.
-        others_fetch: bool,
+        fetch_in_progress: bool,
     },
     /// The write was carried out, now or (a keyed repeat) before. Also given for a store.
     Receipt(Receipt),
@@ -263,7 +263,7 @@
     /// A miss.
     Miss,
     /// A miss while another fetch of the key is out.
-    MissOthersFetch,
+    MissFetchInProgress,
 }
 
 /// An answer on its way out.
@@ -324,7 +324,7 @@
     /// A write was carried out (whether or not its answer arrives): for ledgers, and for the other servers of a
     /// group ([`Event::Learn`]).
     Effect(Effect),
-    /// An object has a new version: copies elsewhere are void ([`Event::Void`]).
+    /// An object has a new version: copies elsewhere are void ([`Event::Invalidate`]).
     Changed {
         /// Key of the object.
         key: Key,
--- a/crates/model/src/server/mod.rs
+++ b/crates/model/src/server/mod.rs
@@ -53,11 +53,11 @@
 mod troubles;
 pub(crate) mod warmth;
 
-pub use books::Books;
+pub use books::ServerStats;
 pub use cache::{Cache, CacheServer};
 pub use config::{
-    Abandoned, CacheConfig, Choke, Class, Connections, Eviction, Machine, OriginConfig, Overdriven, Pauses,
-    Sizes, Tip, WarmUp, Writes,
+    Abandoned, CacheConfig, ConcurrencyPenalty, Class, Connections, Eviction, Machine, OriginConfig, OverloadOutage, Pauses,
+    Sizes, OverloadThreshold, WarmUp, Writes,
 };
 pub use dist::Dist;
 pub use error::ConfigError;
--- a/crates/model/src/server/warmth.rs
+++ b/crates/model/src/server/warmth.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use super::config::{Tip, WarmUp};
+use super::config::{OverloadThreshold, WarmUp};
 use super::time::{Nanos, from_micros};
 
 /// The warm-up curve.
@@ -71,7 +71,7 @@
 }
 
 impl Pressure {
-    pub(crate) fn new(tip: &Tip) -> Self {
+    pub(crate) fn new(tip: &OverloadThreshold) -> Self {
         let window = from_micros(tip.window_us);
         Self { multiple: tip.multiple, window, sent: VecDeque::new(), sum: 0 }
     }
--- a/crates/model/tests/servers/caching.rs
+++ b/crates/model/tests/servers/caching.rs
@@ -45,7 +45,7 @@
         orders.extend(rig.run_to(rig.now + 2));
         match answers(&orders)[..] {
             [(_, _, Answer::Hit { .. })] => hits += u64::from(id >= warm_up),
-            [(_, _, Answer::Miss { others_fetch: false })] => {
+            [(_, _, Answer::Miss { fetch_in_progress: false })] => {
                 rig.at(rig.now, Event::Fill { key: Key(key), version: 0, size: SIZE });
             }
             ref other => panic!("{other:?}"),
--- a/crates/model/tests/servers/queueing.rs
+++ b/crates/model/tests/servers/queueing.rs
@@ -14,7 +14,7 @@
 struct Run {
     /// Arrival, work and answer of each request, µs.
     requests: Vec<(i64, f64, i64)>,
-    books: Books,
+    books: ServerStats,
 }
 
 /// Poisson arrivals at that share of the capacity, each on a connection of its own.
@@ -129,7 +129,7 @@
 #[test]
 fn littles_law_holds_on_the_books() {
     let got = run(4, 6, 0.8, &exponential, 20_000);
-    let Books { requests, answered, stayed_us, held_area_us, held, at, .. } = got.books;
+    let ServerStats { requests, answered, stayed_us, held_area_us, held, at, .. } = got.books;
     assert_eq!((requests, answered, held), (20_000, 20_000, 0));
     // Little 1961: mean number held = rate x mean time; with nothing left over it is an identity.
     let (number, rate, time) =
--- a/crates/model/tests/servers/rules.rs
+++ b/crates/model/tests/servers/rules.rs
@@ -36,7 +36,7 @@
 #[test]
 fn a_cold_server_falls_just_over_the_rule_and_stays_down() {
     // Capacity 0.25 (it hardly warms), 3 times, 2 s: 1.5 s of work in any 2 s.
-    let tip = Some(Tip { multiple: 3.0, window_us: 2 * SECOND });
+    let tip = Some(OverloadThreshold { multiple: 3.0, window_us: 2 * SECOND });
     let warm_up = WarmUp { start: 0.25, full_after_us: 1_000_000 * SECOND, full_after_work_us: None, tip };
     let config = CacheConfig { warm_up, ..single(|m| m.waiting_room = 2) };
     // When the sixteenth piece of 0.1 s comes, after fifteen at 0; whether the server has run for long.
@@ -56,9 +56,9 @@
         );
         assert_eq!(rig.server.state(), State::Up);
         let orders = acts(&ask(&mut rig, at, 0, 15, 1e5));
-        assert_eq!(orders.contains(&Act::Fell), falls, "at {at}, warm {warm}");
+        assert_eq!(orders.contains(&Act::Crashed), falls, "at {at}, warm {warm}");
         if falls {
-            assert_eq!(orders[orders.len() - 2..], [Act::Fell, closed(0, CloseKind::Rst)]);
+            assert_eq!(orders[orders.len() - 2..], [Act::Crashed, closed(0, CloseKind::Rst)]);
             let late = at + 100 * SECOND;
             assert_eq!(acts(&rig.at(late, Event::Connect(ConnId(1)))), [Act::Refused(ConnId(1))]);
             assert_eq!(acts(&ask(&mut rig, late, 0, 16, 1.0)), [closed(0, CloseKind::Rst)]);
@@ -120,7 +120,7 @@
         let first = 100 + busy_work_us as i64;
         let expected = [
             (turned_away, 3, Answer::Busy(BusyReason::Full)),
-            (first, 1, Answer::Miss { others_fetch: false }),
+            (first, 1, Answer::Miss { fetch_in_progress: false }),
             (first + busy_work_us as i64, 2, Answer::Busy(BusyReason::Over)),
         ];
         assert_eq!(answers(&orders), expected);
@@ -254,7 +254,7 @@
 #[test]
 fn crowding_and_slowness_cost_speed() {
     // Four held on one core, from two on a quarter less for each: divided by 1.5; at half speed.
-    let mut rig = cache(&single(|m| (m.slots, m.choke) = (4, Choke { at: 2.0, loss: 0.25 })));
+    let mut rig = cache(&single(|m| (m.slots, m.choke) = (4, ConcurrencyPenalty { at: 2.0, loss: 0.25 })));
     rig.connect(0..4);
     fault(&mut rig, 0, Fault::Slow(0.5));
     for conn in 0..4 {
@@ -307,7 +307,7 @@
         assert_eq!(acts(&ask(&mut rig, 1000, 1, 3, 1.0)), [closed(1, CloseKind::Rst)], "an old connection");
         rig.connect(3..4);
         ask(&mut rig, 1000, 3, 1, 10.0);
-        assert_eq!(answers(&rig.run_to(1010))[0].2, Answer::Miss { others_fetch: false }, "it is empty");
+        assert_eq!(answers(&rig.run_to(1010))[0].2, Answer::Miss { fetch_in_progress: false }, "it is empty");
         assert_eq!(rig.server.uid(), Uid(2));
     }
 }
@@ -335,9 +335,9 @@
         (version, note.unwrap())
     };
     let fill = |version| Some(Event::Fill { key: Key(5), version, size: 2048 });
-    let void = |version| Some(Event::Void { key: Key(5), version });
+    let void = |version| Some(Event::Invalidate { key: Key(5), version });
     assert_eq!(look(0, None), (None, Note::Miss));
-    assert_eq!(look(100, None), (None, Note::MissOthersFetch));
+    assert_eq!(look(100, None), (None, Note::MissFetchInProgress));
     assert_eq!(look(200, None), (None, Note::Miss), "the lease is over");
     assert_eq!(look(300, fill(1)), (Some(1), Note::Hit));
     assert_eq!(look(400, void(2)), (None, Note::Miss));
@@ -449,9 +449,9 @@
 #[test]
 fn an_overdriven_origin_stops_and_comes_back() {
     // Twice its capacity for 1 s is 2 s of work.
-    let tip = Tip { multiple: 2.0, window_us: SECOND };
+    let tip = OverloadThreshold { multiple: 2.0, window_us: SECOND };
     for resets in [false, true] {
-        let over = Overdriven { tip, down: Dist::Fixed(3e6), resets, most: 1 };
+        let over = OverloadOutage { tip, down: Dist::Fixed(3e6), resets, most: 1 };
         let mut rig = origin(|c| c.overdriven = Some(over));
         rig.connect(0..1);
         assert_eq!(ask(&mut rig, 0, 0, 1, 2e6), [], "just at it");
@@ -502,7 +502,7 @@
         ("classes", |c| c.machine.classes.clear()),
         ("connections.idle_us", |c| c.machine.connections.idle_us = Some(0)),
         ("warm_up.start", |c| c.warm_up.start = 0.0),
-        ("warm_up.tip", |c| c.warm_up.tip = Some(Tip { multiple: 3.0, window_us: 0 })),
+        ("warm_up.tip", |c| c.warm_up.tip = Some(OverloadThreshold { multiple: 3.0, window_us: 0 })),
         ("classes.work", |c| c.machine.classes[0].work = Dist::Exp(-1.0)),
         ("attempt_cv", |c| c.machine.attempt_cv = -1.0),
     ];
