--- a/crates/lab/src/sim/catalog.rs
+++ b/crates/lab/src/sim/catalog.rs
@@ -256,7 +256,7 @@
                 }
             }
         }
-        self.machine.take_tellings();
+        self.machine.take_notifications();
     }
 
     fn failed(&mut self, id: CallId, cx: &mut Cx) -> Option<Conn> {
--- a/crates/lab/src/sim/servers.rs
+++ b/crates/lab/src/sim/servers.rs
@@ -447,7 +447,7 @@
             }
             Act::Effect(effect) => self.effect(place, at, &effect, cx),
             Act::Changed { key, version } => self.void(place, at, key, version, cx),
-            Act::Fell => {
+            Act::Crashed => {
                 cx.server(at, ServerEvent::State { server, state: ServerState::Fallen });
                 self.gone.push((place, false));
             }
@@ -577,7 +577,7 @@
 
     fn void(&mut self, place: usize, at: Micros, key: Key, version: u64, cx: &mut Cx) {
         for other in self.caches(place) {
-            self.hand(other, cx, at, Event::Void { key, version });
+            self.hand(other, cx, at, Event::Invalidate { key, version });
         }
     }
 
--- a/crates/lab/src/stand/acts.rs
+++ b/crates/lab/src/stand/acts.rs
@@ -62,7 +62,7 @@
             }
             Act::Effect(effect) => self.effect(place, at, &effect),
             Act::Changed { key, version } => self.void(place, at, key, version),
-            Act::Fell => {
+            Act::Crashed => {
                 self.tell(at, ServerEvent::State { server, state: ServerState::Fallen });
                 self.doors_moved = true;
                 self.note_gone(place, now, false);
@@ -180,7 +180,7 @@
 
     fn void(&mut self, place: usize, at: Micros, key: Key, version: u64) {
         for other in self.caches(place, |_| true) {
-            self.hand(other, at, Event::Void { key, version });
+            self.hand(other, at, Event::Invalidate { key, version });
         }
     }
 
--- a/crates/lab/src/stand/asked.rs
+++ b/crates/lab/src/stand/asked.rs
@@ -162,7 +162,7 @@
     let note = note.map(|note| match note {
         Note::Hit => ReadNote::Hit,
         Note::Miss => ReadNote::Fetched,
-        Note::MissOthersFetch => ReadNote::OthersFetch,
+        Note::MissFetchInProgress => ReadNote::OthersFetch,
     });
     let mut out = Vec::with_capacity(body.len() + 64);
     let worded = match answer {
@@ -275,7 +275,7 @@
         assert_eq!(worded.digest, digest(&make(&value)));
         let worded = word(Protocol::Http, &hit, &asked).unwrap();
         assert!(worded.bytes.starts_with(b"HTTP/1.1 200 OK\r\n") && worded.bytes.ends_with(&make(&value)));
-        let miss = answered(Answer::Miss { others_fetch: true }, Some(Note::MissOthersFetch));
+        let miss = answered(Answer::Miss { fetch_in_progress: true }, Some(Note::MissFetchInProgress));
         let worded = word(Protocol::Memcache, &miss, &asked).unwrap();
         assert_eq!((&worded.bytes[..], worded.digest), (&b"EN O9 h0 Z\r\n"[..], 0));
         assert!(word(Protocol::Http, &answered(Answer::Nothing, None), &asked).is_none());
--- a/crates/lab/src/stand/control.rs
+++ b/crates/lab/src/stand/control.rs
@@ -8,7 +8,7 @@
 use lapisrudder_model::clients::NodeId;
 use lapisrudder_model::discovery::{Address, Event, Member, Outage, State as Listing, View};
 use lapisrudder_model::network::{Fault as LinkFault, FaultId, Host, Which};
-use lapisrudder_model::server::{Books, CloseKind, Event as Happening, Fault};
+use lapisrudder_model::server::{CloseKind, Event as Happening, Fault, ServerStats};
 use lapisrudder_model::value::{Key, Uid};
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -327,7 +327,7 @@
     }
 
     /// How a server stands, and what it has done.
-    pub fn look(&self, server: ServerNo) -> Done<Books> {
+    pub fn look(&self, server: ServerNo) -> Done<ServerStats> {
         self.run(move |stand| {
             let place = stand.place_of(server).ok_or(ControlError::NoServer(server.0))?;
             let now = stand.clock.now();
@@ -462,7 +462,7 @@
         }
     }
 
-    fn books(&mut self, place: usize, now: Micros) -> Option<Books> {
+    fn books(&mut self, place: usize, now: Micros) -> Option<ServerStats> {
         match &mut self.parties.get_mut(place)?.role {
             Role::Server(host) => Some(host.machine.books(now)),
             Role::Discovery(_) => None,
--- a/crates/lab/src/stand/discovery.rs
+++ b/crates/lab/src/stand/discovery.rs
@@ -203,7 +203,7 @@
         }
         let Some(catalog) = self.catalog() else { return };
         // The lab's checks judge who was told by the ledger.
-        catalog.machine.take_tellings();
+        catalog.machine.take_notifications();
         // A driver is called at the latest then; guards against turning without end on a time long past.
         let next = catalog.machine.next().map(|at| at.max(now));
         self.arm_party(place, next);
--- a/crates/lab/src/stand/of_experiment.rs
+++ b/crates/lab/src/stand/of_experiment.rs
@@ -11,8 +11,9 @@
 use lapisrudder_model::mix::Spread as Law;
 use lapisrudder_model::network::Delay;
 use lapisrudder_model::server::{
-    Abandoned, CacheConfig, Choke, Class as Work, CloseKind, Connections, Dist, Eviction as Order, Machine,
-    OriginConfig, Overdriven, Pauses, Sizes, Tip, WarmUp, Writes,
+    Abandoned, CacheConfig, Class as Work, CloseKind, ConcurrencyPenalty, Connections, Dist,
+    Eviction as Order, Machine, OriginConfig, OverloadOutage, OverloadThreshold, Pauses, Sizes, WarmUp,
+    Writes,
 };
 use rand_distr::{Distribution, LogNormal};
 
@@ -112,7 +113,7 @@
         speed,
         slots: per_core(kind.slots_per_core).max(1),
         waiting_room: per_core(kind.queue_per_core),
-        choke: Choke { at: kind.thrash_at, loss: kind.thrash },
+        choke: ConcurrencyPenalty { at: kind.thrash_at, loss: kind.thrash },
         busy_work_us: 0.0,
         abandoned: match kind.cancel {
             Cancel::None => Abandoned::GoesOn,
@@ -160,8 +161,8 @@
     }
 }
 
-fn tip(multiple: f64, window_s: f64) -> Tip {
-    Tip { multiple, window_us: seconds(window_s).max(1) }
+fn tip(multiple: f64, window_s: f64) -> OverloadThreshold {
+    OverloadThreshold { multiple, window_us: seconds(window_s).max(1) }
 }
 
 /// As many cores as fetches that it can do at once, each a little slower where that is no whole number: the capacity is
@@ -181,7 +182,7 @@
             speed,
             slots: cores as u32,
             waiting_room: o.queue,
-            choke: Choke { at: 1.0, loss: o.thrash },
+            choke: ConcurrencyPenalty { at: 1.0, loss: o.thrash },
             abandoned: if o.works_on { Abandoned::GoesOn } else { Abandoned::Drop },
             fail_share: o.error_rate,
             connections: Connections { cap: o.connections, at_once: 1, ..Connections::default() },
@@ -190,7 +191,7 @@
         },
         write_share: o.write_times,
         sizes: Sizes { median: f64::from(o.value_bytes), sigma: o.value_sigma, ..Sizes::default() },
-        overdriven: (o.fall_multiple > 0.0).then(|| Overdriven {
+        overdriven: (o.fall_multiple > 0.0).then(|| OverloadOutage {
             tip: tip(o.fall_multiple, o.fall_s),
             down: Dist::Fixed(o.down_s * 1e6),
             resets: false,
@@ -209,7 +210,7 @@
             latency: Law::Fixed(millis(d.call_ms)),
             per_call: (line_us * d.call_lines) as Micros,
             per_line: line_us as Micros,
-            patience: millis(d.timeout_ms),
+            max_queue_wait: millis(d.timeout_ms),
             limits: Limits {
                 ask_within: (rules.ask_within_s > 0.0).then(|| seconds(rules.ask_within_s)),
                 call: seconds(rules.told_within_s),
--- a/crates/lab/src/stand/server.rs
+++ b/crates/lab/src/stand/server.rs
@@ -12,7 +12,7 @@
 use lapisrudder_model::mix::SplitMix;
 use lapisrudder_model::origin::Origin;
 use lapisrudder_model::server::{
-    Abandoned, Begun, Books, CacheServer, CloseKind, ConnId, Event, Kind, Order, Request, State,
+    Abandoned, Begun, CacheServer, CloseKind, ConnId, Event, Kind, Order, Request, ServerStats, State,
 };
 use lapisrudder_model::value::{Key, RequestId};
 use rustc_hash::FxHashSet;
@@ -54,8 +54,8 @@
         each!(self, m => m.state())
     }
 
-    pub(crate) fn books(&mut self, now: Micros) -> Books {
-        each!(self, m => m.books(now))
+    pub(crate) fn books(&mut self, now: Micros) -> ServerStats {
+        each!(self, m => m.stats(now))
     }
 
     pub(crate) fn paused(&self) -> bool {
--- a/crates/lab/tests/stand/faults.rs
+++ b/crates/lab/tests/stand/faults.rs
@@ -4,7 +4,7 @@
 use lapisrudder_lab::Micros;
 use lapisrudder_lab::ledger::{Answer, Closer, RefusedWhy, ServerEvent, ServerState};
 use lapisrudder_lab::stand::{CloseKind, Comeback, End, Fault, Heal, LinkFault, NodeSpec, Noise};
-use lapisrudder_model::server::{Dist, Overdriven, Tip};
+use lapisrudder_model::server::{Dist, OverloadOutage, OverloadThreshold};
 use lapisrudder_model::value::{Key, Maker, Uid};
 
 fn miss(id: u64) -> String {
@@ -240,7 +240,7 @@
     let mut spec = spec(50_000.0);
     let config = &mut spec.servers[0].config;
     config.warm_up.start = 0.1;
-    config.warm_up.tip = Some(Tip { multiple: 1.0, window_us: 1_000_000 });
+    config.warm_up.tip = Some(OverloadThreshold { multiple: 1.0, window_us: 1_000_000 });
     spec.servers[0].warm = false;
     let world = start(spec);
     let s0 = no(&world, "s0");
@@ -281,8 +281,8 @@
     let config = &mut spec.origin.as_mut().unwrap().config;
     config.machine = machine(30_000.0);
     config.machine.cores = 1;
-    let tip = Tip { multiple: 0.1, window_us: 1_000_000 };
-    config.overdriven = Some(Overdriven { tip, down: Dist::Fixed(50_000.0), resets: false, most: 1 });
+    let tip = OverloadThreshold { multiple: 0.1, window_us: 1_000_000 };
+    config.overdriven = Some(OverloadOutage { tip, down: Dist::Fixed(50_000.0), resets: false, most: 1 });
     let world = start(spec);
     let origin = no(&world, "origin");
     let mut client = Client::of(&world, "origin");
--- a/crates/model/examples/speed.rs
+++ b/crates/model/examples/speed.rs
@@ -14,8 +14,12 @@
 
 fn run(servers: u64, requests: u64) -> Result<(), Box<dyn Error>> {
     let class = Class { work: Dist::LogNormal { mean_us: 1000.0, cv: 1.5 }, ..Class::default() };
-    let tip = Some(Tip { multiple: 3.0, window_us: 2_000_000 });
-    let machine = Machine { classes: vec![class], choke: Choke { at: 3.0, loss: 0.1 }, ..Machine::default() };
+    let tip = Some(OverloadThreshold { multiple: 3.0, window_us: 2_000_000 });
+    let machine = Machine {
+        classes: vec![class],
+        choke: ConcurrencyPenalty { at: 3.0, loss: 0.1 },
+        ..Machine::default()
+    };
     let warm_up = WarmUp { start: 0.2, tip, ..WarmUp::default() };
     let config = CacheConfig { machine, warm_up, memory: 20 << 20, ..CacheConfig::default() };
     let mut world = Vec::new();
@@ -60,7 +64,7 @@
         }
     }
     let took = begin.elapsed().as_secs_f64();
-    let ended: u64 = world.iter_mut().map(|s| s.books(now).begun).sum();
+    let ended: u64 = world.iter_mut().map(|s| s.stats(now).begun).sum();
     events += ended;
     println!(
         "{servers} servers: {requests} requests, {answered} answers, {:.2} million events/s, {:.0} ns a request",
--- a/crates/model/src/discovery/catalog.rs
+++ b/crates/model/src/discovery/catalog.rs
@@ -23,7 +23,7 @@
     /// Entries of each member by version, as far back as the log.
     entries: BTreeMap<String, Vec<(u64, Member)>>,
     /// How many changes an answer may bring.
-    remember: usize,
+    max_changes: usize,
     /// Who has this version or an older one gets the whole list.
     horizon: u64,
     /// The oldest version that is known.
@@ -31,12 +31,12 @@
 }
 
 /// Changes that are kept at least: the books tell nodes of them one by one, however few answers may bring.
-const KEPT: usize = 65_536;
+const MIN_KEPT_CHANGES: usize = 65_536;
 
 impl Catalog {
-    pub(super) fn new(rev: u64, members: Vec<Member>, remember: usize) -> Self {
+    pub(super) fn new(rev: u64, members: Vec<Member>, max_changes: usize) -> Self {
         let entries = members.into_iter().map(|member| (member.uid.clone(), vec![(rev, member)])).collect();
-        Self { rev, log: VecDeque::new(), entries, remember, horizon: rev, oldest: rev }
+        Self { rev, log: VecDeque::new(), entries, max_changes, horizon: rev, oldest: rev }
     }
 
     pub(super) fn rev(&self) -> u64 {
@@ -56,9 +56,9 @@
             self.entries.entry(uid.clone()).or_default().push((self.rev, member));
             self.log.push_back(Change { rev: self.rev, at, uid, state });
         }
-        let forgotten = self.log.len().checked_sub(self.remember + 1).and_then(|last| self.log.get(last));
+        let forgotten = self.log.len().checked_sub(self.max_changes + 1).and_then(|last| self.log.get(last));
         self.horizon = forgotten.map_or(self.horizon, |change| change.rev);
-        while self.log.len() > self.remember.max(KEPT)
+        while self.log.len() > self.max_changes.max(MIN_KEPT_CHANGES)
             && let Some(old) = self.log.pop_front()
         {
             self.oldest = old.rev;
--- a/crates/model/src/discovery/machine.rs
+++ b/crates/model/src/discovery/machine.rs
@@ -5,9 +5,11 @@
 
 use rand_chacha::ChaCha8Rng;
 
-use super::books::Books;
 use super::catalog::Catalog;
-use super::{Address, Ask, CallId, DiscoveryPlan, Event, How, Listing, Order, Outage, Telling, View};
+use super::notifications::NotificationTable;
+use super::{
+    Address, Ask, CallId, DiscoveryPlan, Event, Listing, Notification, NotifiedBy, Order, Outage, View,
+};
 use crate::Micros;
 use crate::clients::NodeId;
 use crate::draw::stream;
@@ -76,7 +78,7 @@
     timers: BinaryHeap<Reverse<(Micros, u64, Timer)>>,
     timers_made: u64,
     orders: VecDeque<Order>,
-    books: Books,
+    notifications: NotificationTable,
     draws: ChaCha8Rng,
 }
 
@@ -84,7 +86,7 @@
     /// Up, at one address.
     pub fn new(plan: DiscoveryPlan, address: Address, seed: u64) -> Self {
         Self {
-            catalog: Catalog::new(plan.rev, plan.members.clone(), plan.remember),
+            catalog: Catalog::new(plan.rev, plan.members.clone(), plan.max_changes),
             view: View::Live,
             shown: plan.rev,
             down: None,
@@ -95,7 +97,7 @@
             timers: BinaryHeap::new(),
             timers_made: 0,
             orders: VecDeque::from([Order::Listen(address)]),
-            books: Books::new(plan.limits),
+            notifications: NotificationTable::new(plan.limits),
             draws: stream(seed, "discovery", 0),
             plan,
         }
@@ -116,14 +118,14 @@
                 if let View::Lag(lag) = self.view {
                     self.timer(now + lag, Timer::Visible);
                 }
-                self.show(now);
+                self.on_view_change(now);
             }
             Event::Down(outage) => self.go_down(now, outage),
             Event::Up => {
                 if self.down.take() == Some(Outage::Silent) {
                     self.fail_all(now, Timer::Reset);
                 }
-                self.show(now);
+                self.on_view_change(now);
             }
             Event::View(view) => {
                 self.view = view;
@@ -132,11 +134,11 @@
                     let later: Vec<Micros> = changes.filter(|at| *at > now).collect();
                     later.into_iter().for_each(|at| self.timer(at, Timer::Visible));
                 }
-                self.show(now);
+                self.on_view_change(now);
             }
             Event::Move(to) => self.move_to(now, to),
             Event::NodeStarted(node, known) => {
-                let silent = self.books.started(now, node, known);
+                let silent = self.notifications.started(now, node, known);
                 silent.into_iter().for_each(|at| self.timer(at, Timer::Unasked(node)));
             }
             Event::NodeReloaded(node) => self.timer(now + self.plan.limits.reload, Timer::Reloaded(node)),
@@ -165,9 +167,9 @@
         self.timers.peek().map(|timer| timer.0.0)
     }
 
-    /// Who counts as told of what since the last call of this. A `told` or `due` may lie before earlier entries'.
-    pub fn take_tellings(&mut self) -> Vec<Telling> {
-        std::mem::take(&mut self.books.tellings)
+    /// Who counts as told of what since the last call of this. A `notified` or `due` may lie before earlier entries'.
+    pub fn take_notifications(&mut self) -> Vec<Notification> {
+        std::mem::take(&mut self.notifications.recorded)
     }
 
     /// The whole list as it is, whatever is served: what a node's configuration holds at its start.
@@ -201,7 +203,7 @@
 
     fn call(&mut self, now: Micros, id: CallId, node: NodeId, address: Address, ask: Ask) {
         let known = if let Ask::Watch { from, .. } = ask { from } else { 0 };
-        self.books.call_begins(now, node, known);
+        self.notifications.call_begins(now, node, known);
         self.calls.insert(id, Call { node, address, ask, stage: Stage::Queued });
         let latency = self.plan.latency.draw(&mut self.draws);
         if self.closed.contains(&address) {
@@ -213,7 +215,7 @@
             Some(Outage::Silent) => return self.hang(id),
             None => {}
         }
-        if self.busy_until.saturating_sub(now) > self.plan.patience {
+        if self.busy_until.saturating_sub(now) > self.plan.max_queue_wait {
             return self.timer(now + latency, Timer::Unavailable(id));
         }
         if ask == Ask::Full {
@@ -259,18 +261,18 @@
                         Stage::Queued | Stage::Waiting => self.visible(now),
                         Stage::Hung => return,
                     };
-                    self.books.tell(now, call.node, &self.catalog, rev, How::Late);
+                    self.notifications.mark_notified(now, call.node, &self.catalog, rev, NotifiedBy::Late);
                 }
             }
             Timer::Unasked(node) => {
                 let visible = self.visible(now);
-                self.books.silent_from(now, node, &self.catalog, visible);
+                self.notifications.check_silent(now, node, &self.catalog, visible);
             }
             Timer::Reloaded(node) => {
                 let visible = self.visible(now);
-                self.books.tell(now, node, &self.catalog, visible, How::Reloaded);
+                self.notifications.mark_notified(now, node, &self.catalog, visible, NotifiedBy::Reloaded);
             }
-            Timer::Visible => self.show(now),
+            Timer::Visible => self.on_view_change(now),
             Timer::CloseAll(address) if address == self.address => {}
             Timer::CloseAll(address) => {
                 self.closed.push(address);
@@ -306,15 +308,15 @@
             }
             Ask::Watch { hold, .. } => {
                 call.stage = Stage::Waiting;
-                let hold = hold.clamp(0, self.plan.longest_hold);
+                let hold = hold.clamp(0, self.plan.max_hold);
                 self.timer(now + hold, Timer::HoldOver(id));
-                self.wake(now, id);
+                self.answer_if_newer(now, id);
             }
         }
     }
 
     /// Answers a watch that waits, if there is something new.
-    fn wake(&mut self, now: Micros, id: CallId) {
+    fn answer_if_newer(&mut self, now: Micros, id: CallId) {
         let visible = self.visible(now);
         let waits = self.calls.get(&id).is_some_and(|call| matches!(call.stage, Stage::Waiting));
         if let Some(from) = self.from(id).filter(|from| waits && *from < visible) {
@@ -338,15 +340,15 @@
     }
 
     /// More may be visible.
-    fn show(&mut self, now: Micros) {
+    fn on_view_change(&mut self, now: Micros) {
         let visible = self.visible(now);
         if visible > self.shown {
-            self.books.visible(now, &self.catalog, visible);
+            self.notifications.visible(now, &self.catalog, visible);
         }
         self.shown = visible;
         let waiting: Vec<CallId> = self.calls.keys().copied().collect();
         for id in waiting {
-            self.wake(now, id);
+            self.answer_if_newer(now, id);
         }
     }
 
@@ -354,14 +356,14 @@
         if let Some(call) = self.calls.get(&id)
             && let Stage::Writing(rev) = call.stage
         {
-            self.books.tell(now, call.node, &self.catalog, rev, How::Written);
+            self.notifications.mark_notified(now, call.node, &self.catalog, rev, NotifiedBy::Written);
             self.end_call(now, id, true);
         }
     }
 
     fn end_call(&mut self, now: Micros, id: CallId, answered: bool) -> Option<Call> {
         let call = self.calls.remove(&id)?;
-        if let Some(silent) = self.books.call_ends(now, call.node, answered) {
+        if let Some(silent) = self.notifications.call_ends(now, call.node, answered) {
             self.timer(silent, Timer::Unasked(call.node));
         }
         Some(call)
--- a/crates/model/src/discovery/machine/tests.rs
+++ b/crates/model/src/discovery/machine/tests.rs
@@ -55,18 +55,18 @@
             discovery.handle(now, event);
         }
     }
-    let told = discovery.take_tellings().into_iter().map(|t| {
+    let notified = discovery.take_notifications().into_iter().map(|t| {
         format!(
             "{} {:?} {}: due {}ms, told {}ms, {:?}",
             t.uid,
             t.state,
             t.rev,
             t.due / 1000,
-            t.told / 1000,
-            t.how
+            t.notified / 1000,
+            t.by
         )
     });
-    (orders, told.collect())
+    (orders, notified.collect())
 }
 
 fn line(order: &Order) -> String {
@@ -88,7 +88,7 @@
     events: Vec<(Micros, Event)>,
     end: Micros,
     orders: &'static [&'static str],
-    told: &'static [&'static str],
+    notified: &'static [&'static str],
 }
 
 fn call(id: u64, ask: Ask) -> Event {
@@ -105,9 +105,9 @@
         (300, Event::Change(vec![member("s1", State::Removed)])),
         (400, call(1, watch(10))),
     ];
-    let (orders, told) = play(DiscoveryPlan { remember: 1, ..plan() }, &events, 1000);
+    let (orders, notified) = play(DiscoveryPlan { max_changes: 1, ..plan() }, &events, 1000);
     assert_eq!(orders[1..], ["403ms 1: all to 13 [s2 Draining]"]);
-    let uids: Vec<&str> = told.iter().filter_map(|line| line.split(':').next()).collect();
+    let uids: Vec<&str> = notified.iter().filter_map(|line| line.split(':').next()).collect();
     assert_eq!(uids, ["s1 Draining 11", "s2 Draining 12", "s1 Removed 13"]);
 }
 
@@ -120,7 +120,7 @@
             end: 1000,
             // 1 ms of work, 0.1 ms for the line, 1 ms of latency.
             orders: &["502ms 1: changes to 11 [s1 Draining]"],
-            told: &["s1 Draining 11: due 500ms, told 504ms, Written"],
+            notified: &["s1 Draining 11: due 500ms, told 504ms, Written"],
         },
         Case {
             name: "the whole list, then nothing new within the wait",
@@ -131,7 +131,7 @@
             ],
             end: 1000,
             orders: &["4ms 1: all to 10 [s1 Up, s2 Up]", "313ms 2: changes to 10 []"],
-            told: &[],
+            notified: &[],
         },
         Case {
             name: "a change in the gap before the next call, which comes within 200 ms",
@@ -144,7 +144,7 @@
             ],
             end: 1000,
             orders: &["502ms 1: changes to 11 [s1 Draining]", "703ms 2: changes to 12 [s2 Draining]"],
-            told: &[
+            notified: &[
                 "s1 Draining 11: due 500ms, told 504ms, Written",
                 "s2 Draining 12: due 600ms, told 705ms, Written",
             ],
@@ -160,7 +160,7 @@
             ],
             end: 1000,
             orders: &["502ms 1: changes to 11 [s1 Draining]", "903ms 2: changes to 12 [s2 Draining]"],
-            told: &[
+            notified: &[
                 "s1 Draining 11: due 500ms, told 504ms, Written",
                 "s2 Draining 12: due 900ms, told 905ms, Written",
             ],
@@ -170,7 +170,7 @@
             events: vec![start.clone(), (500, drain("s1")), (11_000, drain("s2"))],
             end: 20_000,
             orders: &[],
-            told: &[
+            notified: &[
                 "s1 Draining 11: due 500ms, told 10000ms, Unasked",
                 "s2 Draining 12: due 11000ms, told 11000ms, Unasked",
             ],
@@ -194,7 +194,7 @@
                 "8001ms 3: reset",
                 "12503ms 4: changes to 11 [s1 Draining]",
             ],
-            told: &["s1 Draining 11: due 12500ms, told 12505ms, Written"],
+            notified: &["s1 Draining 11: due 12500ms, told 12505ms, Written"],
         },
         Case {
             name: "silent: calls hang and are reset at the end",
@@ -208,7 +208,7 @@
             ],
             end: 10_000,
             orders: &["9000ms 1: reset", "9000ms 2: reset"],
-            told: &[],
+            notified: &[],
         },
         Case {
             name: "a move: the old address answers on for 1.5 s, then its watch ends; told 4 s after the reload",
@@ -227,7 +227,7 @@
                 "2500ms CloseAll(Address(0))",
                 "4001ms 2: reset",
             ],
-            told: &["s1 Draining 11: due 4000ms, told 5000ms, Reloaded"],
+            notified: &["s1 Draining 11: due 4000ms, told 5000ms, Reloaded"],
         },
         Case {
             name: "a frozen view serves the old list and lets watches wait",
@@ -241,7 +241,7 @@
             ],
             end: 1000,
             orders: &["303ms 1: all to 10 [s1 Up, s2 Up]", "802ms 2: changes to 11 [s1 Draining]"],
-            told: &["s1 Draining 11: due 300ms, told 804ms, Written"],
+            notified: &["s1 Draining 11: due 300ms, told 804ms, Written"],
         },
         Case {
             name: "a lagging view shows changes late; a watch from a newer version waits",
@@ -254,7 +254,7 @@
             ],
             end: 1000,
             orders: &["602ms 2: changes to 11 [s1 Draining]"],
-            told: &["s1 Draining 11: due 210ms, told 604ms, Written"],
+            notified: &["s1 Draining 11: due 210ms, told 604ms, Written"],
         },
         Case {
             name: "removed members are among changes and not on the whole list",
@@ -267,7 +267,7 @@
             ],
             end: 1000,
             orders: &["303ms 1: changes to 12 [s1 Removed, s3 Up]", "403ms 2: all to 12 [s2 Up, s3 Up]"],
-            told: &[
+            notified: &[
                 "s1 Draining 11: due 300ms, told 305ms, Written",
                 "s1 Removed 12: due 300ms, told 305ms, Written",
                 "s3 Up 12: due 300ms, told 305ms, Written",
@@ -279,16 +279,16 @@
 #[test]
 fn watches_and_books_by_table() {
     for case in cases() {
-        let (orders, told) = play(plan(), &case.events, case.end);
+        let (orders, notified) = play(plan(), &case.events, case.end);
         assert_eq!(orders.get(1..).unwrap_or_default(), case.orders, "{}", case.name);
-        assert_eq!(told, case.told, "{}", case.name);
+        assert_eq!(notified, case.notified, "{}", case.name);
     }
 }
 
 #[test]
 fn calls_are_worked_through_in_turn_and_turned_away_when_too_many() {
     let calls: Vec<(Micros, Event)> = (0..30).map(|n| (10, call(n, Ask::Full))).collect();
-    let plan = DiscoveryPlan { per_call: 100_000, per_line: 0, patience: 1_000_000, ..plan() };
+    let plan = DiscoveryPlan { per_call: 100_000, per_line: 0, max_queue_wait: 1_000_000, ..plan() };
     let (orders, _) = play(plan, &calls, 60_000);
     let answered: Vec<&str> =
         orders.iter().filter(|o| o.contains("all to")).filter_map(|o| o.split(' ').next()).collect();
@@ -304,9 +304,12 @@
     discovery.handle(0, drain("s1"));
     discovery.handle(0, call(1, Ask::Full));
     while discovery.poll(20_000_000).is_some() {}
-    let told: Vec<_> =
-        discovery.take_tellings().into_iter().map(|telling| (telling.told, telling.how)).collect();
-    assert_eq!(told, [(6_000_000, How::Late)]);
+    let notified: Vec<_> = discovery
+        .take_notifications()
+        .into_iter()
+        .map(|notification| (notification.notified, notification.by))
+        .collect();
+    assert_eq!(notified, [(6_000_000, NotifiedBy::Late)]);
 }
 
 #[test]
--- a/crates/model/src/discovery/mod.rs
+++ b/crates/model/src/discovery/mod.rs
@@ -2,15 +2,15 @@
 //!
 //! [`Discovery`] answers calls in turn, with a latency. The driver carries HTTP: it hands each call in as an
 //! [`Event`], writes what an [`Order`] says, and tells when an answer's last byte was written, which is when the node
-//! counts as told. [`Telling`]s are the books for the check on drains.
+//! counts as told. [`Notification`]s are the books for the check on drains.
 
-mod books;
 mod catalog;
 mod machine;
+mod notifications;
 mod plan;
 
-pub use books::{How, Limits, Telling};
 pub use machine::Discovery;
+pub use notifications::{Limits, Notification, NotifiedBy};
 pub use plan::{DiscoveryPlan, Outage, View};
 
 use serde::Serialize;
--- a/crates/model/src/discovery/books.rs
+++ b/crates/model/src/discovery/notifications.rs
@@ -36,7 +36,7 @@
 
 /// Why a node counts as told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum NotifiedBy {
     /// An answer with the change was written whole.
     Written,
     /// An answer was due and its limit passed.
@@ -49,7 +49,7 @@
 
 /// A node counts as told of one change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Telling {
+pub struct Notification {
     /// The node.
     pub node: NodeId,
     /// The member.
@@ -62,13 +62,13 @@
     /// between its calls included), else the node's next call. The strictest reading of when it was told.
     pub due: Micros,
     /// When it counts as told.
-    pub told: Micros,
+    pub notified: Micros,
     /// Why.
-    pub how: How,
+    pub by: NotifiedBy,
 }
 
 #[derive(Clone, Debug, Default)]
-struct NodeBook {
+struct NodeRecord {
     /// It is told of everything up to this version.
     rev: u64,
     /// Calls that are open.
@@ -85,79 +85,87 @@
 
 /// All nodes' books.
 #[derive(Clone, Debug)]
-pub(super) struct Books {
+pub(super) struct NotificationTable {
     limits: Limits,
-    nodes: BTreeMap<NodeId, NodeBook>,
-    pub(super) tellings: Vec<Telling>,
+    nodes: BTreeMap<NodeId, NodeRecord>,
+    pub(super) recorded: Vec<Notification>,
 }
 
-impl Books {
+impl NotificationTable {
     pub(super) fn new(limits: Limits) -> Self {
-        Self { limits, nodes: BTreeMap::new(), tellings: Vec::new() }
+        Self { limits, nodes: BTreeMap::new(), recorded: Vec::new() }
     }
 
     /// A node starts and knows the list of a version. Gives when it counts as silent if it never asks.
     pub(super) fn started(&mut self, now: Micros, node: NodeId, rev: u64) -> Option<Micros> {
-        let book = NodeBook { rev, contact: now, session: now, ..NodeBook::default() };
-        self.nodes.insert(node, book);
+        let node_record = NodeRecord { rev, contact: now, session: now, ..NodeRecord::default() };
+        self.nodes.insert(node, node_record);
         self.limits.ask_within.map(|within| now + within)
     }
 
     pub(super) fn call_begins(&mut self, now: Micros, node: NodeId, known: u64) {
         let limits = self.limits;
         // A node that nobody announced knows what it says it does.
-        let book = self.nodes.entry(node).or_insert_with(|| NodeBook { rev: known, ..NodeBook::default() });
-        let goes_on = book.open > 0 || book.answered.is_some_and(|at| now - at <= limits.gap);
-        if !goes_on {
-            book.session = now;
+        let node_record =
+            self.nodes.entry(node).or_insert_with(|| NodeRecord { rev: known, ..NodeRecord::default() });
+        let continues = node_record.open > 0 || node_record.answered.is_some_and(|at| now - at <= limits.gap);
+        if !continues {
+            node_record.session = now;
         }
-        book.open += 1;
-        book.contact = now;
-        book.silent = false;
+        node_record.open += 1;
+        node_record.contact = now;
+        node_record.silent = false;
     }
 
     /// A call is over, with an answer or without. Gives when the node counts as silent if it does not ask again.
     pub(super) fn call_ends(&mut self, now: Micros, node: NodeId, answered: bool) -> Option<Micros> {
-        let book = self.nodes.get_mut(&node)?;
-        book.open = book.open.saturating_sub(1);
-        book.contact = now;
-        book.answered = if answered { Some(now) } else { book.answered };
-        (book.open == 0).then_some(now + self.limits.ask_within?)
+        let node_record = self.nodes.get_mut(&node)?;
+        node_record.open = node_record.open.saturating_sub(1);
+        node_record.contact = now;
+        node_record.answered = if answered { Some(now) } else { node_record.answered };
+        (node_record.open == 0).then_some(now + self.limits.ask_within?)
     }
 
     /// The time that `started` or `call_ends` gave has come.
-    pub(super) fn silent_from(&mut self, now: Micros, node: NodeId, catalog: &Catalog, visible: u64) {
-        let Some(book) = self.nodes.get_mut(&node) else { return };
+    pub(super) fn check_silent(&mut self, now: Micros, node: NodeId, catalog: &Catalog, visible: u64) {
+        let Some(node_record) = self.nodes.get_mut(&node) else { return };
         let within = self.limits.ask_within.unwrap_or(Micros::MAX);
-        if book.open == 0 && now - book.contact >= within && !book.silent {
-            book.silent = true;
-            self.tell(now, node, catalog, visible, How::Unasked);
+        if node_record.open == 0 && now - node_record.contact >= within && !node_record.silent {
+            node_record.silent = true;
+            self.mark_notified(now, node, catalog, visible, NotifiedBy::Unasked);
         }
     }
 
     /// There is more to see: silent nodes count as told at once.
     pub(super) fn visible(&mut self, now: Micros, catalog: &Catalog, visible: u64) {
         let silent: Vec<NodeId> =
-            self.nodes.iter().filter(|(_, book)| book.silent).map(|(node, _)| *node).collect();
+            self.nodes.iter().filter(|(_, node_record)| node_record.silent).map(|(node, _)| *node).collect();
         for node in silent {
-            self.tell(now, node, catalog, visible, How::Unasked);
+            self.mark_notified(now, node, catalog, visible, NotifiedBy::Unasked);
         }
     }
 
     /// The node counts as told of everything up to a version.
-    pub(super) fn tell(&mut self, now: Micros, node: NodeId, catalog: &Catalog, upto: u64, how: How) {
-        let Some(book) = self.nodes.get_mut(&node) else { return };
-        for change in catalog.changes(book.rev, upto) {
-            self.tellings.push(Telling {
+    pub(super) fn mark_notified(
+        &mut self,
+        now: Micros,
+        node: NodeId,
+        catalog: &Catalog,
+        upto: u64,
+        by: NotifiedBy,
+    ) {
+        let Some(node_record) = self.nodes.get_mut(&node) else { return };
+        for change in catalog.changes(node_record.rev, upto) {
+            self.recorded.push(Notification {
                 node,
                 uid: change.uid.clone(),
                 state: change.state,
                 rev: change.rev,
-                due: change.at.max(book.session).min(now),
-                told: now,
-                how,
+                due: change.at.max(node_record.session).min(now),
+                notified: now,
+                by,
             });
         }
-        book.rev = book.rev.max(upto);
+        node_record.rev = node_record.rev.max(upto);
     }
 }
--- a/crates/model/src/discovery/plan.rs
+++ b/crates/model/src/discovery/plan.rs
@@ -41,11 +41,11 @@
     /// Work for each line of an answer.
     pub per_line: Micros,
     /// A call that would wait longer than this for its turn is answered with 503.
-    pub patience: Micros,
+    pub max_queue_wait: Micros,
     /// No watch waits longer.
-    pub longest_hold: Micros,
+    pub max_hold: Micros,
     /// How many changes it remembers; a node that lacks more gets the whole list.
-    pub remember: usize,
+    pub max_changes: usize,
     /// The old address closes open connections so long after a move.
     pub close_after_move: Micros,
     /// When nodes count as told.
@@ -60,9 +60,9 @@
             latency: Spread::Fixed(1000),
             per_call: 100,
             per_line: 2,
-            patience: 2_000_000,
-            longest_hold: 60_000_000,
-            remember: 1000,
+            max_queue_wait: 2_000_000,
+            max_hold: 60_000_000,
+            max_changes: 1000,
             close_after_move: 1_500_000,
             limits: Limits::default(),
         }
--- a/crates/model/src/network/links.rs
+++ b/crates/model/src/network/links.rs
@@ -144,11 +144,11 @@
     }
 
     pub(super) fn covers(&self, active: &Active, from: Host, to: Host) -> bool {
-        (self.of(active.from, from) && self.of(active.to, to))
-            || (active.both && self.of(active.from, to) && self.of(active.to, from))
+        (self.matches(active.from, from) && self.matches(active.to, to))
+            || (active.both && self.matches(active.from, to) && self.matches(active.to, from))
     }
 
-    pub(super) fn of(&self, which: Which, host: Host) -> bool {
+    pub(super) fn matches(&self, which: Which, host: Host) -> bool {
         match which {
             Which::Any => true,
             Which::Host(this) => this == host,
@@ -176,13 +176,13 @@
         if !self.passes(from, to) || !self.passes(to, from) {
             return Fate::Never;
         }
-        let luck = unit(&mut spot(self.seed, "lose", number, 0));
+        let draw = unit(&mut spot(self.seed, "lose", number, 0));
         let mut fate = Fate::Opens;
         for fault in self.faults(from, to) {
             match fault {
                 Fault::Refuse => return Fate::Refused,
                 Fault::NeverOpens => return Fate::Never,
-                Fault::LoseNew(share) if luck < share => return Fate::Never,
+                Fault::LoseNew(share) if draw < share => return Fate::Never,
                 Fault::ResetNew => fate = Fate::Reset,
                 _ => {}
             }
--- a/crates/model/src/network/pipe.rs
+++ b/crates/model/src/network/pipe.rs
@@ -9,7 +9,7 @@
 
 /// What travels one way of a connection, in order.
 #[derive(Clone, Debug)]
-pub(super) enum What {
+pub(super) enum Segment {
     /// The answer to a connect.
     Opened,
     Refused,
@@ -20,31 +20,31 @@
 
 /// One direction of a connection.
 #[derive(Debug, Default)]
-pub(super) struct Way {
+pub(super) struct Direction {
     /// Under way, in order, with the time of arrival.
-    pub(super) coming: VecDeque<(Micros, What)>,
+    pub(super) in_flight: VecDeque<(Micros, Segment)>,
     /// Nothing sent from now on arrives before this.
-    pub(super) last: Micros,
+    pub(super) last_arrival: Micros,
     /// A wake-up for the first of them is in the heap.
     pub(super) scheduled: bool,
     /// Something was sent into a cut, which does this when it ends.
     pub(super) cut: Option<Heal>,
     /// What was sent into a cut that resumes.
-    pub(super) held: VecDeque<What>,
+    pub(super) held: VecDeque<Segment>,
     /// Bytes that take up buffers.
     pub(super) bytes: usize,
     /// The last write was short.
-    pub(super) wants_room: bool,
+    pub(super) wants_writable: bool,
     /// The sender has sent its end.
     pub(super) ended: bool,
     /// The end has arrived.
-    pub(super) end_came: bool,
+    pub(super) end_received: bool,
     /// The receiver does not read.
     pub(super) paused: bool,
     /// The receiver has closed: what arrives is answered by a reset.
     pub(super) closed: bool,
     /// The receiver has reset the connection or got a reset.
-    pub(super) gone: bool,
+    pub(super) reset: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,14 +63,14 @@
     pub(super) to: Host,
     pub(super) stage: Stage,
     /// A machine has lost its memory: what is sent is answered by a reset.
-    pub(super) forgotten: bool,
-    pub(super) to_server: Way,
-    pub(super) to_client: Way,
+    pub(super) peer_lost_state: bool,
+    pub(super) to_server: Direction,
+    pub(super) to_client: Direction,
 }
 
 impl Pipe {
     /// The direction that ends at a side.
-    pub(super) fn way(&mut self, to: Side) -> &mut Way {
+    pub(super) fn direction(&mut self, to: Side) -> &mut Direction {
         if to == Side::Server { &mut self.to_server } else { &mut self.to_client }
     }
 
@@ -80,9 +80,11 @@
     }
 
     /// Both sides are done with it, and nothing is under way.
-    pub(super) fn over(&self) -> bool {
+    pub(super) fn is_finished(&self) -> bool {
         let (a, b) = (&self.to_server, &self.to_client);
-        let done = |here: &Way, there: &Way| here.gone || here.closed || (here.end_came && there.ended);
-        done(a, b) && done(b, a) && a.coming.is_empty() && b.coming.is_empty()
+        let done = |here: &Direction, there: &Direction| {
+            here.reset || here.closed || (here.end_received && there.ended)
+        };
+        done(a, b) && done(b, a) && a.in_flight.is_empty() && b.in_flight.is_empty()
     }
 }
--- a/crates/model/src/network/streams.rs
+++ b/crates/model/src/network/streams.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
 
-use super::pipe::{Pipe, Stage, What};
+use super::pipe::{Pipe, Segment, Stage};
 use super::{Conn, Delivery, Fate, Fault, FaultId, Heal, Host, Links, LinksPlan, Side, Which};
 use crate::Micros;
 use crate::draw::stream;
@@ -59,7 +59,7 @@
     sequence: u64,
     made: u64,
     /// When each host has sent what it has to send.
-    free: FxHashMap<Host, Micros>,
+    idle_at: FxHashMap<Host, Micros>,
     ready: VecDeque<Delivery>,
     draws: ChaCha8Rng,
 }
@@ -74,7 +74,7 @@
             due: BinaryHeap::new(),
             sequence: 0,
             made: 0,
-            free: FxHashMap::default(),
+            idle_at: FxHashMap::default(),
             ready: VecDeque::new(),
             draws: stream(seed, "network", 0),
         }
@@ -101,7 +101,7 @@
         self.made += 1;
         let stage = Stage::Lost(None);
         let (to_server, to_client) = Default::default();
-        self.pipes.insert(conn, Pipe { from, to, stage, forgotten: false, to_server, to_client });
+        self.pipes.insert(conn, Pipe { from, to, stage, peer_lost_state: false, to_server, to_client });
         self.begin_connect(now, conn);
         conn
     }
@@ -122,17 +122,17 @@
     /// Writes bytes at one end: how many were taken. If fewer than given, `Writable` follows when there is room.
     pub fn send(&mut self, now: Micros, conn: Conn, side: Side, bytes: &[u8]) -> usize {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return 0 };
-        let (gone, to) = (pipe.way(side).gone, side.other());
-        let way = pipe.way(to);
-        if way.ended || gone || bytes.is_empty() {
+        let (gone, to) = (pipe.direction(side).reset, side.other());
+        let direction = pipe.direction(to);
+        if direction.ended || gone || bytes.is_empty() {
             return 0;
         }
-        let mut taken = bytes.len().min(self.plan.buffer.max(1).saturating_sub(way.bytes));
+        let mut taken = bytes.len().min(self.plan.buffer.max(1).saturating_sub(direction.bytes));
         if self.plan.short_writes && taken > 1 {
             taken = below(&mut self.draws, taken as u64) as usize + 1;
         }
-        way.wants_room = taken < bytes.len();
-        way.bytes += taken;
+        direction.wants_writable = taken < bytes.len();
+        direction.bytes += taken;
         let mut rest = Bytes::copy_from_slice(bytes.get(..taken).unwrap_or_default());
         while !rest.is_empty() {
             let most = match self.plan.split {
@@ -141,16 +141,18 @@
                 Split::Random(most) => below(&mut self.draws, most.max(1) as u64) as usize + 1,
             };
             let piece = rest.split_to(most.min(rest.len()));
-            self.transmit(now, conn, to, What::Data(piece));
+            self.transmit(now, conn, to, Segment::Data(piece));
         }
         taken
     }
 
     /// Sends the end at one side, behind what it sent. It still reads.
     pub fn shut(&mut self, now: Micros, conn: Conn, side: Side) {
-        let Some(way) = self.pipes.get_mut(&conn).map(|pipe| pipe.way(side.other())) else { return };
-        if !std::mem::replace(&mut way.ended, true) {
-            self.transmit(now, conn, side.other(), What::Fin);
+        let Some(direction) = self.pipes.get_mut(&conn).map(|pipe| pipe.direction(side.other())) else {
+            return;
+        };
+        if !std::mem::replace(&mut direction.ended, true) {
+            self.transmit(now, conn, side.other(), Segment::Fin);
         }
     }
 
@@ -162,15 +164,19 @@
             self.pipes.remove(&conn);
             return;
         }
-        let way = pipe.way(side);
-        way.closed = true;
-        way.paused = false;
-        if way.coming.front().is_some_and(|(at, what)| *at <= now && matches!(what, What::Data(_))) {
+        let direction = pipe.direction(side);
+        direction.closed = true;
+        direction.paused = false;
+        if direction
+            .in_flight
+            .front()
+            .is_some_and(|(at, segment)| *at <= now && matches!(segment, Segment::Data(_)))
+        {
             self.abort(now, conn, side);
         } else {
             self.shut(now, conn, side);
             self.schedule(conn, side);
-            self.forget_if_over(conn);
+            self.remove_if_finished(conn);
         }
     }
 
@@ -181,19 +187,19 @@
             self.pipes.remove(&conn);
             return;
         }
-        let way = pipe.way(side);
-        if std::mem::replace(&mut way.gone, true) {
+        let direction = pipe.direction(side);
+        if std::mem::replace(&mut direction.reset, true) {
             return;
         }
-        way.coming.clear();
-        way.closed = true;
-        pipe.way(side.other()).ended = true;
-        self.transmit(now, conn, side.other(), What::Reset);
-        self.forget_if_over(conn);
+        direction.in_flight.clear();
+        direction.closed = true;
+        pipe.direction(side.other()).ended = true;
+        self.transmit(now, conn, side.other(), Segment::Reset);
+        self.remove_if_finished(conn);
     }
 
-    fn forget_if_over(&mut self, conn: Conn) {
-        if self.pipes.get(&conn).is_some_and(Pipe::over) {
+    fn remove_if_finished(&mut self, conn: Conn) {
+        if self.pipes.get(&conn).is_some_and(Pipe::is_finished) {
             self.pipes.remove(&conn);
         }
     }
@@ -201,7 +207,7 @@
     /// One side stops or resumes reading. What is sent to it stays in the buffers, and so does news of an end.
     pub fn pause(&mut self, conn: Conn, side: Side, paused: bool) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
-        pipe.way(side).paused = paused;
+        pipe.direction(side).paused = paused;
         self.schedule(conn, side);
     }
 
@@ -218,12 +224,13 @@
     pub fn reset_between(&mut self, now: Micros, a: Which, b: Which) {
         let up = self.sorted(|links, pipe| {
             let (from, to) = (pipe.from, pipe.to);
-            let meet = (links.of(a, from) && links.of(b, to)) || (links.of(a, to) && links.of(b, from));
+            let meet = (links.matches(a, from) && links.matches(b, to))
+                || (links.matches(a, to) && links.matches(b, from));
             meet && pipe.stage == Stage::Up
         });
         for conn in up {
-            self.transmit(now, conn, Side::Server, What::Reset);
-            self.transmit(now, conn, Side::Client, What::Reset);
+            self.transmit(now, conn, Side::Server, Segment::Reset);
+            self.transmit(now, conn, Side::Client, Segment::Reset);
         }
     }
 
@@ -250,29 +257,29 @@
             Stage::Lost(Some(Heal::Resume)) => return self.begin_connect(now, conn),
             Stage::Lost(Some(Heal::Reset)) => {
                 pipe.stage = Stage::Up;
-                pipe.way(Side::Server).gone = true;
-                return self.transmit(now, conn, Side::Client, What::Reset);
+                pipe.direction(Side::Server).reset = true;
+                return self.transmit(now, conn, Side::Client, Segment::Reset);
             }
             Stage::Up => {}
             _ => return,
         }
-        pipe.forgotten |= ended == Heal::Reset;
+        pipe.peer_lost_state |= ended == Heal::Reset;
         for to in [Side::Server, Side::Client] {
             let Some(pipe) = self.pipes.get_mut(&conn) else { return };
             let (a, b) = pipe.hosts(to);
-            let way = pipe.way(to);
+            let direction = pipe.direction(to);
             if !self.links.passes(a, b) {
                 continue;
             }
-            match way.cut {
+            match direction.cut {
                 Some(Heal::Resume) => {
-                    way.cut = None;
-                    for what in std::mem::take(&mut way.held) {
-                        self.transmit(now, conn, to, what);
+                    direction.cut = None;
+                    for segment in std::mem::take(&mut direction.held) {
+                        self.transmit(now, conn, to, segment);
                     }
                 }
                 Some(Heal::Reset) => {
-                    way.cut = None;
+                    direction.cut = None;
                     self.answer_by_reset(now, conn, to);
                 }
                 Some(Heal::Stay) | None => {}
@@ -283,11 +290,11 @@
     /// What was sent to a side met a machine that knows nothing of it.
     fn answer_by_reset(&mut self, now: Micros, conn: Conn, to: Side) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
-        pipe.forgotten = false;
-        pipe.way(to).gone = true;
+        pipe.peer_lost_state = false;
+        pipe.direction(to).reset = true;
         let (a, b) = pipe.hosts(to);
         let back = now + self.links.delay(a, b, &mut self.draws);
-        self.transmit(back, conn, to.other(), What::Reset);
+        self.transmit(back, conn, to.other(), Segment::Reset);
     }
 
     /// The next thing that arrives by now.
@@ -302,7 +309,7 @@
             }
             self.due.pop();
             match due {
-                Due::Connect(conn) => self.connecting(at, conn),
+                Due::Connect(conn) => self.on_connect_packet(at, conn),
                 Due::Arrival(conn, side) => self.arrive(at, now, conn, side),
             }
         }
@@ -330,7 +337,7 @@
     }
 
     /// The first packet of a connect arrives.
-    fn connecting(&mut self, at: Micros, conn: Conn) {
+    fn on_connect_packet(&mut self, at: Micros, conn: Conn) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         let Stage::Connecting(fate) = pipe.stage else { return };
         let (from, to) = (pipe.from, pipe.to);
@@ -340,100 +347,100 @@
         }
         pipe.stage = Stage::Up;
         let answer = match fate {
-            Fate::Refused | Fate::Never => What::Refused,
-            Fate::Reset => What::Reset,
-            Fate::Opens => What::Opened,
+            Fate::Refused | Fate::Never => Segment::Refused,
+            Fate::Reset => Segment::Reset,
+            Fate::Opens => Segment::Opened,
         };
         if fate == Fate::Opens {
             self.ready.push_back(Delivery::Accepted { conn, from, to });
         } else {
-            pipe.way(Side::Server).gone = true;
+            pipe.direction(Side::Server).reset = true;
         }
         self.transmit(at, conn, Side::Client, answer);
     }
 
     /// Sends something towards a side, behind what is under way.
-    fn transmit(&mut self, now: Micros, conn: Conn, to: Side, what: What) {
+    fn transmit(&mut self, now: Micros, conn: Conn, to: Side, segment: Segment) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         let (a, b) = pipe.hosts(to);
-        let forgotten = pipe.forgotten;
-        let way = pipe.way(to);
-        if let Some(heal) = way.cut.or_else(|| self.links.cut(a, b)) {
-            way.cut = Some(heal);
+        let peer_lost_state = pipe.peer_lost_state;
+        let direction = pipe.direction(to);
+        if let Some(heal) = direction.cut.or_else(|| self.links.cut(a, b)) {
+            direction.cut = Some(heal);
             if heal == Heal::Resume {
-                way.held.push_back(what);
+                direction.held.push_back(segment);
             }
             return;
         }
-        if forgotten {
+        if peer_lost_state {
             return self.answer_by_reset(now, conn, to);
         }
         let mut depart = now;
-        if let (Some(rate), What::Data(bytes)) = (self.plan.bandwidth, &what) {
-            let free = self.free.entry(a).or_insert(now);
+        if let (Some(rate), Segment::Data(bytes)) = (self.plan.bandwidth, &segment) {
+            let free = self.idle_at.entry(a).or_insert(now);
             depart = depart.max(*free);
             *free = depart + (bytes.len() as u64 * 1_000_000 / rate.max(1)) as Micros;
             depart = *free;
         }
-        let at = (depart + self.links.delay(a, b, &mut self.draws)).max(way.last);
-        way.last = at;
-        way.coming.push_back((at, what));
+        let at = (depart + self.links.delay(a, b, &mut self.draws)).max(direction.last_arrival);
+        direction.last_arrival = at;
+        direction.in_flight.push_back((at, segment));
         self.schedule(conn, to);
     }
 
     /// Wakes up for what arrives next at a side, unless that is arranged or the side does not read.
     fn schedule(&mut self, conn: Conn, to: Side) {
-        let Some(way) = self.pipes.get_mut(&conn).map(|pipe| pipe.way(to)) else { return };
-        if way.scheduled || way.paused {
+        let Some(direction) = self.pipes.get_mut(&conn).map(|pipe| pipe.direction(to)) else { return };
+        if direction.scheduled || direction.paused {
             return;
         }
-        if let Some(at) = way.coming.front().map(|first| first.0) {
-            way.scheduled = true;
+        if let Some(at) = direction.in_flight.front().map(|first| first.0) {
+            direction.scheduled = true;
             self.push(at, Due::Arrival(conn, to));
         }
     }
 
     fn arrive(&mut self, at: Micros, now: Micros, conn: Conn, to: Side) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
-        let way = pipe.way(to);
-        way.scheduled = false;
-        if way.paused {
+        let direction = pipe.direction(to);
+        direction.scheduled = false;
+        if direction.paused {
             return;
         }
-        let Some((_, what)) = way.coming.pop_front() else { return };
-        match what {
-            What::Opened => self.ready.push_back(Delivery::Opened(conn)),
-            What::Refused => {
+        let Some((_, segment)) = direction.in_flight.pop_front() else { return };
+        match segment {
+            Segment::Opened => self.ready.push_back(Delivery::Opened(conn)),
+            Segment::Refused => {
                 self.pipes.remove(&conn);
                 self.ready.push_back(Delivery::Refused(conn));
             }
             // It met a machine that knows nothing of the connection, and was answered by a reset.
-            What::Data(_) if way.gone => {}
-            What::Data(bytes) => self.data(at, now, conn, to, bytes),
-            What::Fin => {
-                way.end_came = true;
-                if !way.closed {
+            Segment::Data(_) if direction.reset => {}
+            Segment::Data(bytes) => self.data(at, now, conn, to, bytes),
+            Segment::Fin => {
+                direction.end_received = true;
+                if !direction.closed {
                     self.ready.push_back(Delivery::End(conn, to));
                 }
             }
-            What::Reset => {
-                way.coming.clear();
-                if !std::mem::replace(&mut way.gone, true) && !way.closed {
+            Segment::Reset => {
+                direction.in_flight.clear();
+                if !std::mem::replace(&mut direction.reset, true) && !direction.closed {
                     self.ready.push_back(Delivery::Reset(conn, to));
                 }
             }
         }
-        self.forget_if_over(conn);
+        self.remove_if_finished(conn);
         self.schedule(conn, to);
     }
 
     fn data(&mut self, at: Micros, now: Micros, conn: Conn, to: Side, first: Bytes) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
-        let way = pipe.way(to);
+        let direction = pipe.direction(to);
         let mut bytes = first;
         if let Split::Random(_) = self.plan.split {
             // A read may take in several writes.
-            while let Some((next, What::Data(more))) = way.coming.front()
+            while let Some((next, Segment::Data(more))) = direction.in_flight.front()
                 && *next <= now
                 && below(&mut self.draws, 2) == 0
             {
@@ -441,14 +448,14 @@
                 both.extend_from_slice(&bytes);
                 both.extend_from_slice(more);
                 bytes = both.freeze();
-                way.coming.pop_front();
+                direction.in_flight.pop_front();
             }
         }
-        way.bytes = way.bytes.saturating_sub(bytes.len());
-        if way.closed {
+        direction.bytes = direction.bytes.saturating_sub(bytes.len());
+        if direction.closed {
             return self.abort(at, conn, to);
         }
-        let room = way.bytes <= self.plan.buffer / 2 && std::mem::take(&mut way.wants_room);
+        let room = direction.bytes <= self.plan.buffer / 2 && std::mem::take(&mut direction.wants_writable);
         self.ready.push_back(Delivery::Data(conn, to, bytes));
         if room {
             self.ready.push_back(Delivery::Writable(conn, to.other()));
--- a/crates/model/src/origin.rs
+++ b/crates/model/src/origin.rs
@@ -9,10 +9,10 @@
 use crate::server::host::Overload;
 use crate::server::records::{Ledger, Records};
 use crate::server::time::Nanos;
-use crate::server::warmth::Warmth;
+use crate::server::warm_up::WarmUpState;
 use crate::server::{
-    Act, Answer, Books, ConfigError, Event, Found, Keeper, Kind, Note, OriginConfig, Outbox, Request, Server,
-    Sizes, WarmUp,
+    Act, Answer, ConfigError, Event, Found, Kind, Note, OriginConfig, Outbox, Request, Server, ServerStats,
+    Sizes, Storage, WarmUp,
 };
 use crate::value::{Key, MIN_SIZE, Made, Maker, Uid, mix, unit};
 
@@ -47,7 +47,7 @@
     /// its id.
     pub fn new(config: &OriginConfig, uid: Uid, seed: u64, now: Micros) -> Result<Self, ConfigError> {
         config.check()?;
-        let keeper = Contents {
+        let storage = Contents {
             records: Records::new(&config.machine.classes),
             sizes: config.sizes,
             seed,
@@ -56,15 +56,15 @@
         };
         let overload = match &config.overdriven {
             Some(over) => Overload::stops(over)?,
-            None => Overload::Bears,
+            None => Overload::Unlimited,
         };
-        let warmth = (Warmth::warm(&WarmUp::default(), config.machine.capacity()), true);
-        Server::join(&config.machine, (uid, seed), now, keeper, warmth, overload)
+        let warm_up = (WarmUpState::warm(&WarmUp::default(), config.machine.capacity()), true);
+        Server::join(&config.machine, (uid, seed), now, storage, warm_up, overload)
     }
 
     /// Version and size of an object as it is now.
     pub fn object(&self, key: Key) -> (u64, u32) {
-        self.keeper.object(key)
+        self.storage.object(key)
     }
 }
 
@@ -76,21 +76,21 @@
         }
     }
 
-    fn sized(&self, work: f64, size: u32) -> Nanos {
+    fn add_size_cost(&self, work: f64, size: u32) -> Nanos {
         (work + self.per_byte * f64::from(size)) as Nanos
     }
 }
 
-impl Keeper for Contents {
+impl Storage for Contents {
     fn begin(&mut self, _: Nanos, request: &Request, work: Nanos) -> (Nanos, Found) {
         match request.kind {
             Kind::Read => {
                 let (version, size) = self.object(request.key);
-                (self.sized(work as f64, size), Found::Copy { version, size })
+                (self.add_size_cost(work as f64, size), Found::Copy { version, size })
             }
             // A copy brought here is taken as a write: the origin keeps nothing else.
             Kind::Write | Kind::Store { .. } => {
-                (self.sized(work as f64 * self.write_share, request.size), Found::Change)
+                (self.add_size_cost(work as f64 * self.write_share, request.size), Found::Change)
             }
         }
     }
@@ -111,14 +111,14 @@
             Found::Change | Found::Missing { .. } => {
                 let (effect, receipt) = self.records.write(now, request, maker);
                 if let Some(effect) = effect {
-                    out.tell_effect(now, effect);
+                    out.report_effect(now, effect);
                 }
                 (Answer::Receipt(receipt), None)
             }
         }
     }
 
-    fn tell(&mut self, now: Nanos, event: &Event, _: bool, out: &mut Outbox) {
+    fn notify(&mut self, now: Nanos, event: &Event, _: bool, out: &mut Outbox) {
         match *event {
             Event::Change(key) => {
                 let version = self.records.change(key);
@@ -134,8 +134,8 @@
     /// Contents, versions and receipts last.
     fn restart(&mut self) {}
 
-    fn book(&self, books: &mut Books) {
-        (books.effects, books.repeats) = (self.records.ledger().effects(), self.records.ledger().repeats());
+    fn fill_stats(&self, stats: &mut ServerStats) {
+        (stats.effects, stats.repeats) = (self.records.ledger().effects(), self.records.ledger().repeats());
     }
 
     fn ledger(&self) -> &Ledger {
--- a/crates/model/src/server/troubles.rs
+++ b/crates/model/src/server/active_faults.rs
@@ -7,7 +7,7 @@
 
 /// The troubles of a server now, with draws of their own: guards against a fault plan that moves the work's draws.
 #[derive(Debug, Clone)]
-pub(crate) struct Troubles {
+pub(crate) struct ActiveFaults {
     pub(crate) slow: f64,
     pub(crate) fail: f64,
     pub(crate) swallow: f64,
@@ -18,28 +18,28 @@
 }
 
 /// Guards against shares that are no number.
-pub(crate) fn as_share(share: f64) -> f64 {
+pub(crate) fn clamp_share(share: f64) -> f64 {
     if share.is_nan() { 0.0 } else { share.clamp(0.0, 1.0) }
 }
 
-impl Troubles {
+impl ActiveFaults {
     pub(crate) fn new(rng: ChaCha8Rng) -> Self {
         let kinds = NoiseSet::default();
         Self { slow: 1.0, fail: 0.0, swallow: 0.0, full_table: false, spoil: 0.0, kinds, rng }
     }
 
     pub(crate) fn set_spoil(&mut self, share: f64, kinds: NoiseSet) {
-        (self.spoil, self.kinds) = (as_share(share), kinds);
+        (self.spoil, self.kinds) = (clamp_share(share), kinds);
     }
 
     /// Whether something of that share happens now.
-    pub(crate) fn strikes(&mut self, share: f64) -> bool {
+    pub(crate) fn occurs(&mut self, share: f64) -> bool {
         share > 0.0 && self.rng.random::<f64>() < share
     }
 
     /// What goes wrong with an answer on its way out. `last`: nothing else waits on its connection.
     pub(crate) fn noise(&mut self, answer: &Answer, last: bool) -> Option<Noise> {
-        if self.kinds.is_empty() || *answer == Answer::Nothing || !self.strikes(self.spoil) {
+        if self.kinds.is_empty() || *answer == Answer::Nothing || !self.occurs(self.spoil) {
             return None;
         }
         let noise = self.kinds.nth(self.rng.random_range(0..self.kinds.len()));
--- a/crates/model/src/server/cache.rs
+++ b/crates/model/src/server/cache.rs
@@ -1,16 +1,16 @@
 //! The contents of a cache server: copies of objects, and who was told to fetch what.
 
-use super::books::Books;
 use super::config::{CacheConfig, Writes};
 use super::error::ConfigError;
 use super::expiring::Expiring;
 use super::host::{Overload, Server};
-use super::keeper::{Found, Keeper, Outbox};
 use super::message::{Answer, Event, Kind, Note, Request};
 use super::objects::Objects;
 use super::records::{Ledger, Records};
+use super::stats::ServerStats;
+use super::storage::{Found, Outbox, Storage};
 use super::time::{Nanos, from_micros};
-use super::warmth::{Pressure, Warmth};
+use super::warm_up::{OfferedLoad, WarmUpState};
 use crate::Micros;
 use crate::value::{Key, MIN_SIZE, Made, Maker, Receipt, Uid};
 
@@ -25,10 +25,10 @@
     /// Keys that a request was told to fetch lately.
     fetches: Expiring<Key, ()>,
     lease: Nanos,
-    life: Option<Nanos>,
+    ttl: Option<Nanos>,
     miss_share: f64,
     per_byte: f64,
-    tells: bool,
+    reports_notes: bool,
     writes: Writes,
     stored: u64,
 }
@@ -44,54 +44,55 @@
         now: Micros,
     ) -> Result<Self, ConfigError> {
         config.check()?;
-        let keeper = Cache {
+        let storage = Cache {
             objects: Objects::new(config.memory, config.per_object, config.eviction),
             records: Records::new(&config.machine.classes),
             fetches: Expiring::default(),
             lease: from_micros(config.lease_us),
-            life: config.ttl_us.map(from_micros),
+            ttl: config.ttl_us.map(from_micros),
             miss_share: config.miss_share,
             per_byte: config.machine.per_kib_us * 1e3 / 1024.0,
-            tells: config.tells,
+            reports_notes: config.tells,
             writes: config.writes,
             stored: 0,
         };
         let tip = config.warm_up.tip.as_ref();
-        let overload = tip.map_or(Overload::Bears, |tip| Overload::Falls(Pressure::new(tip)));
-        let warmth = (Warmth::warm(&config.warm_up, config.machine.capacity()), warm);
-        Server::join(&config.machine, (uid, seed), now, keeper, warmth, overload)
+        let overload =
+            tip.map_or(Overload::Unlimited, |tip| Overload::CrashesWhenCold(OfferedLoad::new(tip)));
+        let warm_up = (WarmUpState::warm(&config.warm_up, config.machine.capacity()), warm);
+        Server::join(&config.machine, (uid, seed), now, storage, warm_up, overload)
     }
 }
 
 impl Cache {
     fn put(&mut self, now: Nanos, key: Key, version: u64, size: u32) {
         self.stored += 1;
-        self.objects.put(now, key, version, size.max(MIN_SIZE), self.life);
+        self.objects.put(now, key, version, size.max(MIN_SIZE), self.ttl);
         self.fetches.remove(key);
     }
 
-    fn sized(&self, work: Nanos, size: u32) -> Nanos {
+    fn add_size_cost(&self, work: Nanos, size: u32) -> Nanos {
         work.saturating_add((self.per_byte * f64::from(size)) as Nanos)
     }
 }
 
-impl Keeper for Cache {
+impl Storage for Cache {
     fn begin(&mut self, now: Nanos, request: &Request, work: Nanos) -> (Nanos, Found) {
         let key = request.key;
         let miss = (work as f64 * self.miss_share) as Nanos;
         match request.kind {
             Kind::Read => {
                 if let Some((version, size)) = self.objects.get(now, key) {
-                    return (self.sized(work, size), Found::Copy { version, size });
+                    return (self.add_size_cost(work, size), Found::Copy { version, size });
                 }
-                let others_fetch = self.fetches.find(now, key).is_some();
-                if !others_fetch && self.lease > 0 {
-                    self.fetches.keep(now, self.lease, key, ());
+                let fetch_in_progress = self.fetches.get(now, key).is_some();
+                if !fetch_in_progress && self.lease > 0 {
+                    self.fetches.insert(now, self.lease, key, ());
                 }
-                (miss, Found::Missing { others_fetch })
+                (miss, Found::Missing { fetch_in_progress })
             }
-            Kind::Write if self.writes == Writes::Miss => (miss, Found::Missing { others_fetch: false }),
-            Kind::Write | Kind::Store { .. } => (self.sized(work, request.size), Found::Change),
+            Kind::Write if self.writes == Writes::Miss => (miss, Found::Missing { fetch_in_progress: false }),
+            Kind::Write | Kind::Store { .. } => (self.add_size_cost(work, request.size), Found::Change),
         }
     }
 
@@ -109,9 +110,9 @@
                 let value = Made { key, version, maker, request: Some(request.id), size };
                 (Answer::Hit { value }, Some(Note::Hit))
             }
-            (Found::Missing { others_fetch }, kind) => {
-                let note = if others_fetch { Note::MissOthersFetch } else { Note::Miss };
-                (Answer::Miss { others_fetch }, (kind == Kind::Read).then_some(note))
+            (Found::Missing { fetch_in_progress }, kind) => {
+                let note = if fetch_in_progress { Note::MissFetchInProgress } else { Note::Miss };
+                (Answer::Miss { fetch_in_progress }, (kind == Kind::Read).then_some(note))
             }
             (Found::Change, Kind::Store { version }) => {
                 self.put(now, key, version, request.size);
@@ -121,18 +122,18 @@
                 let (effect, receipt) = self.records.write(now, request, maker);
                 if let Some(effect) = effect {
                     self.put(now, key, receipt.version, request.size);
-                    out.tell_effect(now, effect);
+                    out.report_effect(now, effect);
                 }
                 (Answer::Receipt(receipt), None)
             }
         };
-        (answer, note.filter(|_| self.tells))
+        (answer, note.filter(|_| self.reports_notes))
     }
 
-    fn tell(&mut self, now: Nanos, event: &Event, up: bool, _: &mut Outbox) {
+    fn notify(&mut self, now: Nanos, event: &Event, up: bool, _: &mut Outbox) {
         match *event {
             Event::Fill { key, version, size } if up => self.put(now, key, version, size),
-            Event::Void { key, version } => self.objects.void(key, version),
+            Event::Invalidate { key, version } => self.objects.invalidate(key, version),
             Event::Learn { keyed, receipt, class } if up => self.records.learn(now, keyed, receipt, class),
             _ => {}
         }
@@ -149,12 +150,13 @@
         self.records.forget_receipts();
     }
 
-    fn book(&self, books: &mut Books) {
+    fn fill_stats(&self, stats: &mut ServerStats) {
         let removals = self.objects.removals();
-        (books.evicted, books.expired, books.voided) = (removals.evicted, removals.expired, removals.voided);
-        (books.objects, books.memory, books.stored) =
+        (stats.evicted, stats.expired, stats.invalidated) =
+            (removals.evicted, removals.expired, removals.invalidated);
+        (stats.objects, stats.memory, stats.stored) =
             (self.objects.len() as u64, self.objects.bytes(), self.stored);
-        (books.effects, books.repeats) = (self.records.ledger().effects(), self.records.ledger().repeats());
+        (stats.effects, stats.repeats) = (self.records.ledger().effects(), self.records.ledger().repeats());
     }
 
     fn ledger(&self) -> &Ledger {
--- a/crates/model/src/server/config.rs
+++ b/crates/model/src/server/config.rs
@@ -20,7 +20,7 @@
     /// Requests that wait for a slot, first come first served. Beyond: [`super::BusyReason::Full`].
     pub waiting_room: u32,
     /// Efficiency lost when crowded.
-    pub choke: Choke,
+    pub choke: ConcurrencyPenalty,
     /// Work of turning a request away; 0: none, and the answer is at once.
     pub busy_work_us: f64,
     /// What becomes of a request that nobody waits for any more.
@@ -50,7 +50,7 @@
 /// work and waiting are held.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Choke {
+pub struct ConcurrencyPenalty {
     /// Requests held for each core, from where on it shows.
     pub at: f64,
     /// Loss for each further request held for each core.
@@ -172,14 +172,14 @@
     /// Work done until full, in µs on a core of speed 1; `None`: warms with time alone.
     pub full_after_work_us: Option<f64>,
     /// When it is pushed over while cold; `None`: never.
-    pub tip: Option<Tip>,
+    pub tip: Option<OverloadThreshold>,
 }
 
 /// A server falls when the work sent to it within the window (all that reaches it, also what it turns away) is over
 /// `multiple x present capacity x window`.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Tip {
+pub struct OverloadThreshold {
     /// Multiple of the present capacity.
     pub multiple: f64,
     /// Length of the window.
@@ -197,7 +197,7 @@
     /// Sizes of objects.
     pub sizes: Sizes,
     /// When it is overdriven, and what then.
-    pub overdriven: Option<Overdriven>,
+    pub overdriven: Option<OverloadOutage>,
 }
 
 /// Sizes of objects in bytes: lognormal, the same for a key whoever asks.
@@ -217,9 +217,9 @@
 /// How an origin stops when it is sent too much.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Overdriven {
+pub struct OverloadOutage {
     /// From when on.
-    pub tip: Tip,
+    pub tip: OverloadThreshold,
     /// How long it stops.
     pub down: Dist,
     /// Whether it resets its connections and refuses new ones meanwhile (a crash; what it had is lost) rather than
@@ -237,7 +237,7 @@
             speed: 1.0,
             slots: 64,
             waiting_room: 128,
-            choke: Choke::default(),
+            choke: ConcurrencyPenalty::default(),
             busy_work_us: 0.0,
             abandoned: Abandoned::GoesOn,
             drops_expired: false,
@@ -253,7 +253,7 @@
     }
 }
 
-impl Default for Choke {
+impl Default for ConcurrencyPenalty {
     /// No loss.
     fn default() -> Self {
         Self { at: 4.0, loss: 0.0 }
@@ -343,7 +343,7 @@
     ensure(figure.is_finite() && figure >= 0.0, field, "must be a number, 0 or above")
 }
 
-impl Tip {
+impl OverloadThreshold {
     pub(crate) fn check(&self, field: &'static str) -> Result<(), ConfigError> {
         figure(self.multiple, field)?;
         ensure((1..=LONGEST).contains(&self.window_us), field, "the window must be 1 to 1e15 µs")
--- a/crates/model/src/server/expiring.rs
+++ b/crates/model/src/server/expiring.rs
@@ -22,11 +22,11 @@
 }
 
 impl<K: Copy + Eq + Hash, V: Copy> Expiring<K, V> {
-    pub(crate) fn find(&self, now: Nanos, key: K) -> Option<V> {
+    pub(crate) fn get(&self, now: Nanos, key: K) -> Option<V> {
         self.kept.get(&key).filter(|(until, _)| now < *until).map(|(_, value)| *value)
     }
 
-    pub(crate) fn keep(&mut self, now: Nanos, length: Nanos, key: K, value: V) {
+    pub(crate) fn insert(&mut self, now: Nanos, length: Nanos, key: K, value: V) {
         while let Some((_, old)) = self.order.pop_front_if(|(until, _)| *until <= now) {
             // Guards against dropping an entry that was kept anew under the same key.
             if self.kept.get(&old).is_some_and(|(until, _)| *until <= now) {
--- a/crates/model/src/server/flow.rs
+++ b/crates/model/src/server/flow.rs
@@ -2,23 +2,23 @@
 
 use super::config::Abandoned;
 use super::host::{Job, Server};
-use super::keeper::Keeper;
 use super::message::{Act, Answer, Answered, BusyReason, CloseKind, ConnId, Noise, Request, State};
+use super::storage::Storage;
 use super::table::{Call, NONE, Stage};
 use super::time::{Nanos, from_micros, nanos};
 
 /// What became of the answers that were next on a connection.
-enum LetOut {
+enum Flushed {
     Nothing,
     Some,
     /// The connection went with them.
     Closed,
 }
 
-impl<K: Keeper> Server<K> {
+impl<K: Storage> Server<K> {
     pub(super) fn connect(&mut self, id: ConnId) {
         let table = &self.machine.connections;
-        let full = self.troubles.full_table || self.table.conns.len() >= table.cap as usize;
+        let full = self.faults.full_table || self.table.conns.len() >= table.cap as usize;
         let act = match self.state {
             State::Vanished => Act::Ignored(id),
             State::Down => Act::Refused(id),
@@ -27,7 +27,7 @@
             State::Up | State::Draining => Act::Accepted(id),
         };
         if act != Act::Accepted(id) {
-            self.books.not_accepted += 1;
+            self.stats.not_accepted += 1;
             return self.out.push(self.now, act);
         }
         let (work, wait) = (self.handshake_work(), table.handshake_wait_us);
@@ -35,25 +35,25 @@
         let Some(conn) = self.table.open(self.now, id, work == 0 && wait == 0) else {
             return self.out.push(self.now, Act::Refused(id));
         };
-        self.books.accepted += 1;
+        self.stats.accepted += 1;
         self.out.push(self.now, act);
-        self.watch_idle(conn);
+        self.schedule_idle_check(conn);
         if work > 0 {
             self.station.start(self.now, work, Job::Handshake(id));
-            self.sent(work);
+            self.work_arrived(work);
         } else {
-            self.books.handshakes += 1;
+            self.stats.handshakes += 1;
             if wait > 0 {
-                self.ready_later(id);
+                self.schedule_ready(id);
             }
         }
     }
 
     /// The work of a handshake is done.
-    pub(super) fn shaken(&mut self, id: ConnId) {
-        self.books.handshakes += 1;
+    pub(super) fn handshake_done(&mut self, id: ConnId) {
+        self.stats.handshakes += 1;
         if self.machine.connections.handshake_wait_us > 0 {
-            self.ready_later(id);
+            self.schedule_ready(id);
         } else {
             self.ready(id);
         }
@@ -73,10 +73,10 @@
         };
         let work = self.work(&request);
         self.count_held();
-        self.books.requests += 1;
-        self.books.bytes_in += u64::from(request.size);
+        self.stats.requests += 1;
+        self.stats.bytes_in += u64::from(request.size);
         self.table.push(conn, self.now, request, work);
-        self.sent(work);
+        self.work_arrived(work);
         // Guards against going on with what went down just now.
         if self.table.find(request.conn).is_some() {
             self.pump(conn);
@@ -108,10 +108,10 @@
                     self.enter(at);
                 }
             }
-            match self.let_out(conn) {
-                LetOut::Nothing => break,
-                LetOut::Some => {}
-                LetOut::Closed => return,
+            match self.flush_answers(conn) {
+                Flushed::Nothing => break,
+                Flushed::Some => {}
+                Flushed::Closed => return,
             }
         }
         if self.table.conns[conn as usize].is_idle() {
@@ -119,53 +119,53 @@
             if self.state == State::Draining && self.machine.drain_closes_idle {
                 return self.close(conn, CloseKind::Fin);
             }
-            self.watch_idle(conn);
+            self.schedule_idle_check(conn);
         }
     }
 
     /// Lets out the answers of a connection that are next.
-    fn let_out(&mut self, conn: u32) -> LetOut {
-        let mut let_out = LetOut::Nothing;
+    fn flush_answers(&mut self, conn: u32) -> Flushed {
+        let mut flush_answers = Flushed::Nothing;
         self.count_held();
         while let Some((call, answer, note)) = self.table.take_done(conn) {
-            let_out = LetOut::Some;
+            flush_answers = Flushed::Some;
             let last = self.table.conns[conn as usize].is_idle();
-            let noise = self.troubles.noise(&answer, last);
+            let noise = self.faults.noise(&answer, last);
             let Request { conn: id, id: request, key, .. } = call.request;
-            self.book_answer(&call, &answer);
-            self.books.noisy += u64::from(noise.is_some());
+            self.count_answer(&call, &answer);
+            self.stats.corrupted += u64::from(noise.is_some());
             self.out.push(self.now, Act::Answer(Answered { conn: id, request, key, answer, note, noise }));
             if noise == Some(Noise::Cut) {
                 self.close(conn, CloseKind::Fin);
-                return LetOut::Closed;
+                return Flushed::Closed;
             }
             // Guards against serving on where the other side can make no sense of what follows.
             if answer == Answer::Nothing || noise.is_some_and(Noise::spoils) {
                 self.table.conns[conn as usize].stuck = true;
             }
         }
-        let_out
+        flush_answers
     }
 
-    fn book_answer(&mut self, call: &Call, answer: &Answer) {
-        let books = &mut self.books;
-        books.answered += 1;
-        books.stayed_us += (self.now - call.arrived) as f64 / 1e3;
+    fn count_answer(&mut self, call: &Call, answer: &Answer) {
+        let stats = &mut self.stats;
+        stats.answered += 1;
+        stats.sojourn_us += (self.now - call.arrived) as f64 / 1e3;
         match answer {
             Answer::Hit { value } => {
-                books.hits += 1;
-                books.bytes_out += u64::from(value.size());
+                stats.hits += 1;
+                stats.bytes_out += u64::from(value.size());
             }
-            Answer::Miss { others_fetch } => {
-                books.misses += 1;
-                books.misses_others_fetch += u64::from(*others_fetch);
+            Answer::Miss { fetch_in_progress } => {
+                stats.misses += 1;
+                stats.misses_fetch_in_progress += u64::from(*fetch_in_progress);
             }
-            Answer::Receipt(_) => books.receipts += 1,
-            Answer::Busy(BusyReason::Full) => books.busy_full += 1,
-            Answer::Busy(BusyReason::Draining) => books.busy_draining += 1,
-            Answer::Busy(BusyReason::Over) => books.busy_over += 1,
-            Answer::Failed => books.failed += 1,
-            Answer::Nothing => books.swallowed += 1,
+            Answer::Receipt(_) => stats.receipts += 1,
+            Answer::Busy(BusyReason::Full) => stats.busy_full += 1,
+            Answer::Busy(BusyReason::Draining) => stats.busy_draining += 1,
+            Answer::Busy(BusyReason::Expired) => stats.busy_expired += 1,
+            Answer::Failed => stats.failed += 1,
+            Answer::Nothing => stats.swallowed += 1,
         }
     }
 
@@ -200,13 +200,13 @@
         let waited = self.now - call.arrived;
         if self.machine.drops_expired && call.request.left_us.is_some_and(|left| waited >= from_micros(left))
         {
-            return self.refuse(at, BusyReason::Over);
+            return self.refuse(at, BusyReason::Expired);
         }
-        let (work, found) = self.keeper.begin(self.now, &call.request, call.work);
-        self.out.tell_begun(self.now, &call.request);
+        let (work, found) = self.storage.begin(self.now, &call.request, call.work);
+        self.out.report_begun(self.now, &call.request);
         call.stage = Stage::InWork(found);
-        self.books.begun += 1;
-        self.books.waited_us += waited as f64 / 1e3;
+        self.stats.begun += 1;
+        self.stats.waited_us += waited as f64 / 1e3;
         self.in_work += 1;
         self.station.start(self.now, work, Job::Request(at));
     }
@@ -236,7 +236,7 @@
         }
         match call.conn {
             NONE => {
-                self.books.unheard += 1;
+                self.stats.client_gone += 1;
                 self.end(at);
             }
             conn => self.pump(conn),
@@ -248,20 +248,20 @@
         self.in_work -= 1;
         let Call { request, stage, conn, .. } = self.table.calls[at as usize];
         let Stage::InWork(found) = stage else { return };
-        let fails = self.troubles.strikes(self.troubles.fail + self.machine.fail_share);
-        let mut told = (Answer::Failed, None);
-        if !fails || self.troubles.strikes(self.machine.failed_writes_ran) {
-            told = self.keeper.finish(self.now, &request, found, self.uid(), &mut self.out);
+        let fails = self.faults.occurs(self.faults.fail + self.machine.fail_share);
+        let mut result = (Answer::Failed, None);
+        if !fails || self.faults.occurs(self.machine.failed_writes_ran) {
+            result = self.storage.finish(self.now, &request, found, self.uid(), &mut self.out);
         }
         if fails {
-            told = (Answer::Failed, None);
-        } else if self.troubles.strikes(self.troubles.swallow) {
-            told = (Answer::Nothing, None);
+            result = (Answer::Failed, None);
+        } else if self.faults.occurs(self.faults.swallow) {
+            result = (Answer::Nothing, None);
         }
-        self.table.calls[at as usize].stage = Stage::Done(told.0, told.1);
+        self.table.calls[at as usize].stage = Stage::Done(result.0, result.1);
         match conn {
             NONE => self.settle(at),
-            conn => _ = self.let_out(conn),
+            conn => _ = self.flush_answers(conn),
         }
         // Who waits goes before what its connection brings next.
         self.fill_slots();
@@ -271,7 +271,7 @@
     }
 
     /// A request was turned away.
-    pub(super) fn turned_away(&mut self, at: u32) {
+    pub(super) fn refusal_done(&mut self, at: u32) {
         if let Stage::Refusing(reason) = self.table.calls[at as usize].stage {
             self.table.calls[at as usize].stage = Stage::Done(Answer::Busy(reason), None);
         }
@@ -282,7 +282,7 @@
     fn end(&mut self, at: u32) {
         self.count_held();
         let call = self.table.calls.remove(at as usize);
-        self.books.stayed_us += (self.now - call.arrived) as f64 / 1e3;
+        self.stats.sojourn_us += (self.now - call.arrived) as f64 / 1e3;
     }
 
     pub(super) fn hangup(&mut self, id: ConnId) {
@@ -297,9 +297,9 @@
         self.out.push(self.now, Act::Close(id, kind));
     }
 
-    /// A connection is gone; `ours`: from this side. What was not read is dropped with it; what was goes the way that
+    /// A connection is gone; `by_server`: from this side. What was not read is dropped with it; what was goes the way that
     /// the settings say.
-    fn abandon(&mut self, conn: u32, ours: bool) -> ConnId {
+    fn abandon(&mut self, conn: u32, by_server: bool) -> ConnId {
         let (id, mut at) = self.table.close(conn);
         let abandoned = self.machine.abandoned;
         let mut freed = false;
@@ -326,9 +326,9 @@
                     _ => {}
                 }
                 match () {
-                    _ if ours => self.books.lost += 1,
-                    _ if done => self.books.unheard += 1,
-                    _ => self.books.dropped += 1,
+                    _ if by_server => self.stats.lost += 1,
+                    _ if done => self.stats.client_gone += 1,
+                    _ => self.stats.dropped += 1,
                 }
                 self.end(at);
             }
@@ -341,18 +341,18 @@
     }
 
     /// A connection may have been idle for too long.
-    pub(super) fn look_idle(&mut self, id: ConnId) {
+    pub(super) fn check_idle(&mut self, id: ConnId) {
         let Some(at) = self.table.find(id) else { return };
         let conn = &mut self.table.conns[at as usize];
-        conn.armed = false;
+        conn.idle_check_scheduled = false;
         if !conn.is_idle() {
             return;
         }
         let idle = self.machine.connections.idle_us.map_or(Nanos::MAX, from_micros);
         if conn.idle_since.saturating_add(idle) > self.now {
-            return self.watch_idle(at);
+            return self.schedule_idle_check(at);
         }
-        self.books.idle_closed += 1;
+        self.stats.idle_closed += 1;
         self.close(at, self.machine.connections.idle_close);
     }
 
--- a/crates/model/src/server/host.rs
+++ b/crates/model/src/server/host.rs
@@ -5,18 +5,18 @@
 
 use rand_chacha::ChaCha8Rng;
 
-use super::books::Books;
-use super::config::{Machine, Overdriven};
+use super::active_faults::{ActiveFaults, clamp_share};
+use super::config::{Machine, OverloadOutage};
 use super::dist::{Dist, Sampler};
 use super::error::ConfigError;
-use super::keeper::{Begun, Keeper, Outbox};
 use super::message::{Act, CloseKind, ConnId, Event, Fault, Order, State};
 use super::records::Ledger;
 use super::station::Station;
-use super::table::{Line, Table};
+use super::stats::ServerStats;
+use super::storage::{Begun, Outbox, Storage};
+use super::table::{RequestQueue, Table};
 use super::time::{NEVER, Nanos, from_micros, nanos, to_micros};
-use super::troubles::{Troubles, as_share};
-use super::warmth::{Pressure, Warmth};
+use super::warm_up::{OfferedLoad, WarmUpState};
 use crate::value::Uid;
 use crate::{Micros, draw};
 
@@ -41,23 +41,23 @@
 #[derive(Debug, Clone)]
 pub(crate) enum Overload {
     /// Nothing more than queues.
-    Bears,
+    Unlimited,
     /// Falls over while cold.
-    Falls(Pressure),
+    CrashesWhenCold(OfferedLoad),
     /// Stops for a while.
-    Stops { pressure: Pressure, down: Sampler, resets: bool, left: u32 },
+    Stops { offered_load: OfferedLoad, down: Sampler, resets: bool, left: u32 },
 }
 
 impl Overload {
-    pub(crate) fn stops(over: &Overdriven) -> Result<Self, ConfigError> {
+    pub(crate) fn stops(over: &OverloadOutage) -> Result<Self, ConfigError> {
         let (resets, left) = (over.resets, over.most);
         let down = over.down.sampler("overdriven.down")?;
-        Ok(Self::Stops { pressure: Pressure::new(&over.tip), down, resets, left })
+        Ok(Self::Stops { offered_load: OfferedLoad::new(&over.tip), down, resets, left })
     }
 }
 
 #[derive(Debug, Clone)]
-struct OwnPauses {
+struct SpontaneousPauses {
     every: Sampler,
     length: Sampler,
     grow: f64,
@@ -82,38 +82,38 @@
 pub struct Server<K> {
     pub(super) machine: Machine,
     uid: Uid,
-    pub(crate) keeper: K,
+    pub(crate) storage: K,
     pub(super) now: Nanos,
     pub(super) state: State,
     pub(super) station: Station<Job>,
     pub(super) table: Table,
-    pub(super) waiting: Line,
-    pub(super) inbox: Line,
+    pub(super) waiting: RequestQueue,
+    pub(super) inbox: RequestQueue,
     pub(super) in_work: u32,
     timers: BinaryHeap<Reverse<(Nanos, Timer)>>,
-    warmth: Warmth,
+    warm_up: WarmUpState,
     warm_due: Nanos,
     overload: Overload,
     paused_until: Option<Nanos>,
     back_at: Nanos,
-    own_pauses: Option<OwnPauses>,
-    pub(super) troubles: Troubles,
+    spontaneous_pauses: Option<SpontaneousPauses>,
+    pub(super) faults: ActiveFaults,
     pub(super) draws: Draws,
     pub(super) out: Outbox,
-    pub(super) books: Books,
-    held_area: u128,
+    pub(super) stats: ServerStats,
+    held_integral: u128,
     held_since: Nanos,
-    told_drained: bool,
+    drained_reported: bool,
 }
 
-impl<K: Keeper> Server<K> {
+impl<K: Storage> Server<K> {
     /// Joins the parts; `warm`: it has run for long.
     pub(crate) fn join(
         machine: &Machine,
         (uid, seed): (Uid, u64),
         now: Micros,
-        keeper: K,
-        (mut warmth, warm): (Warmth, bool),
+        storage: K,
+        (mut warm_up, warm): (WarmUpState, bool),
         overload: Overload,
     ) -> Result<Self, ConfigError> {
         let now = from_micros(now);
@@ -121,45 +121,45 @@
         let classes = machine.classes.iter().map(class).collect::<Result<_, _>>()?;
         let spread = Dist::LogNormal { mean_us: 1000.0, cv: machine.attempt_cv };
         let attempt = spread.sampler("attempt_cv")?;
-        let mut own_pauses = None;
+        let mut spontaneous_pauses = None;
         if let Some(pauses) = &machine.pauses {
             let (every, length) =
                 (pauses.every.sampler("pauses.every")?, pauses.length.sampler("pauses.length")?);
             let mut rng = draw::stream(seed, "server pauses", uid.0);
             let next = now.saturating_add(every.draw(&mut rng).max(1));
-            own_pauses = Some(OwnPauses { every, length, grow: pauses.grow, rng, next });
+            spontaneous_pauses = Some(SpontaneousPauses { every, length, grow: pauses.grow, rng, next });
         }
         if !warm {
-            warmth.restart(now, 0.0);
+            warm_up.restart(now, 0.0);
         }
         let mut server = Self {
             uid,
-            keeper,
+            storage,
             now,
             state: State::Up,
             station: Station::new(machine.cores, now),
             table: Table::default(),
-            waiting: Line::new(),
-            inbox: Line::new(),
+            waiting: RequestQueue::new(),
+            inbox: RequestQueue::new(),
             in_work: 0,
             timers: BinaryHeap::new(),
-            warmth,
+            warm_up,
             warm_due: NEVER,
             overload,
             paused_until: None,
             back_at: NEVER,
-            own_pauses,
-            troubles: Troubles::new(draw::stream(seed, "server troubles", uid.0)),
+            spontaneous_pauses,
+            faults: ActiveFaults::new(draw::stream(seed, "server troubles", uid.0)),
             draws: Draws {
                 classes,
                 attempt: (machine.attempt_cv > 0.0).then_some(attempt),
                 rng: draw::stream(seed, "server work", uid.0),
             },
             out: Outbox::default(),
-            books: Books::default(),
-            held_area: 0,
+            stats: ServerStats::default(),
+            held_integral: 0,
             held_since: now,
-            told_drained: false,
+            drained_reported: false,
             machine: machine.clone(),
         };
         server.refresh();
@@ -178,9 +178,9 @@
                 State::Up | State::Draining => self.take(request),
             },
             Event::Fault(fault) => self.fault(fault),
-            Event::Fill { .. } | Event::Void { .. } | Event::Change(_) | Event::Learn { .. } => {
+            Event::Fill { .. } | Event::Invalidate { .. } | Event::Change(_) | Event::Learn { .. } => {
                 let up = self.runs();
-                self.keeper.tell(self.now, &event, up, &mut self.out);
+                self.storage.notify(self.now, &event, up, &mut self.out);
             }
         }
         self.refresh();
@@ -231,33 +231,33 @@
 
     /// The writes that were carried out here.
     pub fn ledger(&self) -> &Ledger {
-        self.keeper.ledger()
+        self.storage.ledger()
     }
 
     /// What it has done and how it stands, by that time.
-    pub fn books(&mut self, now: Micros) -> Books {
+    pub fn stats(&mut self, now: Micros) -> ServerStats {
         self.advance(from_micros(now));
         self.count_held();
-        let mut books = self.books;
+        let mut stats = self.stats;
         let done = self.station.done(self.now);
-        books.work_done_us = done / 1e3;
-        books.held_area_us = self.held_area as f64 / 1e3;
-        books.held = self.table.calls.len() as u32;
-        (books.in_work, books.waiting) = (self.in_work, self.waiting.len());
-        books.load = f64::from(self.in_work) / f64::from(self.machine.slots);
-        books.connections = self.table.conns.len() as u32;
-        books.warm_share = self.warmth.share(self.now, done);
+        stats.work_done_us = done / 1e3;
+        stats.held_integral_us = self.held_integral as f64 / 1e3;
+        stats.held = self.table.calls.len() as u32;
+        (stats.in_work, stats.waiting) = (self.in_work, self.waiting.len());
+        stats.load = f64::from(self.in_work) / f64::from(self.machine.slots);
+        stats.connections = self.table.conns.len() as u32;
+        stats.warm_share = self.warm_up.share(self.now, done);
         let capacity = self.capacity();
-        books.pressure = match &mut self.overload {
-            Overload::Bears => 0.0,
-            Overload::Falls(_) if self.warmth.is_warm() => 0.0,
-            Overload::Falls(pressure) | Overload::Stops { pressure, .. } => {
-                pressure.level(self.now, capacity)
+        stats.overload_ratio = match &mut self.overload {
+            Overload::Unlimited => 0.0,
+            Overload::CrashesWhenCold(_) if self.warm_up.is_warm() => 0.0,
+            Overload::CrashesWhenCold(offered_load) | Overload::Stops { offered_load, .. } => {
+                offered_load.level(self.now, capacity)
             }
         };
-        books.at = to_micros(self.now);
-        self.keeper.book(&mut books);
-        books
+        stats.at = to_micros(self.now);
+        self.storage.fill_stats(&mut stats);
+        stats
     }
 
     pub(super) fn runs(&self) -> bool {
@@ -270,7 +270,7 @@
 
     /// Work that all cores can do in 1 ns, less what warm-up leaves out.
     fn capacity(&mut self) -> f64 {
-        let share = self.warmth.share(self.now, self.station.done(self.now));
+        let share = self.warm_up.share(self.now, self.station.done(self.now));
         self.machine.capacity() * share
     }
 
@@ -280,7 +280,7 @@
             Some(Reverse((at, _))) if !self.paused() => *at,
             _ => NEVER,
         };
-        let own = self.own_pauses.as_ref().map_or(NEVER, |own| own.next);
+        let own = self.spontaneous_pauses.as_ref().map_or(NEVER, |own| own.next);
         let resume = self.paused_until.unwrap_or(NEVER);
         self.station.due().min(timer).min(own).min(resume).min(self.warm_due).min(self.back_at)
     }
@@ -309,19 +309,19 @@
         } else if self.paused_until.is_some_and(|until| until <= now) {
             self.paused_until = None;
             self.read_inbox();
-        } else if self.own_pauses.as_ref().is_some_and(|own| own.next <= now) {
+        } else if self.spontaneous_pauses.as_ref().is_some_and(|own| own.next <= now) {
             self.begin_own_pause();
         } else if let Some(job) = self.station.finish(now) {
             match job {
                 Job::Request(at) => self.finish(at),
-                Job::Refusal(at) => self.turned_away(at),
-                Job::Handshake(id) => self.shaken(id),
+                Job::Refusal(at) => self.refusal_done(at),
+                Job::Handshake(id) => self.handshake_done(id),
             }
         } else if let Some(Reverse((_, timer))) = self.timers.peek().copied().filter(|t| t.0.0 <= now) {
             self.timers.pop();
             match timer {
                 Timer::Ready(id) => self.ready(id),
-                Timer::Idle(id) => self.look_idle(id),
+                Timer::Idle(id) => self.check_idle(id),
             }
         }
         // Otherwise the warm-up curve is due: the refresh that follows looks at it.
@@ -331,55 +331,55 @@
     fn refresh(&mut self) {
         let machine = &self.machine;
         let done = self.station.done(self.now);
-        let warm = self.warmth.share(self.now, done);
+        let warm = self.warm_up.share(self.now, done);
         let held = f64::from(self.in_work + self.waiting.len()) / f64::from(machine.cores);
         let crowded = 1.0 + machine.choke.loss * (held - machine.choke.at).max(0.0);
         let full = self.table.conns.len() as f64 / f64::from(machine.connections.cap.max(1));
         let left = 1.0 - machine.connections.full_loss * full.min(1.0);
-        let stands = self.paused() || !self.runs();
-        let speed = if stands { 0.0 } else { machine.speed * self.troubles.slow * warm * left / crowded };
+        let halted = self.paused() || !self.runs();
+        let speed = if halted { 0.0 } else { machine.speed * self.faults.slow * warm * left / crowded };
         self.station.set_speed(self.now, speed);
-        let looks = !self.warmth.is_warm() && !self.station.is_empty() && speed > 0.0;
-        self.warm_due = if looks { self.now.saturating_add(self.warmth.step()) } else { NEVER };
-        if self.state == State::Draining && !self.told_drained && self.table.calls.is_empty() {
-            self.told_drained = true;
+        let rechecks = !self.warm_up.is_warm() && !self.station.is_empty() && speed > 0.0;
+        self.warm_due = if rechecks { self.now.saturating_add(self.warm_up.step()) } else { NEVER };
+        if self.state == State::Draining && !self.drained_reported && self.table.calls.is_empty() {
+            self.drained_reported = true;
             self.out.push(self.now, Act::Drained);
         }
     }
 
     /// Brings the integral of held requests up to now; to be called before their number changes.
     pub(super) fn count_held(&mut self) {
-        self.held_area += (self.now - self.held_since) as u128 * self.table.calls.len() as u128;
+        self.held_integral += (self.now - self.held_since) as u128 * self.table.calls.len() as u128;
         self.held_since = self.now;
     }
 
     /// Work reaches it. Whether that was too much: then it is down or stands still from here on.
-    pub(super) fn sent(&mut self, work: Nanos) {
-        self.books.work_sent_us += work as f64 / 1e3;
-        if matches!(self.overload, Overload::Bears) {
+    pub(super) fn work_arrived(&mut self, work: Nanos) {
+        self.stats.work_sent_us += work as f64 / 1e3;
+        if matches!(self.overload, Overload::Unlimited) {
             return;
         }
         let capacity = self.capacity();
         let now = self.now;
         match &mut self.overload {
-            Overload::Bears => {}
-            Overload::Falls(pressure) => {
-                if !self.warmth.is_warm() && pressure.sent(now, work, capacity) {
-                    self.books.falls += 1;
-                    self.out.push(now, Act::Fell);
+            Overload::Unlimited => {}
+            Overload::CrashesWhenCold(offered_load) => {
+                if !self.warm_up.is_warm() && offered_load.add(now, work, capacity) {
+                    self.stats.overload_crashes += 1;
+                    self.out.push(now, Act::Crashed);
                     self.go_down(State::Down);
                 }
             }
-            Overload::Stops { pressure, down, resets, left } => {
+            Overload::Stops { offered_load, down, resets, left } => {
                 let stopped = self.paused_until.is_some();
-                if *left == 0 || stopped || !pressure.sent(now, work, capacity) {
+                if *left == 0 || stopped || !offered_load.add(now, work, capacity) {
                     return;
                 }
-                pressure.clear();
+                offered_load.clear();
                 *left -= 1;
                 let until = now.saturating_add(down.draw(&mut self.draws.rng).max(1));
                 let resets = *resets;
-                self.books.stops += 1;
+                self.stats.stops += 1;
                 self.out.push(now, Act::Stopped { until: to_micros(until) });
                 if resets {
                     self.go_down(State::Down);
@@ -393,12 +393,12 @@
 
     fn begin_own_pause(&mut self) {
         let busy = f64::from(self.in_work) / f64::from(self.machine.slots);
-        let Some(own) = &mut self.own_pauses else { return };
+        let Some(own) = &mut self.spontaneous_pauses else { return };
         let length = own.length.draw(&mut own.rng) as f64 * (1.0 + own.grow * busy);
         let until = self.now.saturating_add(length as Nanos);
         own.next = until.saturating_add(own.every.draw(&mut own.rng).max(1));
         if matches!(self.state, State::Up | State::Draining) && length >= 1.0 {
-            self.books.pauses += 1;
+            self.stats.pauses += 1;
             self.paused_until = Some(self.paused_until.map_or(until, |old| old.max(until)));
         }
     }
@@ -408,23 +408,21 @@
             Fault::Pause { until } => {
                 let until = from_micros(until);
                 if self.runs() && until > self.now {
-                    self.books.pauses += 1;
+                    self.stats.pauses += 1;
                     self.paused_until = Some(until);
                 } else if self.paused() {
                     self.paused_until = Some(self.now);
                 }
             }
-            Fault::Slow(factor) => {
-                self.troubles.slow = if factor.is_finite() { factor.max(0.0) } else { 1.0 }
-            }
-            Fault::Fail(share) => self.troubles.fail = as_share(share),
-            Fault::Spoil { share, kinds } => self.troubles.set_spoil(share, kinds),
-            Fault::Swallow(share) => self.troubles.swallow = as_share(share),
-            Fault::FullTable(on) => self.troubles.full_table = on,
+            Fault::Slow(factor) => self.faults.slow = if factor.is_finite() { factor.max(0.0) } else { 1.0 },
+            Fault::Fail(share) => self.faults.fail = clamp_share(share),
+            Fault::Spoil { share, kinds } => self.faults.set_spoil(share, kinds),
+            Fault::Swallow(share) => self.faults.swallow = clamp_share(share),
+            Fault::FullTable(on) => self.faults.full_table = on,
             Fault::Drain => {
                 if self.state == State::Up {
                     self.state = State::Draining;
-                    self.told_drained = false;
+                    self.drained_reported = false;
                     if self.machine.drain_closes_idle {
                         self.close_idle();
                     }
@@ -442,10 +440,10 @@
                 self.uid = uid.unwrap_or(self.uid);
                 self.state = State::Up;
                 self.back_at = NEVER;
-                self.warmth.restart(self.now, self.station.done(self.now));
-                self.keeper.restart();
+                self.warm_up.restart(self.now, self.station.done(self.now));
+                self.storage.restart();
             }
-            Fault::Flush { share, salt } => self.keeper.flush(as_share(share), salt),
+            Fault::Flush { share, salt } => self.storage.flush(clamp_share(share), salt),
         }
     }
 
@@ -454,35 +452,37 @@
         let now = self.now;
         self.count_held();
         let lost = self.table.calls.iter();
-        self.books.stayed_us += lost.map(|(_, call)| (now - call.arrived) as f64 / 1e3).sum::<f64>();
-        self.books.lost += self.table.calls.len() as u64;
+        self.stats.sojourn_us += lost.map(|(_, call)| (now - call.arrived) as f64 / 1e3).sum::<f64>();
+        self.stats.lost += self.table.calls.len() as u64;
         for id in self.table.clear() {
             if state != State::Vanished {
                 self.out.push(now, Act::Close(id, CloseKind::Rst));
             }
         }
         self.station.clear(now);
-        (self.waiting, self.inbox, self.in_work) = (Line::new(), Line::new(), 0);
+        (self.waiting, self.inbox, self.in_work) = (RequestQueue::new(), RequestQueue::new(), 0);
         self.timers.clear();
         (self.paused_until, self.back_at) = (None, NEVER);
-        if let Overload::Falls(pressure) | Overload::Stops { pressure, .. } = &mut self.overload {
-            pressure.clear();
+        if let Overload::CrashesWhenCold(offered_load) | Overload::Stops { offered_load, .. } =
+            &mut self.overload
+        {
+            offered_load.clear();
         }
         self.state = state;
     }
 
     /// In a while the first request on a connection may begin.
-    pub(super) fn ready_later(&mut self, id: ConnId) {
+    pub(super) fn schedule_ready(&mut self, id: ConnId) {
         let at = self.now.saturating_add(from_micros(self.machine.connections.handshake_wait_us));
         self.timers.push(Reverse((at, Timer::Ready(id))));
     }
 
     /// Looks at a connection again when it may have been idle for too long.
-    pub(super) fn watch_idle(&mut self, conn: u32) {
+    pub(super) fn schedule_idle_check(&mut self, conn: u32) {
         let Some(idle) = self.machine.connections.idle_us else { return };
         let conn = &mut self.table.conns[conn as usize];
-        if !conn.armed {
-            conn.armed = true;
+        if !conn.idle_check_scheduled {
+            conn.idle_check_scheduled = true;
             let at = conn.idle_since.saturating_add(from_micros(idle));
             self.timers.push(Reverse((at, Timer::Idle(conn.id))));
         }
--- a/crates/model/src/server/message.rs
+++ b/crates/model/src/server/message.rs
@@ -65,7 +65,7 @@
         size: u32,
     },
     /// The object changed: any kept copy older than that version is void. No work.
-    Void {
+    Invalidate {
         /// Key of the object.
         key: Key,
         /// The version that there is now.
@@ -232,7 +232,7 @@
     /// The key is not kept here.
     Miss {
         /// Another request was told so lately and its fill has not come.
-        others_fetch: bool,
+        fetch_in_progress: bool,
     },
     /// The write was carried out, now or (a keyed repeat) before. Also given for a store.
     Receipt(Receipt),
@@ -252,7 +252,7 @@
     /// The server drains.
     Draining,
     /// Its time was over when its turn came.
-    Over,
+    Expired,
 }
 
 /// What a server tells about how a read went (`h1`, `h0`, `h0 Z`).
@@ -263,7 +263,7 @@
     /// A miss.
     Miss,
     /// A miss while another fetch of the key is out.
-    MissOthersFetch,
+    MissFetchInProgress,
 }
 
 /// An answer on its way out.
@@ -324,7 +324,7 @@
     /// A write was carried out (whether or not its answer arrives): for ledgers, and for the other servers of a
     /// group ([`Event::Learn`]).
     Effect(Effect),
-    /// An object has a new version: copies elsewhere are void ([`Event::Void`]).
+    /// An object has a new version: copies elsewhere are void ([`Event::Invalidate`]).
     Changed {
         /// Key of the object.
         key: Key,
@@ -332,7 +332,7 @@
         version: u64,
     },
     /// It was sent more than it can take and fell over; down until restarted. Closes of its connections follow.
-    Fell,
+    Crashed,
     /// An overdriven origin stops until then.
     Stopped {
         /// When it goes on.
--- a/crates/model/src/server/mod.rs
+++ b/crates/model/src/server/mod.rs
@@ -35,7 +35,7 @@
 //! What it is *not*: a codec (requests and answers are typed; a driver reads and writes bytes), a network (a connect
 //! or an answer takes no time on the way), or a fault plan (somebody else sends [`Fault`]s).
 
-mod books;
+mod active_faults;
 mod cache;
 mod config;
 mod dist;
@@ -43,28 +43,28 @@
 mod expiring;
 mod flow;
 pub(crate) mod host;
-mod keeper;
 mod message;
 mod objects;
 pub(crate) mod records;
 mod station;
+mod stats;
+mod storage;
 mod table;
 pub(crate) mod time;
-mod troubles;
-pub(crate) mod warmth;
+pub(crate) mod warm_up;
 
-pub use books::Books;
 pub use cache::{Cache, CacheServer};
 pub use config::{
-    Abandoned, CacheConfig, Choke, Class, Connections, Eviction, Machine, OriginConfig, Overdriven, Pauses,
-    Sizes, Tip, WarmUp, Writes,
+    Abandoned, CacheConfig, Class, ConcurrencyPenalty, Connections, Eviction, Machine, OriginConfig,
+    OverloadOutage, OverloadThreshold, Pauses, Sizes, WarmUp, Writes,
 };
 pub use dist::Dist;
 pub use error::ConfigError;
 pub use host::Server;
-pub use keeper::{Begun, Found, Keeper, Outbox};
 pub use message::{
     Act, Answer, Answered, BusyReason, CloseKind, ConnId, Effect, Event, Fault, Kind, Noise, NoiseSet, Note,
     Order, Request, State,
 };
 pub use records::Ledger;
+pub use stats::ServerStats;
+pub use storage::{Begun, Found, Outbox, Storage};
--- a/crates/model/src/server/objects.rs
+++ b/crates/model/src/server/objects.rs
@@ -25,7 +25,7 @@
 pub(crate) struct Removals {
     pub(crate) evicted: u64,
     pub(crate) expired: u64,
-    pub(crate) voided: u64,
+    pub(crate) invalidated: u64,
 }
 
 #[derive(Debug, Clone)]
@@ -104,9 +104,9 @@
         Some((version, size))
     }
 
-    /// Keeps a copy, unless it is larger than all memory or a later version is kept. `life`: until it expires.
-    pub(crate) fn put(&mut self, now: Nanos, key: Key, version: u64, size: u32, life: Option<Nanos>) {
-        let room = u64::from(size) + self.per_object;
+    /// Keeps a copy, unless it is larger than all memory or a later version is kept. `ttl`: until it expires.
+    pub(crate) fn put(&mut self, now: Nanos, key: Key, version: u64, size: u32, ttl: Option<Nanos>) {
+        let needed = u64::from(size) + self.per_object;
         let held = self.table.get(&key).copied();
         if held.is_some_and(|at| self.slots[at as usize].version > version) {
             return;
@@ -114,14 +114,14 @@
         if let Some(at) = held {
             self.remove_at(at);
         }
-        if room > self.memory {
+        if needed > self.memory {
             return;
         }
-        while self.bytes + room > self.memory && self.oldest != NONE {
+        while self.bytes + needed > self.memory && self.oldest != NONE {
             self.remove_at(self.oldest);
             self.removals.evicted += 1;
         }
-        let expires = life.map_or(NEVER, |life| now.saturating_add(life));
+        let expires = ttl.map_or(NEVER, |ttl| now.saturating_add(ttl));
         let object = Object { key, version, expires, size, newer: NONE, older: NONE };
         let at = match self.free.pop() {
             Some(at) => {
@@ -135,16 +135,16 @@
         };
         self.table.insert(key, at);
         self.link_newest(at);
-        self.bytes += room;
+        self.bytes += needed;
     }
 
     /// Drops a copy older than that version.
-    pub(crate) fn void(&mut self, key: Key, version: u64) {
+    pub(crate) fn invalidate(&mut self, key: Key, version: u64) {
         if let Some(at) =
             self.table.get(&key).copied().filter(|at| self.slots[*at as usize].version < version)
         {
             self.remove_at(at);
-            self.removals.voided += 1;
+            self.removals.invalidated += 1;
         }
     }
 
@@ -155,7 +155,7 @@
             let Object { key, newer, .. } = self.slots[at as usize];
             if unit(mix(key.0 ^ mix(salt))) < share {
                 self.remove_at(at);
-                self.removals.voided += 1;
+                self.removals.invalidated += 1;
             }
             at = newer;
         }
@@ -212,9 +212,9 @@
         let mut objects = Objects::new(1 << 20, 0, Eviction::Lru);
         objects.put(0, Key(1), 3, 10, None);
         objects.put(0, Key(1), 2, 10, None);
-        objects.void(Key(1), 3);
+        objects.invalidate(Key(1), 3);
         assert_eq!(objects.get(0, Key(1)), Some((3, 10)), "an older version neither replaces nor voids");
-        objects.void(Key(1), 4);
+        objects.invalidate(Key(1), 4);
         assert_eq!(objects.get(0, Key(1)), None);
         objects.put(5, Key(2), 1, 10, Some(100));
         assert_eq!(objects.get(104, Key(2)), Some((1, 10)));
--- a/crates/model/src/server/records.rs
+++ b/crates/model/src/server/records.rs
@@ -70,7 +70,7 @@
     /// Carries out a write, unless it is a repeat. The effect, if there is one, and the receipt.
     pub(crate) fn write(&mut self, now: Nanos, request: &Request, maker: Maker) -> (Option<Effect>, Receipt) {
         let Request { key, keyed, class, id, .. } = *request;
-        if let Some(receipt) = keyed.and_then(|keyed| self.window.find(now, keyed)) {
+        if let Some(receipt) = keyed.and_then(|keyed| self.window.get(now, keyed)) {
             self.ledger.repeats += 1;
             return (None, receipt);
         }
@@ -91,7 +91,7 @@
     pub(crate) fn learn(&mut self, now: Nanos, keyed: IdempotencyKey, receipt: Receipt, class: u8) {
         let length =
             self.windows.get(usize::from(class)).or(self.windows.last()).copied().unwrap_or_default();
-        self.window.keep(now, length, keyed, receipt);
+        self.window.insert(now, length, keyed, receipt);
     }
 
     /// A process that kept its receipts in memory begins anew.
--- a/crates/model/src/server/books.rs
+++ b/crates/model/src/server/stats.rs
@@ -4,7 +4,7 @@
 
 /// Counts since the start of the run (restarts do not set them back) and how things stand now.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Books {
+pub struct ServerStats {
     /// Connects accepted.
     pub accepted: u64,
     /// Connects refused or ignored.
@@ -13,12 +13,12 @@
     pub handshakes: u64,
     /// Connections closed from this side because they were idle.
     pub idle_closed: u64,
-    /// Requests taken. Each ends in exactly one of: `answered`, `unheard`, `dropped`, `lost`, or is still `held`.
+    /// Requests taken. Each ends in exactly one of: `answered`, `client_gone`, `dropped`, `lost`, or is still `held`.
     pub requests: u64,
     /// Answers given out in an [`super::Act::Answer`].
     pub answered: u64,
     /// Requests that ended here after the other side had hung up: work for nobody, or an answer that could not go.
-    pub unheard: u64,
+    pub client_gone: u64,
     /// Requests dropped before their work was done, since nobody waited.
     pub dropped: u64,
     /// Requests that went down with the process, or with a connection closed from this side.
@@ -28,7 +28,7 @@
     /// Answered requests: misses.
     pub misses: u64,
     /// Of these, told that others fetch.
-    pub misses_others_fetch: u64,
+    pub misses_fetch_in_progress: u64,
     /// Answered requests: receipts.
     pub receipts: u64,
     /// Answered requests: turned away since full.
@@ -36,13 +36,13 @@
     /// Answered requests: turned away since draining.
     pub busy_draining: u64,
     /// Answered requests: turned away since their time was over.
-    pub busy_over: u64,
+    pub busy_expired: u64,
     /// Answered requests: failed.
     pub failed: u64,
     /// Answered requests: carried out, and nothing comes.
     pub swallowed: u64,
     /// Answers that went out spoilt or with more than belongs to them.
-    pub noisy: u64,
+    pub corrupted: u64,
     /// Writes carried out.
     pub effects: u64,
     /// Keyed repeats within the window.
@@ -54,9 +54,9 @@
     /// Copies found expired.
     pub expired: u64,
     /// Copies void by a change or a flush.
-    pub voided: u64,
+    pub invalidated: u64,
     /// Times that it fell over while cold.
-    pub falls: u64,
+    pub overload_crashes: u64,
     /// Times that it stopped since overdriven.
     pub stops: u64,
     /// Pauses begun, of its own or from outside.
@@ -74,9 +74,9 @@
     /// Sum of the time from arrival to the begin, over begun requests, µs.
     pub waited_us: f64,
     /// Sum of the time from arrival to the end, over ended requests, µs.
-    pub stayed_us: f64,
+    pub sojourn_us: f64,
     /// Integral of `held` over time, µs (Little: over the time it is the mean number held).
-    pub held_area_us: f64,
+    pub held_integral_us: f64,
     /// Requests taken and not ended.
     pub held: u32,
     /// Requests in work.
@@ -94,7 +94,7 @@
     /// Share of the capacity that warm-up leaves, 0 to 1.
     pub warm_share: f64,
     /// Work sent within the tip window over what may be; 0 where no rule holds (warm, or none set).
-    pub pressure: f64,
+    pub overload_ratio: f64,
     /// Time of the books.
     pub at: Micros,
 }
--- a/crates/model/src/server/keeper.rs
+++ b/crates/model/src/server/storage.rs
@@ -2,9 +2,9 @@
 
 use std::collections::VecDeque;
 
-use super::books::Books;
 use super::message::{Act, Answer, ConnId, Effect, Event, Note, Order, Request};
 use super::records::Ledger;
+use super::stats::ServerStats;
 use super::time::{Nanos, to_micros};
 use crate::Micros;
 use crate::value::{RequestId, Uid};
@@ -22,7 +22,7 @@
     /// Nothing.
     Missing {
         /// Another request was told to fetch it.
-        others_fetch: bool,
+        fetch_in_progress: bool,
     },
     /// It writes.
     Change,
@@ -52,21 +52,21 @@
         self.orders.push_back(Order { at: to_micros(now), act });
     }
 
-    pub(crate) fn tell_begun(&mut self, now: Nanos, request: &Request) {
+    pub(crate) fn report_begun(&mut self, now: Nanos, request: &Request) {
         if let Some(begun) = &mut self.begun {
             begun.push_back(Begun { at: to_micros(now), conn: request.conn, request: request.id });
         }
     }
 
     /// Tells of a write that was carried out.
-    pub(crate) fn tell_effect(&mut self, now: Nanos, effect: Effect) {
+    pub(crate) fn report_effect(&mut self, now: Nanos, effect: Effect) {
         self.push(now, Act::Effect(effect));
         self.push(now, Act::Changed { key: effect.receipt.key, version: effect.receipt.version });
     }
 }
 
 /// The contents of a server: objects or copies of them. Times and work are nanoseconds.
-pub trait Keeper {
+pub trait Storage {
     /// A request is begun: the work that it takes, and what it finds. `work`: what its class and its own draw say.
     fn begin(&mut self, now: Nanos, request: &Request, work: Nanos) -> (Nanos, Found);
 
@@ -82,7 +82,7 @@
 
     /// Something is told that takes no work: a fill, a change, a receipt from elsewhere. `up`: whether the process
     /// runs.
-    fn tell(&mut self, now: Nanos, event: &Event, up: bool, out: &mut Outbox);
+    fn notify(&mut self, now: Nanos, event: &Event, up: bool, out: &mut Outbox);
 
     /// Copies of that share of keys go void.
     fn flush(&mut self, share: f64, salt: u64);
@@ -91,7 +91,7 @@
     fn restart(&mut self);
 
     /// Enters what it knows.
-    fn book(&self, books: &mut Books);
+    fn fill_stats(&self, stats: &mut ServerStats);
 
     /// What was carried out here.
     fn ledger(&self) -> &Ledger;
--- a/crates/model/src/server/table.rs
+++ b/crates/model/src/server/table.rs
@@ -5,8 +5,8 @@
 use rustc_hash::FxHashMap;
 use slab::Slab;
 
-use super::keeper::Found;
 use super::message::{Answer, BusyReason, ConnId, Note, Request};
+use super::storage::Found;
 use super::time::Nanos;
 
 /// No place in a slab.
@@ -58,7 +58,7 @@
     pub(crate) stuck: bool,
     pub(crate) idle_since: Nanos,
     /// A timer looks at it.
-    pub(crate) armed: bool,
+    pub(crate) idle_check_scheduled: bool,
 }
 
 impl Conn {
@@ -69,13 +69,13 @@
 
 /// A first-come-first-served line of requests.
 #[derive(Debug, Clone)]
-pub(crate) struct Line {
+pub(crate) struct RequestQueue {
     front: u32,
     back: u32,
     len: u32,
 }
 
-impl Line {
+impl RequestQueue {
     pub(crate) fn new() -> Self {
         Self { front: NONE, back: NONE, len: 0 }
     }
@@ -139,7 +139,7 @@
             ready,
             stuck: false,
             idle_since: now,
-            armed: false,
+            idle_check_scheduled: false,
         };
         let at = self.conns.insert(conn) as u32;
         self.by_id.insert(id, at);
--- a/crates/model/src/server/warmth.rs
+++ b/crates/model/src/server/warm_up.rs
@@ -2,12 +2,12 @@
 
 use std::collections::VecDeque;
 
-use super::config::{Tip, WarmUp};
+use super::config::{OverloadThreshold, WarmUp};
 use super::time::{Nanos, from_micros};
 
 /// The warm-up curve.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Warmth {
+pub(crate) struct WarmUpState {
     start: f64,
     full_after: f64,
     full_after_work: f64,
@@ -17,7 +17,7 @@
     warm: bool,
 }
 
-impl Warmth {
+impl WarmUpState {
     /// A server that has run for long. `capacity`: work that it can do in 1 ns when it is warm.
     pub(crate) fn warm(curve: &WarmUp, capacity: f64) -> Self {
         let full_after = from_micros(curve.full_after_us) as f64;
@@ -45,9 +45,9 @@
         }
         let by_time = (now - self.since) as f64 / self.full_after;
         let by_work = (done - self.done_at_start) / self.full_after_work;
-        let way = by_time.max(by_work).max(0.0);
-        self.warm = way >= 1.0;
-        self.start + (1.0 - self.start) * way.min(1.0)
+        let progress = by_time.max(by_work).max(0.0);
+        self.warm = progress >= 1.0;
+        self.start + (1.0 - self.start) * progress.min(1.0)
     }
 
     pub(crate) fn is_warm(&self) -> bool {
@@ -62,7 +62,7 @@
 
 /// The work sent within a window, against a multiple of the present capacity.
 #[derive(Debug, Clone)]
-pub(crate) struct Pressure {
+pub(crate) struct OfferedLoad {
     multiple: f64,
     window: Nanos,
     sent: VecDeque<(Nanos, Nanos)>,
@@ -70,8 +70,8 @@
     sum: i128,
 }
 
-impl Pressure {
-    pub(crate) fn new(tip: &Tip) -> Self {
+impl OfferedLoad {
+    pub(crate) fn new(tip: &OverloadThreshold) -> Self {
         let window = from_micros(tip.window_us);
         Self { multiple: tip.multiple, window, sent: VecDeque::new(), sum: 0 }
     }
@@ -85,7 +85,7 @@
 
     /// Work arrives. Whether all that came within the last window is now over the multiple of what that capacity
     /// (work in 1 ns) can do in a window.
-    pub(crate) fn sent(&mut self, now: Nanos, work: Nanos, capacity: f64) -> bool {
+    pub(crate) fn add(&mut self, now: Nanos, work: Nanos, capacity: f64) -> bool {
         self.forget(now);
         self.sent.push_back((now, work));
         self.sum += i128::from(work);
--- a/crates/model/tests/servers/caching.rs
+++ b/crates/model/tests/servers/caching.rs
@@ -45,13 +45,13 @@
         orders.extend(rig.run_to(rig.now + 2));
         match answers(&orders)[..] {
             [(_, _, Answer::Hit { .. })] => hits += u64::from(id >= warm_up),
-            [(_, _, Answer::Miss { others_fetch: false })] => {
+            [(_, _, Answer::Miss { fetch_in_progress: false })] => {
                 rig.at(rig.now, Event::Fill { key: Key(key), version: 0, size: SIZE });
             }
             ref other => panic!("{other:?}"),
         }
     }
-    assert_eq!(rig.server.books(rig.now).objects, places);
+    assert_eq!(rig.server.stats(rig.now).objects, places);
     hits as f64 / counted as f64
 }
 
--- a/crates/model/tests/servers/harness.rs
+++ b/crates/model/tests/servers/harness.rs
@@ -29,7 +29,7 @@
     }
 }
 
-impl<K: Keeper> Rig<K> {
+impl<K: Storage> Rig<K> {
     /// Takes an event at that time; all orders by then.
     pub fn at(&mut self, now: Micros, event: Event) -> Vec<Order> {
         let mut orders = self.run_to(now);
--- a/crates/model/tests/servers/histories.rs
+++ b/crates/model/tests/servers/histories.rs
@@ -56,7 +56,12 @@
 }
 
 /// Plays the steps, and lets the server come to rest. `lazy`: orders are taken only when something happens.
-fn play<K: Keeper>(server: Server<K>, machine: &Machine, steps: &[Step], lazy: bool) -> (Vec<Order>, Books) {
+fn play<K: Storage>(
+    server: Server<K>,
+    machine: &Machine,
+    steps: &[Step],
+    lazy: bool,
+) -> (Vec<Order>, ServerStats) {
     let mut rig = Rig { server, now: 0 };
     let (mut sent, mut now) = (Sent::default(), 0);
     for (id, step) in steps.iter().enumerate() {
@@ -102,20 +107,20 @@
         rig.server.handle(now, event);
         rig.now = now;
         rig.drain().into_iter().for_each(|order| sent.see(now, order));
-        let books = rig.server.books(now);
-        assert!(books.in_work <= machine.slots && books.waiting <= machine.waiting_room);
-        assert!(books.connections <= machine.connections.cap);
+        let stats = rig.server.stats(now);
+        assert!(stats.in_work <= machine.slots && stats.waiting <= machine.waiting_room);
+        assert!(stats.connections <= machine.connections.cap);
         let paused = rig.server.paused_until().is_some();
-        assert!(paused || books.waiting == 0 || books.in_work == machine.slots, "a free slot, and one waits");
-        let ended = books.answered + books.unheard + books.dropped + books.lost;
-        assert_eq!(books.requests, ended + u64::from(books.held), "{books:?}");
+        assert!(paused || stats.waiting == 0 || stats.in_work == machine.slots, "a free slot, and one waits");
+        let ended = stats.answered + stats.client_gone + stats.dropped + stats.lost;
+        assert_eq!(stats.requests, ended + u64::from(stats.held), "{stats:?}");
     }
     rig.server.handle(now, Event::Fault(Fault::Slow(1.0)));
     rig.run_to(now + 3_000_000).into_iter().for_each(|order| sent.see(i64::MAX, order));
     for (conn, (waiting, stuck)) in &sent.open {
         assert!(*stuck || waiting.is_empty(), "{waiting:?} on {conn} without an answer");
     }
-    (sent.orders, rig.server.books(rig.now))
+    (sent.orders, rig.server.stats(rig.now))
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -126,7 +131,7 @@
     let fill = (0..6u64, 0..3u64).prop_map(|(k, version)| Event::Fill { key: Key(k), version, size: 100 });
     let told = prop_oneof![
         4 => fill,
-        1 => (0..6u64, 0..3u64).prop_map(|(k, version)| Event::Void { key: Key(k), version }),
+        1 => (0..6u64, 0..3u64).prop_map(|(k, version)| Event::Invalidate { key: Key(k), version }),
         1 => (0..6u64).prop_map(|k| Event::Change(Key(k))),
     ];
     let kinds = || (0..Noise::ALL.len()).prop_map(|n| [Noise::ALL[n]].into_iter().collect::<NoiseSet>());
@@ -178,7 +183,7 @@
     (1..4u32, 1..5u32, 0..5u32, some(40.0), abandoned, connections, switches).prop_map(
         |(cores, slots, waiting_room, busy_work_us, abandoned, connections, switches)| {
             let (drops_expired, drain_closes_idle, pauses, loss) = switches;
-            let choke = Choke { at: 1.0, loss };
+            let choke = ConcurrencyPenalty { at: 1.0, loss };
             Machine {
                 cores,
                 slots,
@@ -207,7 +212,7 @@
 
     #[test]
     fn cache_servers_lose_nothing(machine in machine(), steps in steps(), carry_out: bool, cold: bool) {
-        let tip = Some(Tip { multiple: 3.0, window_us: 500 });
+        let tip = Some(OverloadThreshold { multiple: 3.0, window_us: 500 });
         let warm_up = WarmUp { start: 0.2, full_after_us: 5000, full_after_work_us: Some(2000.0), tip };
         let writes = if carry_out { Writes::CarryOut } else { Writes::Miss };
         let config = CacheConfig { machine, warm_up, memory: 500, writes, ..CacheConfig::default() };
@@ -219,8 +224,8 @@
 
     #[test]
     fn origins_lose_nothing(machine in machine(), steps in steps(), resets: bool) {
-        let tip = Tip { multiple: 2.0, window_us: 500 };
-        let overdriven = Some(Overdriven { tip, down: Dist::Exp(300.0), resets, most: 3 });
+        let tip = OverloadThreshold { multiple: 2.0, window_us: 500 };
+        let overdriven = Some(OverloadOutage { tip, down: Dist::Exp(300.0), resets, most: 3 });
         let config = OriginConfig { machine, overdriven, ..OriginConfig::default() };
         let server = Origin::new(&config, Uid(1), 7, 0).unwrap();
         let first = play(server.clone(), &config.machine, &steps, false);
--- a/crates/model/tests/servers/queueing.rs
+++ b/crates/model/tests/servers/queueing.rs
@@ -14,7 +14,7 @@
 struct Run {
     /// Arrival, work and answer of each request, µs.
     requests: Vec<(i64, f64, i64)>,
-    books: Books,
+    stats: ServerStats,
 }
 
 /// Poisson arrivals at that share of the capacity, each on a connection of its own.
@@ -41,7 +41,7 @@
     let rest = rig.run_to(i64::MAX / 2000);
     record(&mut requests, rest);
     let end = requests.iter().map(|r| r.2).max().unwrap();
-    Run { requests, books: rig.server.books(end) }
+    Run { requests, stats: rig.server.stats(end) }
 }
 
 fn exponential(unit: &mut dyn FnMut() -> f64) -> f64 {
@@ -58,7 +58,7 @@
 
 /// Mean wait over the theory's, less one.
 fn off(run: &Run, theory_us: f64) -> f64 {
-    run.books.waited_us / run.books.begun as f64 / theory_us - 1.0
+    run.stats.waited_us / run.stats.begun as f64 / theory_us - 1.0
 }
 
 #[test]
@@ -129,14 +129,14 @@
 #[test]
 fn littles_law_holds_on_the_books() {
     let got = run(4, 6, 0.8, &exponential, 20_000);
-    let Books { requests, answered, stayed_us, held_area_us, held, at, .. } = got.books;
+    let ServerStats { requests, answered, sojourn_us, held_integral_us, held, at, .. } = got.stats;
     assert_eq!((requests, answered, held), (20_000, 20_000, 0));
     // Little 1961: mean number held = rate x mean time; with nothing left over it is an identity.
     let (number, rate, time) =
-        (held_area_us / at as f64, answered as f64 / at as f64, stayed_us / answered as f64);
+        (held_integral_us / at as f64, answered as f64 / at as f64, sojourn_us / answered as f64);
     assert!((number / (rate * time) - 1.0).abs() < 1e-9, "{number} held, {rate} x {time}");
     let seen: i64 = got.requests.iter().map(|(from, _, to)| to - from).sum();
-    assert!((stayed_us / seen as f64 - 1.0).abs() < 1e-3, "{stayed_us} by the books, {seen} seen");
+    assert!((sojourn_us / seen as f64 - 1.0).abs() < 1e-3, "{sojourn_us} by the books, {seen} seen");
     let asked: f64 = got.requests.iter().map(|r| r.1).sum();
-    assert!((got.books.work_done_us / asked - 1.0).abs() < 1e-6, "no work is lost or made up");
+    assert!((got.stats.work_done_us / asked - 1.0).abs() < 1e-6, "no work is lost or made up");
 }
--- a/crates/model/tests/servers/rules.rs
+++ b/crates/model/tests/servers/rules.rs
@@ -16,7 +16,7 @@
     CacheConfig { machine, ..CacheConfig::default() }
 }
 
-fn ask(rig: &mut Rig<impl Keeper>, now: Micros, conn: u64, id: u64, work_us: f64) -> Vec<Order> {
+fn ask(rig: &mut Rig<impl Storage>, now: Micros, conn: u64, id: u64, work_us: f64) -> Vec<Order> {
     rig.at(now, Event::Request(read(conn, id, id, work_us)))
 }
 
@@ -25,7 +25,7 @@
     Event::Request(Request { kind: Kind::Write, size: 500, keyed, ..read(conn, id, key, 100.0) })
 }
 
-fn fault(rig: &mut Rig<impl Keeper>, now: Micros, fault: Fault) -> Vec<Act> {
+fn fault(rig: &mut Rig<impl Storage>, now: Micros, fault: Fault) -> Vec<Act> {
     acts(&rig.at(now, Event::Fault(fault)))
 }
 
@@ -36,7 +36,7 @@
 #[test]
 fn a_cold_server_falls_just_over_the_rule_and_stays_down() {
     // Capacity 0.25 (it hardly warms), 3 times, 2 s: 1.5 s of work in any 2 s.
-    let tip = Some(Tip { multiple: 3.0, window_us: 2 * SECOND });
+    let tip = Some(OverloadThreshold { multiple: 3.0, window_us: 2 * SECOND });
     let warm_up = WarmUp { start: 0.25, full_after_us: 1_000_000 * SECOND, full_after_work_us: None, tip };
     let config = CacheConfig { warm_up, ..single(|m| m.waiting_room = 2) };
     // When the sixteenth piece of 0.1 s comes, after fifteen at 0; whether the server has run for long.
@@ -49,23 +49,23 @@
         for id in 0..15 {
             ask(&mut rig, 0, 0, id, 1e5);
         }
-        let pressure = rig.server.books(0).pressure;
+        let overload_ratio = rig.server.stats(0).overload_ratio;
         assert!(
-            (pressure - if warm { 0.0 } else { 1.0 }).abs() < 1e-6,
-            "what is turned away counts: {pressure}"
+            (overload_ratio - if warm { 0.0 } else { 1.0 }).abs() < 1e-6,
+            "what is turned away counts: {overload_ratio}"
         );
         assert_eq!(rig.server.state(), State::Up);
         let orders = acts(&ask(&mut rig, at, 0, 15, 1e5));
-        assert_eq!(orders.contains(&Act::Fell), falls, "at {at}, warm {warm}");
+        assert_eq!(orders.contains(&Act::Crashed), falls, "at {at}, warm {warm}");
         if falls {
-            assert_eq!(orders[orders.len() - 2..], [Act::Fell, closed(0, CloseKind::Rst)]);
+            assert_eq!(orders[orders.len() - 2..], [Act::Crashed, closed(0, CloseKind::Rst)]);
             let late = at + 100 * SECOND;
             assert_eq!(acts(&rig.at(late, Event::Connect(ConnId(1)))), [Act::Refused(ConnId(1))]);
             assert_eq!(acts(&ask(&mut rig, late, 0, 16, 1.0)), [closed(0, CloseKind::Rst)]);
             assert_eq!(fault(&mut rig, late, Fault::Restart { uid: Some(Uid(9)) }), []);
             rig.connect(2..3);
-            let books = rig.server.books(late);
-            assert_eq!((books.warm_share, books.pressure, books.falls), (0.25, 0.0, 1));
+            let stats = rig.server.stats(late);
+            assert_eq!((stats.warm_share, stats.overload_ratio, stats.overload_crashes), (0.25, 0.0, 1));
         }
     }
 }
@@ -120,8 +120,8 @@
         let first = 100 + busy_work_us as i64;
         let expected = [
             (turned_away, 3, Answer::Busy(BusyReason::Full)),
-            (first, 1, Answer::Miss { others_fetch: false }),
-            (first + busy_work_us as i64, 2, Answer::Busy(BusyReason::Over)),
+            (first, 1, Answer::Miss { fetch_in_progress: false }),
+            (first + busy_work_us as i64, 2, Answer::Busy(BusyReason::Expired)),
         ];
         assert_eq!(answers(&orders), expected);
     }
@@ -153,7 +153,7 @@
 #[test]
 fn work_that_nobody_waits_for_goes_on_or_is_dropped() {
     // One in work, one waiting, both given up at 10; when a third of 100 µs ends, and the books.
-    for (abandoned, end, unheard, dropped) in
+    for (abandoned, end, client_gone, dropped) in
         [(Abandoned::GoesOn, 300, 2, 0), (Abandoned::DropWaiting, 200, 1, 1), (Abandoned::Drop, 110, 0, 2)]
     {
         let mut rig = cache(&single(|m| m.abandoned = abandoned));
@@ -165,8 +165,11 @@
             assert_eq!(rig.at(10, Event::Hangup(ConnId(conn))), []);
         }
         assert_eq!(when(&rig.run_to(1000)), [(end, 2)], "{abandoned:?}");
-        let books = rig.server.books(1000);
-        assert_eq!((books.unheard, books.dropped, books.answered, books.held), (unheard, dropped, 1, 0));
+        let stats = rig.server.stats(1000);
+        assert_eq!(
+            (stats.client_gone, stats.dropped, stats.answered, stats.held),
+            (client_gone, dropped, 1, 0)
+        );
     }
 }
 
@@ -220,7 +223,7 @@
             [closed(0, CloseKind::Rst)],
             "what comes later is reset"
         );
-        assert_eq!((rig.server.books(5000).idle_closed, rig.server.books(5000).connections), (2, 0));
+        assert_eq!((rig.server.stats(5000).idle_closed, rig.server.stats(5000).connections), (2, 0));
     }
 }
 
@@ -247,14 +250,14 @@
     assert_eq!(acts(&rig.at(3000, Event::Connect(ConnId(3)))), [Act::Refused(ConnId(3))]);
     fault(&mut rig, 3000, Fault::FullTable(false));
     rig.connect(4..5);
-    let books = rig.server.books(3000);
-    assert_eq!((books.accepted, books.not_accepted, books.handshakes, books.connections), (3, 2, 2, 2));
+    let stats = rig.server.stats(3000);
+    assert_eq!((stats.accepted, stats.not_accepted, stats.handshakes, stats.connections), (3, 2, 2, 2));
 }
 
 #[test]
 fn crowding_and_slowness_cost_speed() {
     // Four held on one core, from two on a quarter less for each: divided by 1.5; at half speed.
-    let mut rig = cache(&single(|m| (m.slots, m.choke) = (4, Choke { at: 2.0, loss: 0.25 })));
+    let mut rig = cache(&single(|m| (m.slots, m.choke) = (4, ConcurrencyPenalty { at: 2.0, loss: 0.25 })));
     rig.connect(0..4);
     fault(&mut rig, 0, Fault::Slow(0.5));
     for conn in 0..4 {
@@ -301,13 +304,13 @@
         assert_eq!(acts(&rig.at(60, Event::Connect(ConnId(2)))), [connect]);
         assert_eq!(ask(&mut rig, 60, 1, 2, 1.0).is_empty(), silent);
         assert_eq!(rig.run_to(1000), []);
-        let books = rig.server.books(1000);
-        assert_eq!((books.lost, books.held, books.work_done_us), (1, 0, 50.0));
+        let stats = rig.server.stats(1000);
+        assert_eq!((stats.lost, stats.held, stats.work_done_us), (1, 0, 50.0));
         assert_eq!(fault(&mut rig, 1000, Fault::Restart { uid: Some(Uid(2)) }), []);
         assert_eq!(acts(&ask(&mut rig, 1000, 1, 3, 1.0)), [closed(1, CloseKind::Rst)], "an old connection");
         rig.connect(3..4);
         ask(&mut rig, 1000, 3, 1, 10.0);
-        assert_eq!(answers(&rig.run_to(1010))[0].2, Answer::Miss { others_fetch: false }, "it is empty");
+        assert_eq!(answers(&rig.run_to(1010))[0].2, Answer::Miss { fetch_in_progress: false }, "it is empty");
         assert_eq!(rig.server.uid(), Uid(2));
     }
 }
@@ -335,9 +338,9 @@
         (version, note.unwrap())
     };
     let fill = |version| Some(Event::Fill { key: Key(5), version, size: 2048 });
-    let void = |version| Some(Event::Void { key: Key(5), version });
+    let void = |version| Some(Event::Invalidate { key: Key(5), version });
     assert_eq!(look(0, None), (None, Note::Miss));
-    assert_eq!(look(100, None), (None, Note::MissOthersFetch));
+    assert_eq!(look(100, None), (None, Note::MissFetchInProgress));
     assert_eq!(look(200, None), (None, Note::Miss), "the lease is over");
     assert_eq!(look(300, fill(1)), (Some(1), Note::Hit));
     assert_eq!(look(400, void(2)), (None, Note::Miss));
@@ -366,11 +369,11 @@
         }
         rig.at(now + 10, Event::Hangup(ConnId(id)));
     }
-    let books = rig.server.books(rig.now);
+    let stats = rig.server.stats(rig.now);
     let close = |got: u64, share: f64| (got as f64 / n as f64 - share).abs() < 0.01;
     assert!(
-        close(books.failed, 0.2) && close(books.swallowed, 0.08) && close(books.noisy, 0.092),
-        "{books:?}"
+        close(stats.failed, 0.2) && close(stats.swallowed, 0.08) && close(stats.corrupted, 0.092),
+        "{stats:?}"
     );
     assert!(seen.iter().all(|s| *s > 100), "each kind: {seen:?}");
 }
@@ -397,7 +400,7 @@
         assert_eq!(told, (answers_sent, closes), "{trouble:?}");
         // Only the last on the connection has something right behind it.
         if trouble == only(Noise::SecondCopy) {
-            assert_eq!(rig.server.books(1000).noisy, 1);
+            assert_eq!(rig.server.stats(1000).corrupted, 1);
         }
     }
 }
@@ -449,9 +452,9 @@
 #[test]
 fn an_overdriven_origin_stops_and_comes_back() {
     // Twice its capacity for 1 s is 2 s of work.
-    let tip = Tip { multiple: 2.0, window_us: SECOND };
+    let tip = OverloadThreshold { multiple: 2.0, window_us: SECOND };
     for resets in [false, true] {
-        let over = Overdriven { tip, down: Dist::Fixed(3e6), resets, most: 1 };
+        let over = OverloadOutage { tip, down: Dist::Fixed(3e6), resets, most: 1 };
         let mut rig = origin(|c| c.overdriven = Some(over));
         rig.connect(0..1);
         assert_eq!(ask(&mut rig, 0, 0, 1, 2e6), [], "just at it");
@@ -502,7 +505,7 @@
         ("classes", |c| c.machine.classes.clear()),
         ("connections.idle_us", |c| c.machine.connections.idle_us = Some(0)),
         ("warm_up.start", |c| c.warm_up.start = 0.0),
-        ("warm_up.tip", |c| c.warm_up.tip = Some(Tip { multiple: 3.0, window_us: 0 })),
+        ("warm_up.tip", |c| c.warm_up.tip = Some(OverloadThreshold { multiple: 3.0, window_us: 0 })),
         ("classes.work", |c| c.machine.classes[0].work = Dist::Exp(-1.0)),
         ("attempt_cv", |c| c.machine.attempt_cv = -1.0),
     ];
