--- a/crates/model/examples/world_speed.rs
+++ b/crates/model/examples/world_speed.rs
@@ -1,5 +1,6 @@
 //! How many arrivals a second are drawn, how many requests a second clients play against nodes that answer in
-//! 1 ms, and how many writes a second the network carries: `cargo run --release -p lapisrudder-model --example world_speed`.
+//! 1 ms, and how many writes a second the network carries: `cargo run --release -p lapisrudder-model
+//! --example world_speed`.
 
 use std::collections::VecDeque;
 use std::error::Error;
--- a/crates/model/src/discovery/catalog.rs
+++ b/crates/model/src/discovery/catalog.rs
@@ -89,7 +89,8 @@
         Listing { rev, all: true, targets: self.entries.values().filter_map(as_of).collect() }
     }
 
-    /// What brings a node from one version to another: the changes, or the whole list where those are forgotten.
+    /// What brings a node from one version to another: the changes, or the whole list where those are
+    /// forgotten.
     pub(super) fn since(&self, from: u64, rev: u64) -> Listing {
         if from < self.horizon {
             return self.full(rev);
--- a/crates/model/src/discovery/machine.rs
+++ b/crates/model/src/discovery/machine.rs
@@ -167,7 +167,8 @@
         self.timers.peek().map(|timer| timer.0.0)
     }
 
-    /// Who counts as told of what since the last call of this. A `notified` or `due` may lie before earlier entries'.
+    /// Who counts as told of what since the last call of this. A `notified` or `due` may lie before earlier
+    /// entries'.
     pub fn take_notifications(&mut self) -> Vec<Notification> {
         std::mem::take(&mut self.notifications.recorded)
     }
--- a/crates/model/src/discovery/machine/tests.rs
+++ b/crates/model/src/discovery/machine/tests.rs
@@ -30,7 +30,8 @@
     Event::Change(vec![member(uid, State::Draining)])
 }
 
-/// Plays events at milliseconds; each answer is written 2 ms after its order. Gives orders and tellings as lines.
+/// Plays events at milliseconds; each answer is written 2 ms after its order. Gives orders and tellings as
+/// lines.
 fn play(plan: DiscoveryPlan, events: &[(Micros, Event)], end: Micros) -> (Vec<String>, Vec<String>) {
     let mut discovery = Discovery::new(plan, HOME, 1);
     let mut events: VecDeque<(Micros, Event)> =
--- a/crates/model/src/discovery/mod.rs
+++ b/crates/model/src/discovery/mod.rs
@@ -1,8 +1,8 @@
 //! Discovery: the list of members, calls for it and watches on it, and its troubles.
 //!
 //! [`Discovery`] answers calls in turn, with a latency. The driver carries HTTP: it hands each call in as an
-//! [`Event`], writes what an [`Order`] says, and tells when an answer's last byte was written, which is when the node
-//! counts as told. [`Notification`]s are the books for the check on drains.
+//! [`Event`], writes what an [`Order`] says, and tells when an answer's last byte was written, which is when
+//! the node counts as told. [`Notification`]s are the books for the check on drains.
 
 mod catalog;
 mod machine;
@@ -101,7 +101,8 @@
     Up,
     /// It serves another view of the list from now on.
     View(View),
-    /// It moves: the new address listens at once, the old one takes no new connection and later closes open ones.
+    /// It moves: the new address listens at once, the old one takes no new connection and later closes open
+    /// ones.
     Move(Address),
     /// A node starts, with the list of that version in its configuration.
     NodeStarted(NodeId, u64),
--- a/crates/model/src/discovery/notifications.rs
+++ b/crates/model/src/discovery/notifications.rs
@@ -58,8 +58,9 @@
     pub state: State,
     /// In which version.
     pub rev: u64,
-    /// From when on discovery had it to tell this node: the change itself while a watch was on (the short gaps
-    /// between its calls included), else the node's next call. The strictest reading of when it was told.
+    /// From when on discovery had it to tell this node: the change itself while a watch was on (the short
+    /// gaps between its calls included), else the node's next call. The strictest reading of when it was
+    /// told.
     pub due: Micros,
     /// When it counts as told.
     pub notified: Micros,
@@ -117,7 +118,8 @@
         node_record.silent = false;
     }
 
-    /// A call is over, with an answer or without. Gives when the node counts as silent if it does not ask again.
+    /// A call is over, with an answer or without. Gives when the node counts as silent if it does not ask
+    /// again.
     pub(super) fn call_ends(&mut self, now: Micros, node: NodeId, answered: bool) -> Option<Micros> {
         let node_record = self.nodes.get_mut(&node)?;
         node_record.open = node_record.open.saturating_sub(1);
--- a/crates/model/src/network/links.rs
+++ b/crates/model/src/network/links.rs
@@ -24,11 +24,11 @@
 pub enum Heal {
     /// What was sent meanwhile arrives after all, as TCP sends again.
     Resume,
-    /// A connection on which something was sent meanwhile stays silent for good; connects then under way never
-    /// come up.
+    /// A connection on which something was sent meanwhile stays silent for good; connects then under way
+    /// never come up.
     Stay,
-    /// The machine is back without memory: whatever is sent on a connection from before is answered by a reset, and
-    /// so are connects then under way.
+    /// The machine is back without memory: whatever is sent on a connection from before is answered by a
+    /// reset, and so are connects then under way.
     Reset,
 }
 
@@ -97,8 +97,9 @@
     pub(super) fault: Fault,
 }
 
-/// The state of all links. By itself it is the oracle that a stand-in on real sockets asks: a socket cannot be cut
-/// silently without privileges, so the stand-in does not read or write while [`Links::passes`] says no.
+/// The state of all links. By itself it is the oracle that a stand-in on real sockets asks: a socket cannot
+/// be cut silently without privileges, so the stand-in does not read or write while [`Links::passes`] says
+/// no.
 #[derive(Clone, Debug)]
 pub struct Links {
     plan: LinksPlan,
@@ -124,8 +125,8 @@
         self.plan.zones.get(host.0 as usize).copied().unwrap_or(0)
     }
 
-    /// Switches a fault on, from one end to the other or in both directions. For faults of new connections the
-    /// direction is that of the connect.
+    /// Switches a fault on, from one end to the other or in both directions. For faults of new connections
+    /// the direction is that of the connect.
     pub fn begin(&mut self, from: Which, to: Which, both: bool, fault: Fault) -> FaultId {
         let id = FaultId(self.made);
         self.made += 1;
@@ -170,8 +171,8 @@
         self.cut(from, to).is_none()
     }
 
-    /// What a connect from one host to another comes to now. `number` tells connections apart: the same one has the
-    /// same luck each time.
+    /// What a connect from one host to another comes to now. `number` tells connections apart: the same one
+    /// has the same luck each time.
     pub fn connect(&self, number: u64, from: Host, to: Host) -> Fate {
         if !self.passes(from, to) || !self.passes(to, from) {
             return Fate::Never;
@@ -225,7 +226,8 @@
         use Fate::{Never, Opens, Refused, Reset};
         let (h0, h1, h2) = (Host(0), Host(1), Host(2));
         let cases = [
-            // from, to, both, fault; then the fates 0 to 1, 0 to 2, 2 to 0; then whether 0 to 2 and 2 to 0 pass.
+            // from, to, both, fault; then the fates 0 to 1, 0 to 2, 2 to 0; then whether 0 to 2 and 2 to 0
+            // pass.
             (
                 Which::Zone(0),
                 Which::Zone(1),
--- a/crates/model/src/network/mod.rs
+++ b/crates/model/src/network/mod.rs
@@ -1,10 +1,11 @@
 //! The network between hosts: byte streams with delay, cuts, resets, connects that fail, and any split.
 //!
 //! [`Network`] carries connections in simulated time: `connect`, `send`, `shut`, `close`, `abort` go in, and
-//! `poll(now)` gives what arrives. [`Links`] alone answers what should happen now, for stand-ins on real sockets.
+//! `poll(now)` gives what arrives. [`Links`] alone answers what should happen now, for stand-ins on real
+//! sockets.
 //!
-//! What it leaves out: acknowledgements are not modelled, so that a cut of one direction does not fill the buffers
-//! of the other; bytes that were under way when a cut began arrive; there is no congestion control.
+//! What it leaves out: acknowledgements are not modelled, so that a cut of one direction does not fill the
+//! buffers of the other; bytes that were under way when a cut began arrive; there is no congestion control.
 
 mod links;
 mod pipe;
--- a/crates/model/src/network/streams.rs
+++ b/crates/model/src/network/streams.rs
@@ -119,7 +119,8 @@
         self.push(at, Due::Connect(conn));
     }
 
-    /// Writes bytes at one end: how many were taken. If fewer than given, `Writable` follows when there is room.
+    /// Writes bytes at one end: how many were taken. If fewer than given, `Writable` follows when there is
+    /// room.
     pub fn send(&mut self, now: Micros, conn: Conn, side: Side, bytes: &[u8]) -> usize {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return 0 };
         let (gone, to) = (pipe.direction(side).reset, side.other());
@@ -156,8 +157,8 @@
         }
     }
 
-    /// Closes one side for good. As with sockets, bytes that are there unread, or come later, are answered by a
-    /// reset; else the other side gets the end behind what was sent. A connect not yet up is given up.
+    /// Closes one side for good. As with sockets, bytes that are there unread, or come later, are answered by
+    /// a reset; else the other side gets the end behind what was sent. A connect not yet up is given up.
     pub fn close(&mut self, now: Micros, conn: Conn, side: Side) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         if pipe.stage != Stage::Up {
@@ -204,14 +205,16 @@
         }
     }
 
-    /// One side stops or resumes reading. What is sent to it stays in the buffers, and so does news of an end.
+    /// One side stops or resumes reading. What is sent to it stays in the buffers, and so does news of an
+    /// end.
     pub fn pause(&mut self, conn: Conn, side: Side, paused: bool) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         pipe.direction(side).paused = paused;
         self.schedule(conn, side);
     }
 
-    /// The process on a host dies: its connections are reset. Switch [`Fault::Refuse`] on as well, until it is back.
+    /// The process on a host dies: its connections are reset. Switch [`Fault::Refuse`] on as well, until it
+    /// is back.
     pub fn kill(&mut self, now: Micros, host: Host) {
         for conn in self.sorted(|_, pipe| pipe.from == host || pipe.to == host) {
             let Some(pipe) = self.pipes.get(&conn) else { continue };
--- a/crates/model/src/network/streams/tests.rs
+++ b/crates/model/src/network/streams/tests.rs
@@ -52,8 +52,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// However writes are split, cut short and delayed, each side gets the other's bytes in order and whole, and
-    /// the end behind them; the connection is then forgotten.
+    /// However writes are split, cut short and delayed, each side gets the other's bytes in order and whole,
+    /// and the end behind them; the connection is then forgotten.
     #[test]
     fn bytes_arrive_whole_and_in_order(
         writes in proptest::collection::vec((0i64..3000, any::<bool>(), 1usize..400), 1..40),
--- a/crates/model/src/origin.rs
+++ b/crates/model/src/origin.rs
@@ -1,9 +1,9 @@
-//! The origin behind the caches: it holds every object, and it is slow.
+//! Model of the origin behind the caches, which holds every object and is slow.
 //!
-//! It is a [`Server`] as a cache server is: cores, slots, a queue, less efficient when crowded, and by its settings
-//! work that goes on when nobody waits. Beyond that it holds the versions of objects, carries out writes, and stops
-//! for a while when it is overdriven. Every object exists; its size is a function of seed and key until a write
-//! brings another.
+//! It is a [`Server`] like a cache server: cores, slots, a queue, less efficiency under high concurrency and,
+//! depending on the settings, work that continues after its client has gone. In addition it holds the
+//! versions of objects, carries out writes, and stops for a while under overload. Every object exists; its
+//! size is a function of seed and key until a write sets another.
 
 use crate::Micros;
 use crate::server::host::Overload;
@@ -19,7 +19,7 @@
 /// The origin.
 pub type Origin = Server<Contents>;
 
-/// The objects that there are.
+/// Storage of the origin.
 #[derive(Debug, Clone)]
 pub struct Contents {
     records: Records,
@@ -30,21 +30,21 @@
 }
 
 impl Sizes {
-    /// Bytes of an object that was never written: a function of seed and key alone.
+    /// Size in bytes of an object that was never written.
     pub fn of(&self, seed: u64, key: Key) -> u32 {
         let hash = mix(key.0 ^ mix(seed));
-        // Box and Muller 1958; the logarithm's argument is in (0, 1].
+        // Box-Muller transform (1958); the argument of the logarithm is in (0, 1].
         let radius = (-2.0 * libm::log(1.0 - unit(hash))).sqrt();
         let normal = radius * libm::cos(std::f64::consts::TAU * unit(mix(hash ^ 1)));
         let size = self.median * libm::exp(self.sigma * normal);
-        // A float beyond the range saturates.
+        // The cast saturates.
         (size as u32).clamp(self.least, self.most).max(MIN_SIZE)
     }
 }
 
 impl Server<Contents> {
-    /// An origin that is up and has run for long. Sizes of objects come from the seed, other draws from the seed and
-    /// its id.
+    /// Creates an origin that is up and at full capacity. Sizes of objects derive from the seed, other draws
+    /// from the seed and the id.
     pub fn new(config: &OriginConfig, uid: Uid, seed: u64, now: Micros) -> Result<Self, ConfigError> {
         config.check()?;
         let storage = Contents {
@@ -62,7 +62,7 @@
         Server::join(&config.machine, (uid, seed), now, storage, warm_up, overload)
     }
 
-    /// Version and size of an object as it is now.
+    /// Current version and size of an object.
     pub fn object(&self, key: Key) -> (u64, u32) {
         self.storage.object(key)
     }
@@ -88,7 +88,7 @@
                 let (version, size) = self.object(request.key);
                 (self.add_size_cost(work as f64, size), Found::Copy { version, size })
             }
-            // A copy brought here is taken as a write: the origin keeps nothing else.
+            // A stored copy is treated as a write, since the origin keeps no copies.
             Kind::Write | Kind::Store { .. } => {
                 (self.add_size_cost(work as f64 * self.write_share, request.size), Found::Change)
             }
@@ -131,7 +131,7 @@
 
     fn flush(&mut self, _: f64, _: u64) {}
 
-    /// Contents, versions and receipts last.
+    /// Objects, versions and receipts are durable.
     fn restart(&mut self) {}
 
     fn fill_stats(&self, stats: &mut ServerStats) {
--- a/crates/model/src/server/active_faults.rs
+++ b/crates/model/src/server/active_faults.rs
@@ -1,11 +1,12 @@
-//! Troubles that are switched on and off, and what they make of a request.
+//! Faults that are switched on and off, and their effect on requests.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
 use super::message::{Answer, Noise, NoiseSet};
 
-/// The troubles of a server now, with draws of their own: guards against a fault plan that moves the work's draws.
+/// The active faults of a server. They have their own random stream, so that a fault plan does not shift the
+/// draws of the work.
 #[derive(Debug, Clone)]
 pub(crate) struct ActiveFaults {
     pub(crate) slow: f64,
@@ -17,7 +18,7 @@
     rng: ChaCha8Rng,
 }
 
-/// Guards against shares that are no number.
+/// Limits a share to 0 to 1; NaN becomes 0.
 pub(crate) fn clamp_share(share: f64) -> f64 {
     if share.is_nan() { 0.0 } else { share.clamp(0.0, 1.0) }
 }
@@ -32,12 +33,12 @@
         (self.spoil, self.kinds) = (clamp_share(share), kinds);
     }
 
-    /// Whether something of that share happens now.
+    /// Draws whether an event with this probability occurs. Without a draw if the share is 0.
     pub(crate) fn occurs(&mut self, share: f64) -> bool {
         share > 0.0 && self.rng.random::<f64>() < share
     }
 
-    /// What goes wrong with an answer on its way out. `last`: nothing else waits on its connection.
+    /// Draws how an answer is corrupted, if it is. `last`: no other request is open on its connection.
     pub(crate) fn noise(&mut self, answer: &Answer, last: bool) -> Option<Noise> {
         if self.kinds.is_empty() || *answer == Answer::Nothing || !self.occurs(self.spoil) {
             return None;
--- a/crates/model/src/server/cache.rs
+++ b/crates/model/src/server/cache.rs
@@ -1,4 +1,4 @@
-//! The contents of a cache server: copies of objects, and who was told to fetch what.
+//! The contents of a cache server: copies of objects, fetch leases and receipts of writes.
 
 use super::config::{CacheConfig, Writes};
 use super::error::ConfigError;
@@ -17,12 +17,12 @@
 /// A cache server.
 pub type CacheServer = Server<Cache>;
 
-/// What a cache server keeps.
+/// Storage of a cache server.
 #[derive(Debug, Clone)]
 pub struct Cache {
     objects: Objects,
     records: Records,
-    /// Keys that a request was told to fetch lately.
+    /// Fetch leases: keys that a request missed lately and is expected to fill.
     fetches: Expiring<Key, ()>,
     lease: Nanos,
     ttl: Option<Nanos>,
@@ -34,8 +34,9 @@
 }
 
 impl Server<Cache> {
-    /// A cache server that is up and empty. `warm`: it has run for long (give it its copies by [`Event::Fill`]); else
-    /// it starts now. All its draws come from the seed and its id.
+    /// Creates a cache server that is up and empty. `warm`: it is at full capacity (its copies are given to
+    /// it by [`Event::Fill`]); otherwise it starts cold now. All random draws derive from the seed and the
+    /// id.
     pub fn new(
         config: &CacheConfig,
         uid: Uid,
@@ -143,7 +144,8 @@
         self.objects.flush(share, salt);
     }
 
-    /// Copies and receipts were in memory. Versions go on, so that none is given twice.
+    /// Copies and receipts were in memory and are lost. Version numbers continue, so that none is given
+    /// twice.
     fn restart(&mut self) {
         self.objects.clear();
         self.fetches = Expiring::default();
--- a/crates/model/src/server/config.rs
+++ b/crates/model/src/server/config.rs
@@ -1,4 +1,5 @@
-//! Settings of servers. Lengths of time and work are µs (names end in `_us`); work is time on a core of speed 1.
+//! Settings of the server models. Times and amounts of work are in µs (names end in `_us`); work is the time
+//! that it takes on a core of speed 1.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,77 +8,79 @@
 use super::message::CloseKind;
 use crate::Micros;
 
-/// The machine and the process under a cache server or an origin.
+/// The machine and the process of a cache server or an origin.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Machine {
-    /// Cores. Requests in work share them evenly, each at most one core.
+    /// Number of cores. Requests in work share them evenly; each uses at most one core.
     pub cores: u32,
-    /// Speed of a core; 1 is the yardstick.
+    /// Speed of a core, relative to the reference core of speed 1.
     pub speed: f64,
-    /// Requests in work at once. As many as cores: first come, first served; more: processor sharing.
+    /// Maximum number of requests in work at once. As many as cores gives first come, first served; more
+    /// gives processor sharing.
     pub slots: u32,
-    /// Requests that wait for a slot, first come first served. Beyond: [`super::BusyReason::Full`].
+    /// Maximum number of requests that wait for a slot, first come, first served. Further requests are
+    /// rejected with [`super::BusyReason::Full`].
     pub waiting_room: u32,
-    /// Efficiency lost when crowded.
+    /// Loss of efficiency under high concurrency.
     pub choke: ConcurrencyPenalty,
-    /// Work of turning a request away; 0: none, and the answer is at once.
+    /// Work of rejecting a request; with 0 the answer is sent at once.
     pub busy_work_us: f64,
-    /// What becomes of a request that nobody waits for any more.
+    /// What happens to a request after its client has closed the connection.
     pub abandoned: Abandoned,
-    /// Whether a request whose time is over when a slot comes free is turned away rather than begun.
+    /// Whether a request whose deadline has passed when a slot becomes free is rejected instead of begun.
     pub drops_expired: bool,
-    /// Share of requests, 0 to 1, that fail on a usual day.
+    /// Share of requests, 0 to 1, that fail while no fault is active.
     pub fail_share: f64,
-    /// Share of failed writes, 0 to 1, that were carried out all the same.
+    /// Share of failed writes, 0 to 1, that were carried out although the answer is a failure.
     pub failed_writes_ran: f64,
-    /// Pauses of its own (garbage collection, a noisy neighbour).
+    /// Spontaneous pauses, as of garbage collection or a noisy neighbour.
     pub pauses: Option<Pauses>,
-    /// Connections.
+    /// The connection table.
     pub connections: Connections,
-    /// Work and windows by request class.
+    /// Work and idempotency window of each request class.
     pub classes: Vec<Class>,
-    /// Work for each KiB read or written, beside the class's.
+    /// Work for each KiB read or written, in addition to the work of the class.
     pub per_kib_us: f64,
-    /// Spread of one attempt's work against another's of the same request: standard deviation over the mean of a
-    /// lognormal factor with mean 1.
+    /// Variation of work between attempts of the same request: coefficient of variation of a lognormal factor
+    /// with mean 1.
     pub attempt_cv: f64,
-    /// Whether a node's going away while draining closes idle connections (FIN) on [`super::Fault::Drain`].
+    /// Whether [`super::Fault::Drain`] closes connections (FIN) as soon as no request is open on them.
     pub drain_closes_idle: bool,
 }
 
-/// Efficiency lost when crowded: the capacity is divided by `1 + loss x max(0, held / cores - at)`, where requests in
-/// work and waiting are held.
+/// Loss of efficiency under high concurrency: the capacity is divided by `1 + loss x max(0, held / cores -
+/// at)`, where `held` counts the requests in work and waiting.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ConcurrencyPenalty {
-    /// Requests held for each core, from where on it shows.
+    /// Requests held per core above which efficiency is lost.
     pub at: f64,
-    /// Loss for each further request held for each core.
+    /// Loss for each further request held per core.
     pub loss: f64,
 }
 
-/// What becomes of a request when the other side hung up.
+/// What happens to a request when the client has closed the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Abandoned {
-    /// It goes on, waiting or in work, as if its answer were wanted.
+    /// The request continues, waiting or in work, as if its client still waited.
     GoesOn,
-    /// It is dropped while it waits; in work it goes on.
+    /// A waiting request is dropped; one in work is finished.
     DropWaiting,
-    /// It is dropped, also in work: the rest of its work is saved.
+    /// The request is dropped, waiting or in work; the rest of its work is saved.
     Drop,
 }
 
-/// Pauses that a machine has of itself.
+/// Spontaneous pauses of a machine: no work is done and nothing is read.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pauses {
-    /// From the end of one to the begin of the next.
+    /// Time from the end of one pause to the start of the next.
     pub every: Dist,
-    /// Length.
+    /// Length of a pause.
     pub length: Dist,
-    /// Longer by this share when every slot is in use, and less in proportion.
+    /// Share by which a pause is longer when every slot is in use; proportionally less with fewer.
     #[serde(default)]
     pub grow: f64,
 }
@@ -86,61 +89,64 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Connections {
-    /// Connections held at most.
+    /// Maximum number of open connections.
     pub cap: u32,
-    /// What becomes of a connect beyond: refused, or (`true`) never answered, as with a full backlog.
+    /// Whether connects beyond the maximum are never answered, as with a full backlog, instead of refused.
     pub ignore_beyond: bool,
-    /// Share of capacity, 0 to 1, that a full table takes; less full, less in proportion.
+    /// Share of the capacity, 0 to 1, that is lost when the table is full; proportionally less when it is
+    /// not.
     pub full_loss: f64,
-    /// Work of taking a connection (TLS handshake). Needs no slot, but shares the cores.
+    /// Work of accepting a connection (TLS handshake). It needs no slot, but shares the cores with requests.
     pub handshake_work_us: f64,
-    /// Further time from the handshake's end until a first request on it can begin (round trips).
+    /// Time from the end of the handshake until the first request on the connection can begin (round trips).
     pub handshake_wait_us: Micros,
-    /// Requests of one connection that are begun and not yet answered at most. Further ones wait unread.
+    /// Maximum number of requests of one connection that are read and not yet answered. Further ones stay
+    /// unread.
     pub at_once: u32,
-    /// A connection without a request for this long is closed; `None`: never.
+    /// Idle timeout: a connection without an open request for this long is closed; `None`: never.
     pub idle_us: Option<Micros>,
     /// How an idle connection is closed.
     pub idle_close: CloseKind,
 }
 
-/// A class of requests, by its place in the list.
+/// A class of requests. Requests name it by its index in the list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Class {
     /// Work of one request.
     pub work: Dist,
-    /// How long a repeat of a keyed write is dropped, from when the first was carried out.
+    /// How long after a keyed write was carried out a repeat with the same idempotency key has no effect.
     pub keyed_window_us: Micros,
 }
 
-/// A cache server.
+/// Settings of a cache server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CacheConfig {
     /// Machine and process.
     pub machine: Machine,
-    /// A miss takes this share of a hit's work.
+    /// Work of a miss, as a share of the work of a hit.
     pub miss_share: f64,
-    /// How it warms up after a start.
+    /// How capacity rises after a start.
     pub warm_up: WarmUp,
-    /// Bytes for objects.
+    /// Bytes available for objects.
     pub memory: u64,
-    /// Bytes that an object takes beside its value.
+    /// Overhead of an object in bytes, in addition to its value.
     pub per_object: u32,
-    /// What goes when memory is full.
+    /// Which object is evicted when memory is full.
     pub eviction: Eviction,
     /// Age at which a copy expires; `None`: never.
     pub ttl_us: Option<Micros>,
-    /// How long after a miss a further miss of the key is told that others fetch, unless the fill comes before.
+    /// Fetch lease: how long after a miss further misses of the key are answered with `fetch_in_progress`,
+    /// unless the fill comes before.
     pub lease_us: Micros,
-    /// Whether answers tell hit or miss.
+    /// Whether answers to reads carry a note about hit or miss ([`super::Note`]).
     pub tells: bool,
-    /// What a write finds.
+    /// How writes are treated.
     pub writes: Writes,
 }
 
-/// Order of eviction.
+/// Eviction policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Eviction {
@@ -160,47 +166,47 @@
     CarryOut,
 }
 
-/// Capacity after a start, as a share of the full: from `start` it rises evenly, with time or with the work done,
-/// never slower than evenly over `full_after_us`.
+/// Capacity after a start, as a share of the full capacity. It rises linearly from `start`, with the time or
+/// with the work done, whichever gives more, and so is full after `full_after_us` at the latest.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WarmUp {
-    /// Share at the start, above 0 to 1; 1: always warm.
+    /// Share at the start, above 0 and at most 1; 1 means always warm.
     pub start: f64,
-    /// Time until full.
+    /// Time until full capacity.
     pub full_after_us: Micros,
-    /// Work done until full, in µs on a core of speed 1; `None`: warms with time alone.
+    /// Work after which capacity is full, in µs on a core of speed 1; `None`: it rises with time alone.
     pub full_after_work_us: Option<f64>,
-    /// When it is pushed over while cold; `None`: never.
+    /// Load at which the server crashes while it is cold; `None`: it never does.
     pub tip: Option<OverloadThreshold>,
 }
 
-/// A server falls when the work sent to it within the window (all that reaches it, also what it turns away) is over
-/// `multiple x present capacity x window`.
+/// A server is overloaded when the work sent to it within the window exceeds
+/// `multiple x present capacity x window`. All work that reaches it counts, also of requests that it rejects.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OverloadThreshold {
-    /// Multiple of the present capacity.
+    /// Limit as a multiple of the present capacity.
     pub multiple: f64,
     /// Length of the window.
     pub window_us: Micros,
 }
 
-/// The origin behind the caches.
+/// Settings of the origin behind the caches.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OriginConfig {
     /// Machine and process.
     pub machine: Machine,
-    /// A write takes this many times a read's work.
+    /// Work of a write, as a multiple of the work of a read.
     pub write_share: f64,
     /// Sizes of objects.
     pub sizes: Sizes,
-    /// When it is overdriven, and what then.
+    /// When the origin stops under overload, and for how long; `None`: never.
     pub overdriven: Option<OverloadOutage>,
 }
 
-/// Sizes of objects in bytes: lognormal, the same for a key whoever asks.
+/// Sizes of objects in bytes: lognormal, and a function of the key alone.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Sizes {
@@ -208,29 +214,29 @@
     pub median: f64,
     /// Standard deviation of the logarithm.
     pub sigma: f64,
-    /// Smallest; never under a value's head ([`crate::value::MIN_SIZE`]).
+    /// Minimum; values are never smaller than their header ([`crate::value::MIN_SIZE`]).
     pub least: u32,
-    /// Largest.
+    /// Maximum.
     pub most: u32,
 }
 
-/// How an origin stops when it is sent too much.
+/// How an origin stops when it is overloaded.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OverloadOutage {
-    /// From when on.
+    /// Load at which it stops.
     pub tip: OverloadThreshold,
-    /// How long it stops.
+    /// Length of a stop.
     pub down: Dist,
-    /// Whether it resets its connections and refuses new ones meanwhile (a crash; what it had is lost) rather than
-    /// stalls with everything in it.
+    /// Whether it crashes, that is resets its connections, loses its requests and refuses new connections
+    /// meanwhile. Otherwise it stalls and keeps everything.
     pub resets: bool,
-    /// How often at most, from its start.
+    /// Maximum number of stops over the run.
     pub most: u32,
 }
 
 impl Default for Machine {
-    /// 8 cores of speed 1, 64 slots, waiting room for 128, no trouble of its own, classes of 1 ms.
+    /// 8 cores of speed 1, 64 slots, 128 waiting requests, no failures or pauses, one class of 1 ms.
     fn default() -> Self {
         Self {
             cores: 8,
@@ -261,7 +267,8 @@
 }
 
 impl Default for Connections {
-    /// 1,024 connections, free of cost, 32 requests at once, closed (FIN) after 60 s.
+    /// 1,024 connections without cost, 32 requests at once on each, closed (FIN) after 60 s without a
+    /// request.
     fn default() -> Self {
         Self {
             cap: 1024,
@@ -277,14 +284,14 @@
 }
 
 impl Default for Class {
-    /// Exponential work with a mean of 1 ms; repeats dropped for 10 s.
+    /// Exponential work with a mean of 1 ms; repeats of keyed writes have no effect for 10 s.
     fn default() -> Self {
         Self { work: Dist::Exp(1000.0), keyed_window_us: 10_000_000 }
     }
 }
 
 impl Default for CacheConfig {
-    /// 64 MiB, LRU, no expiry, misses cost what hits cost, always warm, writes belong to the origin.
+    /// 64 MiB, LRU, no expiry, misses cost as much as hits, always warm, writes belong to the origin.
     fn default() -> Self {
         Self {
             machine: Machine::default(),
@@ -316,7 +323,8 @@
 }
 
 impl Default for OriginConfig {
-    /// 4 cores, 4 slots, waiting room for 64, exponential work with a mean of 20 ms, writes twice that.
+    /// 4 cores, 4 slots, 64 waiting requests, exponential work with a mean of 20 ms, and twice that for
+    /// writes.
     fn default() -> Self {
         let class = Class { work: Dist::Exp(20_000.0), ..Class::default() };
         let machine =
@@ -329,81 +337,86 @@
     if holds { Ok(()) } else { Err(ConfigError::new(field, what)) }
 }
 
-const LONGEST: Micros = 1_000_000_000_000_000;
+const MAX_LENGTH: Micros = 1_000_000_000_000_000;
 
-fn length(us: Micros, field: &'static str) -> Result<(), ConfigError> {
-    ensure((0..=LONGEST).contains(&us), field, "must be 0 to 1e15 µs")
+fn check_length(us: Micros, field: &'static str) -> Result<(), ConfigError> {
+    ensure((0..=MAX_LENGTH).contains(&us), field, "must be 0 to 1e15 µs")
 }
 
-fn share(share: f64, field: &'static str) -> Result<(), ConfigError> {
+fn check_share(share: f64, field: &'static str) -> Result<(), ConfigError> {
     ensure((0.0..=1.0).contains(&share), field, "must be 0 to 1")
 }
 
-fn figure(figure: f64, field: &'static str) -> Result<(), ConfigError> {
-    ensure(figure.is_finite() && figure >= 0.0, field, "must be a number, 0 or above")
+fn check_number(number: f64, field: &'static str) -> Result<(), ConfigError> {
+    ensure(number.is_finite() && number >= 0.0, field, "must be a number, 0 or above")
 }
 
 impl OverloadThreshold {
     pub(crate) fn check(&self, field: &'static str) -> Result<(), ConfigError> {
-        figure(self.multiple, field)?;
-        ensure((1..=LONGEST).contains(&self.window_us), field, "the window must be 1 to 1e15 µs")
+        check_number(self.multiple, field)?;
+        ensure((1..=MAX_LENGTH).contains(&self.window_us), field, "the window must be 1 to 1e15 µs")
     }
 }
 
 impl Machine {
-    /// Work that all cores do in a length of time, over that length, when nothing hampers them.
+    /// Work that all cores do per unit of time at full efficiency.
     pub fn capacity(&self) -> f64 {
         f64::from(self.cores) * self.speed
     }
 
-    /// Whether all makes sense; distributions are checked where they are made ready.
+    /// Returns the first invalid setting as an error. Distributions are checked when their samplers are
+    /// built.
     pub(crate) fn check(&self) -> Result<(), ConfigError> {
         ensure((1..=65_536).contains(&self.cores), "cores", "must be 1 to 65,536")?;
         ensure(self.speed.is_finite() && self.speed > 0.0, "speed", "must be above 0")?;
         ensure(self.slots > 0, "slots", "must be 1 or above")?;
-        figure(self.choke.at, "choke.at")?;
-        figure(self.choke.loss, "choke.loss")?;
-        figure(self.busy_work_us, "busy_work_us")?;
-        share(self.fail_share, "fail_share")?;
-        share(self.failed_writes_ran, "failed_writes_ran")?;
+        check_number(self.choke.at, "choke.at")?;
+        check_number(self.choke.loss, "choke.loss")?;
+        check_number(self.busy_work_us, "busy_work_us")?;
+        check_share(self.fail_share, "fail_share")?;
+        check_share(self.failed_writes_ran, "failed_writes_ran")?;
         if let Some(pauses) = &self.pauses {
             ensure(pauses.every.mean_us() >= 1.0, "pauses.every", "must be 1 µs or above")?;
-            figure(pauses.grow, "pauses.grow")?;
+            check_number(pauses.grow, "pauses.grow")?;
         }
         let table = &self.connections;
-        share(table.full_loss, "connections.full_loss")?;
-        figure(table.handshake_work_us, "connections.handshake_work_us")?;
-        length(table.handshake_wait_us, "connections.handshake_wait_us")?;
+        check_share(table.full_loss, "connections.full_loss")?;
+        check_number(table.handshake_work_us, "connections.handshake_work_us")?;
+        check_length(table.handshake_wait_us, "connections.handshake_wait_us")?;
         ensure(table.at_once > 0, "connections.at_once", "must be 1 or above")?;
         if let Some(idle) = table.idle_us {
-            ensure((1..=LONGEST).contains(&idle), "connections.idle_us", "must be 1 to 1e15 µs")?;
+            ensure((1..=MAX_LENGTH).contains(&idle), "connections.idle_us", "must be 1 to 1e15 µs")?;
         }
         ensure(!self.classes.is_empty(), "classes", "must name one at least")?;
         for class in &self.classes {
-            length(class.keyed_window_us, "classes.keyed_window_us")?;
+            check_length(class.keyed_window_us, "classes.keyed_window_us")?;
         }
-        figure(self.per_kib_us, "per_kib_us")?;
-        figure(self.attempt_cv, "attempt_cv")
+        check_number(self.per_kib_us, "per_kib_us")?;
+        check_number(self.attempt_cv, "attempt_cv")
     }
 }
 
 impl CacheConfig {
-    /// Names the first setting that makes no sense.
+    /// Returns the first invalid setting as an error.
     pub(crate) fn check(&self) -> Result<(), ConfigError> {
         self.machine.check()?;
-        figure(self.miss_share, "miss_share")?;
+        check_number(self.miss_share, "miss_share")?;
         self.warm_up.check()?;
         if let Some(ttl) = self.ttl_us {
-            length(ttl, "ttl_us")?;
+            check_length(ttl, "ttl_us")?;
         }
-        length(self.lease_us, "lease_us")
+        check_length(self.lease_us, "lease_us")
     }
 }
 
 impl WarmUp {
     fn check(&self) -> Result<(), ConfigError> {
         ensure(self.start > 0.0 && self.start <= 1.0, "warm_up.start", "must be above 0, to 1")?;
-        ensure((1..=LONGEST).contains(&self.full_after_us), "warm_up.full_after_us", "must be 1 to 1e15 µs")?;
+        ensure(
+            (1..=MAX_LENGTH).contains(&self.full_after_us),
+            "warm_up.full_after_us",
+            "must be 1 to 1e15 µs",
+        )?;
         if let Some(work) = self.full_after_work_us {
             ensure(work.is_finite() && work > 0.0, "warm_up.full_after_work_us", "must be above 0")?;
         }
@@ -412,12 +425,12 @@
 }
 
 impl OriginConfig {
-    /// Names the first setting that makes no sense.
+    /// Returns the first invalid setting as an error.
     pub(crate) fn check(&self) -> Result<(), ConfigError> {
         self.machine.check()?;
-        figure(self.write_share, "write_share")?;
+        check_number(self.write_share, "write_share")?;
         ensure(self.sizes.median.is_finite() && self.sizes.median > 0.0, "sizes.median", "must be above 0")?;
-        figure(self.sizes.sigma, "sizes.sigma")?;
+        check_number(self.sizes.sigma, "sizes.sigma")?;
         ensure(self.sizes.least <= self.sizes.most, "sizes", "least must not be above most")?;
         self.overdriven.as_ref().map_or(Ok(()), |over| over.tip.check("overdriven.tip"))
     }
--- a/crates/model/src/server/dist.rs
+++ b/crates/model/src/server/dist.rs
@@ -1,7 +1,7 @@
 //! Distributions of lengths of time and work.
 //!
-//! The logarithm and the exponential are those of `libm` (plain Rust), and what is drawn is a whole number of
-//! nanoseconds: guards against plans that differ between machines by the last bit of the system's library.
+//! The logarithm and the exponential are those of `libm` (plain Rust), and draws are whole nanoseconds. With
+//! the functions of the system's library the last bit, and so the whole run, could differ between machines.
 
 use rand::Rng;
 
@@ -14,7 +14,7 @@
 pub enum Dist {
     /// Always this many µs.
     Fixed(f64),
-    /// Exponential with that mean in µs.
+    /// Exponential with this mean in µs.
     Exp(f64),
     /// Lognormal.
     LogNormal {
@@ -30,11 +30,11 @@
         /// Standard deviation over the mean.
         cv: f64,
     },
-    /// One of several, each as likely as its weight says. With fixed parts it is an empirical distribution.
+    /// Mixture of distributions by weight. With fixed parts it is an empirical distribution.
     Mix(Vec<(f64, Dist)>),
 }
 
-/// A distribution made ready to draw from.
+/// A validated distribution with precomputed parameters, in ns.
 #[derive(Debug, Clone)]
 pub(crate) enum Sampler {
     Fixed(Nanos),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Ready to draw from. `field` names it in errors.
+    /// Validates the distribution and builds its sampler. `field` names it in errors.
     pub(crate) fn sampler(&self, field: &'static str) -> Result<Sampler, ConfigError> {
         let checked = |mean: f64| match mean {
             m if m.is_finite() && (0.0..=1e15).contains(&m) => Ok(m),
@@ -107,12 +107,12 @@
 
 impl Sampler {
     pub(crate) fn draw(&self, rng: &mut impl Rng) -> Nanos {
-        // In (0, 1]: its logarithm is finite.
+        // In (0, 1], so that its logarithm is finite.
         let mut unit = || 1.0 - rng.random::<f64>();
         let length = match self {
             Sampler::Fixed(ns) => return *ns,
             Sampler::Exp(mean) => -mean * libm::log(unit()),
-            // Box and Muller 1958.
+            // Box-Muller transform (1958).
             Sampler::LogNormal { mu, sigma } => {
                 let radius = (-2.0 * libm::log(unit())).sqrt();
                 libm::exp(mu + sigma * radius * libm::cos(std::f64::consts::TAU * unit()))
@@ -124,7 +124,7 @@
                 return parts[part].draw(rng);
             }
         };
-        // A float beyond the range saturates; a tail is cut at half a year.
+        // The cast saturates; Nanos::MAX / 512 cuts the tail at about half a year.
         (length as Nanos).min(Nanos::MAX / 512)
     }
 }
--- a/crates/model/src/server/error.rs
+++ b/crates/model/src/server/error.rs
@@ -1,10 +1,10 @@
-//! What is wrong with a setting.
+//! The error for invalid settings.
 
-/// A setting that makes no sense.
+/// An invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {what}")]
 pub struct ConfigError {
-    /// Its name.
+    /// Name of the setting.
     pub field: &'static str,
     /// What is wrong with it.
     pub what: &'static str,
--- a/crates/model/src/server/expiring.rs
+++ b/crates/model/src/server/expiring.rs
@@ -1,4 +1,4 @@
-//! Entries that each hold for a while.
+//! A map whose entries expire.
 
 use std::collections::VecDeque;
 use std::hash::Hash;
@@ -7,11 +7,12 @@
 
 use super::time::Nanos;
 
-/// A table whose entries expire. What is over is never found, and is dropped as others come.
+/// A map whose entries expire. Expired entries are never returned, and are removed when others are inserted.
 #[derive(Debug, Clone)]
 pub(crate) struct Expiring<K, V> {
     kept: FxHashMap<K, (Nanos, V)>,
-    /// By the order in which they came: a long one holds back shorter ones behind it.
+    /// Expiry times in insertion order. An entry with a long lifetime delays the removal of shorter ones
+    /// behind it.
     order: VecDeque<(Nanos, K)>,
 }
 
@@ -28,7 +29,7 @@
 
     pub(crate) fn insert(&mut self, now: Nanos, length: Nanos, key: K, value: V) {
         while let Some((_, old)) = self.order.pop_front_if(|(until, _)| *until <= now) {
-            // Guards against dropping an entry that was kept anew under the same key.
+            // The key may have been inserted again since, with a later expiry.
             if self.kept.get(&old).is_some_and(|(until, _)| *until <= now) {
                 self.kept.remove(&old);
             }
--- a/crates/model/src/server/flow.rs
+++ b/crates/model/src/server/flow.rs
@@ -1,4 +1,4 @@
-//! The way of connections and requests through a server.
+//! How connections and requests pass through a server.
 
 use super::config::Abandoned;
 use super::host::{Job, Server};
@@ -7,11 +7,12 @@
 use super::table::{Call, NONE, Stage};
 use super::time::{Nanos, from_micros, nanos};
 
-/// What became of the answers that were next on a connection.
+/// Outcome of sending the answers that are ready on a connection.
 enum Flushed {
+    /// No answer was ready.
     Nothing,
     Some,
-    /// The connection went with them.
+    /// The connection was closed after the last one.
     Closed,
 }
 
@@ -31,7 +32,7 @@
             return self.out.push(self.now, act);
         }
         let (work, wait) = (self.handshake_work(), table.handshake_wait_us);
-        // Guards against a driver that uses a number twice: the first connection holds.
+        // A driver may use a connection number twice; the first connection keeps it.
         let Some(conn) = self.table.open(self.now, id, work == 0 && wait == 0) else {
             return self.out.push(self.now, Act::Refused(id));
         };
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The work of a handshake is done.
+    /// The work of a handshake is done; its round trips follow.
     pub(super) fn handshake_done(&mut self, id: ConnId) {
         self.stats.handshakes += 1;
         if self.machine.connections.handshake_wait_us > 0 {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// A request's last byte has come.
+    /// Takes a request whose last byte has arrived.
     pub(super) fn take(&mut self, request: Request) {
         let Some(conn) = self.table.find(request.conn) else {
             return self.out.push(self.now, Act::Close(request.conn, CloseKind::Rst));
@@ -77,13 +78,13 @@
         self.stats.bytes_in += u64::from(request.size);
         self.table.push(conn, self.now, request, work);
         self.work_arrived(work);
-        // Guards against going on with what went down just now.
+        // That work may have crashed the server, and the connection with it.
         if self.table.find(request.conn).is_some() {
             self.pump(conn);
         }
     }
 
-    /// What its class and its own draw say, with the difference between attempts.
+    /// Work of a request: given by the caller or drawn from its class, times the factor of the attempt.
     fn work(&mut self, request: &Request) -> Nanos {
         let draws = &mut self.draws;
         let class = usize::from(request.class).min(draws.classes.len() - 1);
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Begins what may begin on a connection and lets out the answers that are next, until neither is left.
+    /// Reads requests of a connection and sends answers that are ready, until neither is possible.
     fn pump(&mut self, conn: u32) {
         loop {
             while let Some(at) = self.table.begin(conn, self.machine.connections.at_once) {
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Lets out the answers of a connection that are next.
+    /// Sends the answers of a connection that are ready, in the order of its requests.
     fn flush_answers(&mut self, conn: u32) -> Flushed {
         let mut flush_answers = Flushed::Nothing;
         self.count_held();
@@ -139,7 +140,8 @@
                 self.close(conn, CloseKind::Fin);
                 return Flushed::Closed;
             }
-            // Guards against serving on where the other side can make no sense of what follows.
+            // After a missing or corrupt answer the client cannot parse what follows, so nothing more is
+            // sent.
             if answer == Answer::Nothing || noise.is_some_and(Noise::spoils) {
                 self.table.conns[conn as usize].stuck = true;
             }
@@ -169,7 +171,7 @@
         }
     }
 
-    /// A request that was read gets a slot, a place in the waiting room, or is turned away.
+    /// Gives a request that was read a slot or a place in the waiting queue, or rejects it.
     fn enter(&mut self, at: u32) {
         if self.state == State::Draining {
             self.refuse(at, BusyReason::Draining);
@@ -194,7 +196,8 @@
         }
     }
 
-    /// Gives a slot to a request, unless its time is over. The caller sees to its connection.
+    /// Gives a slot to a request, or rejects it if its deadline has passed. The caller must then advance its
+    /// connection.
     fn start(&mut self, at: u32) {
         let call = &mut self.table.calls[at as usize];
         let waited = self.now - call.arrived;
@@ -211,7 +214,7 @@
         self.station.start(self.now, work, Job::Request(at));
     }
 
-    /// Fills free slots from the waiting room.
+    /// Fills free slots from the waiting queue.
     fn fill_slots(&mut self) {
         while self.in_work < self.machine.slots {
             let Some(at) = self.waiting.pop(&mut self.table.calls) else { break };
@@ -220,7 +223,7 @@
         }
     }
 
-    /// What came in the pause is read.
+    /// Reads the requests that arrived during a pause.
     pub(super) fn read_inbox(&mut self) {
         while let Some(at) = self.inbox.pop(&mut self.table.calls) {
             self.enter(at);
@@ -228,7 +231,7 @@
         }
     }
 
-    /// Lets the answer of a request out if it is done, or ends the request if nobody waits.
+    /// If a request is done, advances its connection, or ends the request if the connection is gone.
     fn settle(&mut self, at: u32) {
         let call = &self.table.calls[at as usize];
         if !matches!(call.stage, Stage::Done(..)) {
@@ -243,7 +246,7 @@
         }
     }
 
-    /// A request's work is done.
+    /// The work of a request is done: decides its answer and frees its slot.
     pub(super) fn finish(&mut self, at: u32) {
         self.in_work -= 1;
         let Call { request, stage, conn, .. } = self.table.calls[at as usize];
@@ -263,14 +266,14 @@
             NONE => self.settle(at),
             conn => _ = self.flush_answers(conn),
         }
-        // Who waits goes before what its connection brings next.
+        // Waiting requests get the free slot before the next request of this connection.
         self.fill_slots();
         if self.table.conns.get(conn as usize).is_some_and(|c| c.id == request.conn) {
             self.pump(conn);
         }
     }
 
-    /// A request was turned away.
+    /// The work of rejecting a request is done.
     pub(super) fn refusal_done(&mut self, at: u32) {
         if let Stage::Refusing(reason) = self.table.calls[at as usize].stage {
             self.table.calls[at as usize].stage = Stage::Done(Answer::Busy(reason), None);
@@ -278,7 +281,7 @@
         self.settle(at);
     }
 
-    /// A request ends here without an answer.
+    /// Removes a request that ends without an answer.
     fn end(&mut self, at: u32) {
         self.count_held();
         let call = self.table.calls.remove(at as usize);
@@ -291,14 +294,14 @@
         }
     }
 
-    /// Closes a connection from this side.
+    /// Closes a connection from the server's side.
     fn close(&mut self, conn: u32, kind: CloseKind) {
         let id = self.abandon(conn, true);
         self.out.push(self.now, Act::Close(id, kind));
     }
 
-    /// A connection is gone; `by_server`: from this side. What was not read is dropped with it; what was goes the way that
-    /// the settings say.
+    /// Removes a connection that the client or (`by_server`) the server has closed. Unread requests and
+    /// finished ones are dropped with it; those waiting or in work continue as [`Abandoned`] says.
     fn abandon(&mut self, conn: u32, by_server: bool) -> ConnId {
         let (id, mut at) = self.table.close(conn);
         let abandoned = self.machine.abandoned;
@@ -340,7 +343,7 @@
         id
     }
 
-    /// A connection may have been idle for too long.
+    /// Closes a connection that has reached its idle timeout, or checks again later.
     pub(super) fn check_idle(&mut self, id: ConnId) {
         let Some(at) = self.table.find(id) else { return };
         let conn = &mut self.table.conns[at as usize];
@@ -356,7 +359,7 @@
         self.close(at, self.machine.connections.idle_close);
     }
 
-    /// Closes the connections that no request is on.
+    /// Closes all connections without an open request.
     pub(super) fn close_idle(&mut self) {
         let idle = self.table.conns.iter().filter(|(_, conn)| conn.is_idle());
         let idle: Vec<u32> = idle.map(|(at, _)| at as u32).collect();
--- a/crates/model/src/server/host.rs
+++ b/crates/model/src/server/host.rs
@@ -1,4 +1,4 @@
-//! A server as a state machine: what happens goes in, what it does comes out, and time is the caller's.
+//! A server as a state machine: events with their times go in, orders come out. The caller supplies the time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -20,31 +20,33 @@
 use crate::value::Uid;
 use crate::{Micros, draw};
 
-/// What runs on the cores.
+/// A piece of work that runs on the cores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Job {
-    /// A request, by its place.
+    /// A request, by its index in the call table.
     Request(u32),
-    /// Turning a request away.
+    /// Rejecting a request, by its index in the call table.
     Refusal(u32),
-    /// Taking a connection.
+    /// The handshake of a new connection.
     Handshake(ConnId),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
+    /// The first request on the connection can begin.
     Ready(ConnId),
+    /// The connection may have reached its idle timeout.
     Idle(ConnId),
 }
 
-/// What happens when too much is sent.
+/// What happens when more work is sent than the overload threshold allows.
 #[derive(Debug, Clone)]
 pub(crate) enum Overload {
-    /// Nothing more than queues.
+    /// No threshold: queues fill, and requests are rejected.
     Unlimited,
-    /// Falls over while cold.
+    /// The process crashes if the threshold is exceeded before the server has warmed up.
     CrashesWhenCold(OfferedLoad),
-    /// Stops for a while.
+    /// The server stops for a drawn time; `left` is how many further stops may occur.
     Stops { offered_load: OfferedLoad, down: Sampler, resets: bool, left: u32 },
 }
 
@@ -56,6 +58,7 @@
     }
 }
 
+/// Pauses that the machine has without an outside cause ([`super::Pauses`]), with their own random stream.
 #[derive(Debug, Clone)]
 struct SpontaneousPauses {
     every: Sampler,
@@ -65,18 +68,18 @@
     next: Nanos,
 }
 
-/// Settings made ready to draw from.
+/// Random draws of the work of requests.
 #[derive(Debug, Clone)]
 pub(super) struct Draws {
     pub(super) classes: Vec<Sampler>,
-    /// A factor with mean 1 (drawn as a length with a mean of 1 ms), if attempts differ.
+    /// Work factor of an attempt, mean 1, if attempts differ; drawn as a length with a mean of 1 ms.
     pub(super) attempt: Option<Sampler>,
     pub(super) rng: ChaCha8Rng,
 }
 
 /// A server: a cache server ([`super::CacheServer`]) or the origin ([`crate::origin::Origin`]).
 ///
-/// Call [`Self::handle`] with what happens; then take orders by [`Self::poll`] until there are none; call again at
+/// Call [`Self::handle`] for each event, then [`Self::poll`] until it returns `None`. Poll again at
 /// [`Self::next`] at the latest.
 #[derive(Debug, Clone)]
 pub struct Server<K> {
@@ -107,7 +110,7 @@
 }
 
 impl<K: Storage> Server<K> {
-    /// Joins the parts; `warm`: it has run for long.
+    /// Builds a server. `warm`: it has been running for long enough to be at full capacity.
     pub(crate) fn join(
         machine: &Machine,
         (uid, seed): (Uid, u64),
@@ -166,7 +169,7 @@
         Ok(server)
     }
 
-    /// Takes what happens at that time.
+    /// Handles an event at the given time.
     pub fn handle(&mut self, now: Micros, event: Event) {
         self.advance(from_micros(now));
         match event {
@@ -186,24 +189,24 @@
         self.refresh();
     }
 
-    /// What it does by that time, in order; `None`: nothing more.
+    /// Returns the next order due by the given time, in order of time; `None` when there are no more.
     pub fn poll(&mut self, now: Micros) -> Option<Order> {
         self.advance(from_micros(now));
         self.out.orders.pop_front()
     }
 
-    /// From now on [`Self::poll_begun`] tells of each request that leaves the waiting room.
+    /// Records each request that is begun from now on, for [`Self::poll_begun`].
     pub fn watch_begun(&mut self) {
         self.out.begun.get_or_insert_default();
     }
 
-    /// The next request that was begun by the last call of [`Self::handle`] or [`Self::poll`].
+    /// Returns the next recorded request that was given a slot, oldest first.
     pub fn poll_begun(&mut self) -> Option<Begun> {
         self.out.begun.as_mut()?.pop_front()
     }
 
-    /// When something is due, if nothing else happens before; a time that has passed while orders wait. It may be
-    /// early: then nothing comes out.
+    /// Returns when to poll next if no event happens before, or the present time while orders wait. A poll at
+    /// that time may return nothing.
     pub fn next(&self) -> Option<Micros> {
         if !self.out.orders.is_empty() {
             return Some(to_micros(self.now));
@@ -214,27 +217,27 @@
         }
     }
 
-    /// The id that it has now.
+    /// The current id of the server; a restart can change it.
     pub fn uid(&self) -> Uid {
         self.uid
     }
 
-    /// Whether it runs.
+    /// Whether the server takes requests, drains or is down.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Until when it stands still, if it does.
+    /// End of the current pause, if the process is paused.
     pub fn paused_until(&self) -> Option<Micros> {
         self.paused_until.map(to_micros)
     }
 
-    /// The writes that were carried out here.
+    /// The writes that this server carried out.
     pub fn ledger(&self) -> &Ledger {
         self.storage.ledger()
     }
 
-    /// What it has done and how it stands, by that time.
+    /// Returns the counters and the current state as of the given time.
     pub fn stats(&mut self, now: Micros) -> ServerStats {
         self.advance(from_micros(now));
         self.count_held();
@@ -268,14 +271,14 @@
         self.paused_until.is_some()
     }
 
-    /// Work that all cores can do in 1 ns, less what warm-up leaves out.
+    /// Work that all cores can do in 1 ns at the present warm-up share.
     fn capacity(&mut self) -> f64 {
         let share = self.warm_up.share(self.now, self.station.done(self.now));
         self.machine.capacity() * share
     }
 
     fn due(&self) -> Nanos {
-        // A process that stands still closes nothing.
+        // A paused process runs no timers, so it closes no idle connections.
         let timer = match self.timers.peek() {
             Some(Reverse((at, _))) if !self.paused() => *at,
             _ => NEVER,
@@ -285,7 +288,7 @@
         self.station.due().min(timer).min(own).min(resume).min(self.warm_due).min(self.back_at)
     }
 
-    /// Carries out all that fell due by now, each at its own time.
+    /// Carries out everything that is due by now, each item at its due time.
     fn advance(&mut self, now: Nanos) {
         loop {
             let due = self.due();
@@ -296,11 +299,11 @@
             self.step();
             self.refresh();
         }
-        // Guards against a caller whose clock steps back.
+        // The caller's clock can step back; the model's time must not.
         self.now = self.now.max(now);
     }
 
-    /// Carries out the one thing that is due; where several are due at one time, in the order written here.
+    /// Carries out one due item. Items that are due at the same time are taken in the order written here.
     fn step(&mut self) {
         let now = self.now;
         if self.back_at <= now {
@@ -324,10 +327,11 @@
                 Timer::Idle(id) => self.check_idle(id),
             }
         }
-        // Otherwise the warm-up curve is due: the refresh that follows looks at it.
+        // Otherwise the warm-up share is due for an update, which the caller's `refresh` does.
     }
 
-    /// Brings the speed of the cores up to how things stand.
+    /// Recomputes the speed of the cores from warm-up, crowding, connections and faults, and reports a
+    /// finished drain.
     fn refresh(&mut self) {
         let machine = &self.machine;
         let done = self.station.done(self.now);
@@ -335,9 +339,10 @@
         let held = f64::from(self.in_work + self.waiting.len()) / f64::from(machine.cores);
         let crowded = 1.0 + machine.choke.loss * (held - machine.choke.at).max(0.0);
         let full = self.table.conns.len() as f64 / f64::from(machine.connections.cap.max(1));
-        let left = 1.0 - machine.connections.full_loss * full.min(1.0);
+        let connection_factor = 1.0 - machine.connections.full_loss * full.min(1.0);
         let halted = self.paused() || !self.runs();
-        let speed = if halted { 0.0 } else { machine.speed * self.faults.slow * warm * left / crowded };
+        let speed =
+            if halted { 0.0 } else { machine.speed * self.faults.slow * warm * connection_factor / crowded };
         self.station.set_speed(self.now, speed);
         let rechecks = !self.warm_up.is_warm() && !self.station.is_empty() && speed > 0.0;
         self.warm_due = if rechecks { self.now.saturating_add(self.warm_up.step()) } else { NEVER };
@@ -347,13 +352,14 @@
         }
     }
 
-    /// Brings the integral of held requests up to now; to be called before their number changes.
+    /// Updates the time integral of held requests. Must be called before their number changes.
     pub(super) fn count_held(&mut self) {
         self.held_integral += (self.now - self.held_since) as u128 * self.table.calls.len() as u128;
         self.held_since = self.now;
     }
 
-    /// Work reaches it. Whether that was too much: then it is down or stands still from here on.
+    /// Counts work that reaches the server. If it exceeds the overload threshold, the server crashes or
+    /// pauses here.
     pub(super) fn work_arrived(&mut self, work: Nanos) {
         self.stats.work_sent_us += work as f64 / 1e3;
         if matches!(self.overload, Overload::Unlimited) {
@@ -447,7 +453,7 @@
         }
     }
 
-    /// The process ends: nothing of it stays but its books.
+    /// Ends the process. Connections and requests are lost; the counters stay.
     fn go_down(&mut self, state: State) {
         let now = self.now;
         self.count_held();
@@ -471,13 +477,14 @@
         self.state = state;
     }
 
-    /// In a while the first request on a connection may begin.
+    /// Schedules when the first request on a connection can begin.
     pub(super) fn schedule_ready(&mut self, id: ConnId) {
         let at = self.now.saturating_add(from_micros(self.machine.connections.handshake_wait_us));
         self.timers.push(Reverse((at, Timer::Ready(id))));
     }
 
-    /// Looks at a connection again when it may have been idle for too long.
+    /// Schedules a check of a connection for when it can have reached its idle timeout, unless one is
+    /// scheduled.
     pub(super) fn schedule_idle_check(&mut self, conn: u32) {
         let Some(idle) = self.machine.connections.idle_us else { return };
         let conn = &mut self.table.conns[conn as usize];
@@ -488,7 +495,7 @@
         }
     }
 
-    /// Work of a handshake, ns.
+    /// Work of a handshake in ns.
     pub(super) fn handshake_work(&self) -> Nanos {
         nanos(self.machine.connections.handshake_work_us)
     }
--- a/crates/model/src/server/message.rs
+++ b/crates/model/src/server/message.rs
@@ -1,61 +1,63 @@
-//! What goes into a server and what comes out. No bytes: parsing and writing are the codec's.
+//! Events and orders of a server. They are typed: the codec parses and writes bytes.
 
 use crate::Micros;
 use crate::value::{IdempotencyKey, Key, Made, Maker, Receipt, RequestId, Uid};
 
-/// A connection, by the number that the driver gave it. Numbers are never used again.
+/// A connection, by the number that the driver gave it. Numbers are never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
-/// What a request wants.
+/// The operation that a request asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// The value of a key.
+    /// Reads the value of a key.
     Read,
-    /// A new version of the key's object, made from the client's value.
+    /// Writes a new version of the key's object from the client's value.
     Write,
-    /// Keep this copy of that version here (a fill by whoever asked the origin). No effect on the object.
+    /// Stores a copy of the given version, as a client does that has read the origin after a miss. The object
+    /// itself does not change.
     Store {
         /// Version of the copy.
         version: u64,
     },
 }
 
-/// A request whose last byte has come.
+/// A request whose last byte has arrived.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Request {
-    /// Connection that it came on.
+    /// Connection that it arrived on.
     pub conn: ConnId,
-    /// Its id; two attempts of one request may carry the same.
+    /// Its id; attempts of the same request may share one.
     pub id: RequestId,
-    /// Key that it names.
+    /// Key of the object.
     pub key: Key,
-    /// What it wants.
+    /// Its operation.
     pub kind: Kind,
-    /// Index into the class table of the settings; a class beyond it is taken as the last.
+    /// Index into the class list of the settings; an index beyond its end means the last class.
     pub class: u8,
-    /// Bytes that it brings (writes and stores) or 0.
+    /// Bytes of its value (writes and stores), or 0.
     pub size: u32,
     /// Idempotency key of a keyed write.
     pub keyed: Option<IdempotencyKey>,
-    /// How long from now anybody waits for the answer; `None` if it does not say.
+    /// How long from now the client waits for the answer; `None` if the request does not say.
     pub left_us: Option<Micros>,
-    /// Work in µs on a core of speed 1, where the caller has drawn it (so that a retry of a heavy request is heavy
-    /// again); `None`: drawn here from the class.
+    /// Work in µs on a core of speed 1, if the caller has drawn it, so that a retry of an expensive request
+    /// is expensive again; `None`: the server draws it from the class.
     pub work_us: Option<f64>,
 }
 
-/// What happens to a server.
+/// An event at a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Event {
-    /// Somebody connects; [`Act::Accepted`], [`Act::Refused`] or [`Act::Ignored`] comes back.
+    /// A client connects. [`Act::Accepted`], [`Act::Refused`] or [`Act::Ignored`] follows.
     Connect(ConnId),
-    /// The other side closed its connection, ended its sending, or reset it: whoever sent on it waits no more. The
+    /// The client closed, half-closed or reset its connection and no longer waits for answers on it. The
     /// connection is gone at once, and no order names it again.
     Hangup(ConnId),
-    /// A request's last byte has come.
+    /// The last byte of a request has arrived.
     Request(Request),
-    /// The origin answered a read that missed here: keep the copy, unless a later version is kept. No work.
+    /// The origin answered a read that missed here. The copy is stored, unless a later version is stored. No
+    /// work.
     Fill {
         /// Key of the object.
         key: Key,
@@ -64,16 +66,17 @@
         /// Bytes of the value.
         size: u32,
     },
-    /// The object changed: any kept copy older than that version is void. No work.
+    /// The object changed: a stored copy older than the given version becomes invalid. No work.
     Invalidate {
         /// Key of the object.
         key: Key,
-        /// The version that there is now.
+        /// Current version of the object.
         version: u64,
     },
-    /// At the origin: the object changes by itself (no write); [`Act::Changed`] comes back.
+    /// At the origin: the object changes without a write. [`Act::Changed`] follows.
     Change(Key),
-    /// Another server of the group carried out a keyed write: a repeat here within the window is given that receipt.
+    /// Another server of the group carried out a keyed write. A repeat here within its window gets the same
+    /// receipt.
     Learn {
         /// The write's idempotency key.
         keyed: IdempotencyKey,
@@ -82,82 +85,84 @@
         /// The class that it was written under.
         class: u8,
     },
-    /// A trouble begins or ends, or operators act.
+    /// A fault begins or ends, or an operator acts.
     Fault(Fault),
 }
 
-/// Troubles and operators' acts. All of them take hold at once, also in a pause.
+/// Faults and operators' actions. All of them take effect at once, also during a pause.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// No work is done and nothing read until then; what arrives waits unread. A later end replaces an earlier one.
+    /// The process is paused: no work is done, and requests that arrive stay unread. A new end replaces the
+    /// previous one.
     Pause {
         /// End of the pause.
         until: Micros,
     },
-    /// Speed times this factor from now on; 1 is the usual. Held to 0 and above.
+    /// Multiplies the speed by this factor from now on; 1 is normal speed. Negative factors count as 0.
     Slow(f64),
     /// This share of requests, 0 to 1, ends in [`Answer::Failed`].
     Fail(f64),
-    /// This share of answers, 0 to 1, comes spoilt or with more than belongs to it.
+    /// This share of answers, 0 to 1, is corrupt or has extra bytes with it.
     Spoil {
         /// Share of answers.
         share: f64,
-        /// Which kinds, each as likely.
+        /// Kinds of corruption, each equally likely.
         kinds: NoiseSet,
     },
     /// This share of requests, 0 to 1, is carried out and never answered.
     Swallow(f64),
-    /// No new connection is taken while set, as if the table were full.
+    /// While set, no new connection is accepted, as if the connection table were full.
     FullTable(bool),
-    /// Nothing new is taken; [`Act::Drained`] once the last request is answered.
+    /// New requests are rejected. [`Act::Drained`] follows when the last request is answered.
     Drain,
     /// The process or the machine ends.
     Kill {
-        /// `false`: the process died, connections are reset and new ones refused. `true`: the machine vanished:
-        /// no order tells it, and connects are ignored.
+        /// `false`: the process dies; its connections are reset and new ones refused. `true`: the machine
+        /// vanishes; no order reports it, and connects are never answered.
         silent: bool,
     },
-    /// A new process begins: empty, cold, with no connections, up. Takes the old one's place if that still runs.
+    /// A new process starts: up, empty, cold and without connections. It replaces a process that still runs.
     Restart {
-        /// Its id, if it is a new one.
+        /// New id of the server; `None`: the id stays.
         uid: Option<Uid>,
     },
-    /// Copies of this share of all keys go void at once: the same keys at each server that is told the same salt.
+    /// The copies of this share of all keys become invalid at once. Servers with the same salt lose the same
+    /// keys.
     Flush {
         /// Share of keys, 0 to 1.
         share: f64,
-        /// Which keys.
+        /// Selects the keys.
         salt: u64,
     },
 }
 
-/// How an answer is spoilt on its way out, or what comes with it. The codec makes the bytes.
+/// How an answer is corrupted when it is sent, or what is sent with it. The codec makes the bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u8)]
 pub enum Noise {
-    /// Random bytes in the place of the answer.
+    /// Random bytes instead of the answer.
     Garbage,
-    /// A line that cannot be read.
+    /// A line that cannot be parsed.
     BadLine,
     /// A line that does not end.
     EndlessLine,
-    /// A length that does not fit what follows.
+    /// A length that does not match the value that follows.
     WrongLength,
-    /// A value said to have 3 GB that keeps coming.
+    /// A value with an announced length of 3 GB that keeps arriving.
     Huge,
-    /// The id of another request.
+    /// An answer with the id of another request.
     OtherId,
-    /// A good head and another value's bytes.
+    /// A correct header with the bytes of another value.
     OtherValue,
-    /// Part of the answer, then the end of the connection.
+    /// Part of the answer, then the connection is closed.
     Cut,
-    /// A good answer with interim lines (1xx) ahead.
+    /// A correct answer after interim lines (1xx).
     Interim,
-    /// A good answer with a load report that cannot be read.
+    /// A correct answer with a load report that cannot be parsed.
     BadReport,
-    /// A good answer and right behind a second copy of it, if nothing else waits on the connection.
+    /// A correct answer followed by a second copy of it, if no other request is open on the connection.
     SecondCopy,
-    /// A good answer with noise right behind, if nothing else waits on the connection.
+    /// A correct answer followed by random bytes, if no other request is open on the connection.
     NoiseBehind,
 }
 
@@ -178,7 +183,7 @@
         Noise::NoiseBehind,
     ];
 
-    /// Whether the answer cannot be used; otherwise it is good and more comes with it.
+    /// Whether the answer itself is unusable. Otherwise it is correct, with extra bytes or a bad load report.
     pub fn spoils(self) -> bool {
         self < Noise::Interim
     }
@@ -194,22 +199,22 @@
         Noise::ALL.into_iter().collect()
     }
 
-    /// Whether the kind is in it.
+    /// Whether the set contains the kind.
     pub fn has(self, noise: Noise) -> bool {
         self.0 & (1 << noise as u16) != 0
     }
 
-    /// How many kinds are in it.
+    /// Number of kinds in the set.
     pub fn len(self) -> u32 {
         self.0.count_ones()
     }
 
-    /// Whether no kind is in it.
+    /// Whether the set is empty.
     pub fn is_empty(self) -> bool {
         self.0 == 0
     }
 
-    /// The `n`-th kind in the order of [`Noise::ALL`].
+    /// The `n`-th kind of the set, in the order of [`Noise::ALL`].
     pub fn nth(self, n: u32) -> Option<Noise> {
         Noise::ALL.into_iter().filter(|k| self.has(*k)).nth(n as usize)
     }
@@ -221,7 +226,7 @@
     }
 }
 
-/// How a request ended here.
+/// The answer to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
     /// The value of the key.
@@ -229,61 +234,62 @@
         /// What the value is; its bytes are `value::make(&value)`.
         value: Made,
     },
-    /// The key is not kept here.
+    /// There is no copy of the key.
     Miss {
-        /// Another request was told so lately and its fill has not come.
+        /// Another request missed within the fetch lease, and its fill has not arrived.
         fetch_in_progress: bool,
     },
-    /// The write was carried out, now or (a keyed repeat) before. Also given for a store.
+    /// The write was carried out, now or (a keyed repeat) earlier. Also the answer to a store.
     Receipt(Receipt),
-    /// Turned away; it never ran.
+    /// The request was rejected and not carried out.
     Busy(BusyReason),
-    /// Failed; it may have run.
+    /// The request failed; a write may have been carried out.
     Failed,
-    /// It ran, and nothing will ever come: the driver writes nothing, and the connection is stuck from here on.
+    /// The request was carried out and is never answered: the driver writes nothing, and no further answer is
+    /// sent on the connection.
     Nothing,
 }
 
-/// Why a request was turned away.
+/// Why a request was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BusyReason {
-    /// No place in the waiting room.
+    /// The waiting queue is full.
     Full,
     /// The server drains.
     Draining,
-    /// Its time was over when its turn came.
+    /// Its deadline had passed when a slot became free.
     Expired,
 }
 
-/// What a server tells about how a read went (`h1`, `h0`, `h0 Z`).
+/// Cache result that a server reports with the answer to a read (`h1`, `h0`, `h0 Z`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Note {
     /// A hit.
     Hit,
     /// A miss.
     Miss,
-    /// A miss while another fetch of the key is out.
+    /// A miss while another client fetches the key.
     MissFetchInProgress,
 }
 
-/// An answer on its way out.
+/// An answer to send.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Answered {
-    /// Connection that it goes out on. Answers of a connection come in the order of its requests.
+    /// Connection to send it on. Answers of a connection come in the order of its requests.
     pub conn: ConnId,
     /// The request that it belongs to.
     pub request: RequestId,
     /// The key that the request named.
     pub key: Key,
-    /// How it ended.
+    /// The answer.
     pub answer: Answer,
-    /// For reads that were looked up, where the settings say that servers tell.
+    /// Cache result of a read, if [`super::CacheConfig::tells`] is set.
     pub note: Option<Note>,
-    /// How it is to be spoilt.
+    /// How the answer is to be corrupted, if it is.
     pub noise: Option<Noise>,
 }
 
-/// How a connection is closed from this side.
+/// How the server closes a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CloseKind {
@@ -291,7 +297,8 @@
     Fin,
     /// Reset (RST).
     Rst,
-    /// The server forgets it and says nothing; what is sent on it later is answered by a reset.
+    /// The server drops its state without a packet; what arrives on the connection later is answered by a
+    /// reset.
     Silent,
 }
 
@@ -302,13 +309,13 @@
     pub request: RequestId,
     /// Its idempotency key.
     pub keyed: Option<IdempotencyKey>,
-    /// The receipt; holds key, version and server.
+    /// The receipt, with key, version and server.
     pub receipt: Receipt,
     /// The request's class.
     pub class: u8,
 }
 
-/// What a server does.
+/// An action of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Act {
     /// The connect succeeds.
@@ -319,53 +326,53 @@
     Ignored(ConnId),
     /// An answer goes out.
     Answer(Answered),
-    /// A connection is closed from this side; no order names it again.
+    /// The server closes a connection; no order names it again.
     Close(ConnId, CloseKind),
-    /// A write was carried out (whether or not its answer arrives): for ledgers, and for the other servers of a
-    /// group ([`Event::Learn`]).
+    /// A write was carried out, whether or not its answer arrives. For ledgers, and for the other servers of
+    /// a group ([`Event::Learn`]).
     Effect(Effect),
-    /// An object has a new version: copies elsewhere are void ([`Event::Invalidate`]).
+    /// An object has a new version, so copies on other servers are invalid ([`Event::Invalidate`]).
     Changed {
         /// Key of the object.
         key: Key,
-        /// Its version now.
+        /// Its new version.
         version: u64,
     },
-    /// It was sent more than it can take and fell over; down until restarted. Closes of its connections follow.
+    /// The server crashed under overload and is down until it is restarted. Closes of its connections follow.
     Crashed,
-    /// An overdriven origin stops until then.
+    /// An overloaded origin stops.
     Stopped {
-        /// When it goes on.
+        /// End of the stop.
         until: Micros,
     },
-    /// A draining server has answered all that it took.
+    /// A draining server has answered every request that it had.
     Drained,
 }
 
-/// What a server does, and when it did: at or before the time of the call that it came out of.
+/// An action of a server and its time, which is at or before the time of the call that returned it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Order {
-    /// When.
+    /// Time of the action.
     pub at: Micros,
-    /// What.
+    /// The action.
     pub act: Act,
 }
 
-/// Whether a server runs.
+/// Operating state of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It takes requests.
+    /// The server takes requests.
     Up,
-    /// It finishes what it has.
+    /// The server finishes its open requests and rejects new ones.
     Draining,
-    /// Its process is gone: killed, or fallen over.
+    /// The process is gone: killed, crashed under overload, or stopped with resets.
     Down,
-    /// Its machine is gone.
+    /// The machine is gone; nothing is answered.
     Vanished,
 }
 
 impl Answer {
-    /// The value's maker or the receipt's, if it has one.
+    /// The server that made the value or the receipt, if the answer has one.
     pub fn maker(&self) -> Option<Maker> {
         match self {
             Answer::Hit { value } => Some(value.maker),
--- a/crates/model/src/server/mod.rs
+++ b/crates/model/src/server/mod.rs
@@ -1,10 +1,11 @@
-//! The cache server, and what it has in common with the origin: a machine with cores, a process with slots and a
-//! waiting room, and a connection table.
+//! Model of a cache server, and the parts that it shares with the origin: a machine with cores, a process
+//! with slots and a bounded waiting queue, and a connection table.
 //!
-//! A [`Server`] is free of I/O and of the clock. [`Server::handle`] takes what happens with the time it happens,
-//! [`Server::poll`] gives out what the server does, and [`Server::next`] tells when to call again at the latest.
-//! Times never go back; an earlier one is taken as the last. Whatever fell due between two calls is carried out at
-//! its own time, and [`Order::at`] tells it: a late caller does not change the history.
+//! A [`Server`] does no I/O and reads no clock. [`Server::handle`] takes an event and its time,
+//! [`Server::poll`] returns what the server does, and [`Server::next`] returns the latest time for the next
+//! call. Time never goes backwards: an earlier time than the last one given is treated as the last one.
+//! Whatever became due between two calls is carried out at its due time, which [`Order::at`] holds, so a
+//! caller that polls late gets the same history.
 //!
 //! ```
 //! use lapisrudder_model::server::{Act, Answer, CacheConfig, CacheServer, ConnId, Event, Kind, Request};
@@ -23,7 +24,7 @@
 //! }));
 //! assert_eq!((server.poll(20), server.next()), (None, Some(170)));
 //!
-//! // The caller is late; the answer was not.
+//! // The caller polls late; the order still carries the time at which the answer was ready.
 //! let order = server.poll(500).unwrap();
 //! let Act::Answer(answered) = order.act else { panic!() };
 //! let Answer::Hit { value } = answered.answer else { panic!() };
@@ -32,8 +33,8 @@
 //! # Ok::<(), lapisrudder_model::server::ConfigError>(())
 //! ```
 //!
-//! What it is *not*: a codec (requests and answers are typed; a driver reads and writes bytes), a network (a connect
-//! or an answer takes no time on the way), or a fault plan (somebody else sends [`Fault`]s).
+//! The module contains no codec (requests and answers are typed; a driver reads and writes bytes), no network
+//! (a connect or an answer takes no time on the way) and no fault plan (the caller sends the [`Fault`]s).
 
 mod active_faults;
 mod cache;
--- a/crates/model/src/server/objects.rs
+++ b/crates/model/src/server/objects.rs
@@ -1,6 +1,7 @@
-//! The objects that a cache server keeps: bytes up to a bound, least recently used or first stored out first.
+//! The copies that a cache server stores: a bounded number of bytes with LRU or FIFO eviction.
 //!
-//! One hash table and one list through a slab; each call is O(1). Nothing is ever taken in the table's order.
+//! A hash table and a linked list through a slab; each call but `flush` is O(1). Nothing depends on the
+//! iteration order of the hash table.
 
 use rustc_hash::FxHashMap;
 
@@ -20,7 +21,7 @@
     older: u32,
 }
 
-/// Counts since the start of the run.
+/// Removed copies since the start of the run, by cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Removals {
     pub(crate) evicted: u64,
@@ -88,7 +89,7 @@
         self.bytes -= u64::from(size) + self.per_object;
     }
 
-    /// Version and size of the copy that a read finds.
+    /// Returns version and size of the copy that a read finds.
     pub(crate) fn get(&mut self, now: Nanos, key: Key) -> Option<(u64, u32)> {
         let at = *self.table.get(&key)?;
         let Object { expires, version, size, .. } = self.slots[at as usize];
@@ -104,7 +105,7 @@
         Some((version, size))
     }
 
-    /// Keeps a copy, unless it is larger than all memory or a later version is kept. `ttl`: until it expires.
+    /// Stores a copy, unless it is larger than the memory or a later version is stored.
     pub(crate) fn put(&mut self, now: Nanos, key: Key, version: u64, size: u32, ttl: Option<Nanos>) {
         let needed = u64::from(size) + self.per_object;
         let held = self.table.get(&key).copied();
@@ -138,7 +139,7 @@
         self.bytes += needed;
     }
 
-    /// Drops a copy older than that version.
+    /// Drops a copy older than the given version.
     pub(crate) fn invalidate(&mut self, key: Key, version: u64) {
         if let Some(at) =
             self.table.get(&key).copied().filter(|at| self.slots[*at as usize].version < version)
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Drops the copies of that share of all keys; O(n).
+    /// Drops the copies of the given share of all keys, selected by the salt; O(n).
     pub(crate) fn flush(&mut self, share: f64, salt: u64) {
         let mut at = self.oldest;
         while at != NONE {
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Drops everything, as a new process begins; counts stay.
+    /// Drops all copies, as when a new process starts. The counters stay.
     pub(crate) fn clear(&mut self) {
         let removals = self.removals;
         *self = Self::new(self.memory, self.per_object as u32, self.eviction);
@@ -190,7 +191,7 @@
     }
 
     #[test]
-    fn lru_and_fifo_drop_in_their_order_by_bytes() {
+    fn lru_and_fifo_evict_in_their_order_by_bytes() {
         for (eviction, left) in [(Eviction::Lru, [1, 3, 4]), (Eviction::Fifo, [2, 3, 4])] {
             let mut objects = Objects::new(330, 10, eviction);
             for key in [1, 2, 3] {
@@ -208,7 +209,7 @@
     }
 
     #[test]
-    fn copies_go_void_by_version_age_and_flush() {
+    fn copies_end_by_version_age_and_flush() {
         let mut objects = Objects::new(1 << 20, 0, Eviction::Lru);
         objects.put(0, Key(1), 3, 10, None);
         objects.put(0, Key(1), 2, 10, None);
--- a/crates/model/src/server/records.rs
+++ b/crates/model/src/server/records.rs
@@ -1,4 +1,4 @@
-//! Writes: versions of objects, repeats of keyed writes, and the ledger of what was carried out.
+//! Writes: versions of objects, deduplication of keyed writes, and the ledger of writes carried out.
 
 use rustc_hash::FxHashMap;
 
@@ -8,7 +8,8 @@
 use super::time::{Nanos, from_micros};
 use crate::value::{IdempotencyKey, Key, Maker, Receipt};
 
-/// What was carried out here, over the whole run (also before a restart): for checks. Grows with keyed writes.
+/// The writes that were carried out over the whole run, restarts included, for checks. Grows with keyed
+/// writes.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     times: FxHashMap<IdempotencyKey, u32>,
@@ -17,7 +18,7 @@
 }
 
 impl Ledger {
-    /// How often a keyed write was carried out. Over 1: repeated.
+    /// How often a keyed write was carried out. Above 1 means duplicates.
     pub fn times(&self, keyed: IdempotencyKey) -> u32 {
         self.times.get(&keyed).copied().unwrap_or(0)
     }
@@ -27,19 +28,19 @@
         self.effects
     }
 
-    /// Keyed writes that came again within their window and were given the receipt that there was.
+    /// Keyed writes that were repeated within their window and got the first receipt.
     pub fn repeats(&self) -> u64 {
         self.repeats
     }
 }
 
-/// The state of objects as writes leave it.
+/// Versions of objects and receipts of keyed writes.
 #[derive(Debug, Clone)]
 pub(crate) struct Records {
     windows: Vec<Nanos>,
-    /// Version, and the size that the last write brought (0: none did).
+    /// Version, and size of the last written value (0: never written with a size).
     objects: FxHashMap<Key, (u64, u32)>,
-    /// Receipts of keyed writes, from when each was carried out.
+    /// Receipts of keyed writes, kept for the window of their class.
     window: Expiring<IdempotencyKey, Receipt>,
     ledger: Ledger,
 }
@@ -55,19 +56,20 @@
         }
     }
 
-    /// Version and size of an object; version 0, size 0: never written.
+    /// Returns version and size of an object; 0 and 0 if it was never changed.
     pub(crate) fn object(&self, key: Key) -> (u64, u32) {
         self.objects.get(&key).copied().unwrap_or_default()
     }
 
-    /// The object changes by itself; its version now.
+    /// Increments the version of an object and returns it.
     pub(crate) fn change(&mut self, key: Key) -> u64 {
         let (version, _) = self.objects.entry(key).or_default();
         *version += 1;
         *version
     }
 
-    /// Carries out a write, unless it is a repeat. The effect, if there is one, and the receipt.
+    /// Carries out a write, unless it is a repeat. Returns the effect, which a repeat has not, and the
+    /// receipt.
     pub(crate) fn write(&mut self, now: Nanos, request: &Request, maker: Maker) -> (Option<Effect>, Receipt) {
         let Request { key, keyed, class, id, .. } = *request;
         if let Some(receipt) = keyed.and_then(|keyed| self.window.get(now, keyed)) {
@@ -87,14 +89,14 @@
         (Some(Effect { request: id, keyed, receipt, class }), receipt)
     }
 
-    /// A keyed write was carried out now, here or elsewhere.
+    /// Stores the receipt of a keyed write that was carried out now, here or on another server.
     pub(crate) fn learn(&mut self, now: Nanos, keyed: IdempotencyKey, receipt: Receipt, class: u8) {
         let length =
             self.windows.get(usize::from(class)).or(self.windows.last()).copied().unwrap_or_default();
         self.window.insert(now, length, keyed, receipt);
     }
 
-    /// A process that kept its receipts in memory begins anew.
+    /// Drops the receipts, as a restart of a process does that kept them in memory.
     pub(crate) fn forget_receipts(&mut self) {
         self.window = Expiring::default();
     }
@@ -130,7 +132,7 @@
             let (effect, receipt) = records.write(now, &request, maker);
             (effect.is_some(), receipt.version)
         };
-        // Time, class, key of the write; carried out, version on the receipt.
+        // Time in ns, class, idempotency key; whether it is carried out, version on the receipt.
         let cases = [
             (0, 0, Some(1), true, 1),
             (9_999, 0, Some(1), false, 1),
@@ -150,6 +152,6 @@
         assert_eq!((ledger.times(IdempotencyKey(1)), ledger.times(IdempotencyKey(2))), (3, 2));
         assert_eq!((ledger.effects(), ledger.repeats()), (7, 3));
         assert_eq!(records.object(Key(5)), (7, 100));
-        assert!(records.window.len() <= 2, "what is over is dropped");
+        assert!(records.window.len() <= 2, "expired receipts are dropped");
     }
 }
--- a/crates/model/src/server/station.rs
+++ b/crates/model/src/server/station.rs
@@ -1,8 +1,9 @@
-//! The cores of a machine as an egalitarian processor-sharing station.
+//! The cores of a machine as an egalitarian processor-sharing queue.
 //!
-//! Up to as many jobs as there are cores run at full speed; more share the cores evenly (Kleinrock 1967). Since all
-//! jobs get the same service at any moment, a job is over when the service given to each since some origin has
-//! reached a fixed mark. So a heap of marks is enough: O(log n) for a job, O(1) for a change of speed.
+//! Up to as many jobs as there are cores run at full speed; more share the cores evenly (Kleinrock 1967). All
+//! jobs get the same service at any moment, so a job ends when the cumulative service per job reaches a mark
+//! that is fixed when the job starts. A heap of marks is enough: O(log n) for a job, O(1) for a change of
+//! speed.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -11,22 +12,24 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Job<T> {
-    /// Mark in `served`, as the bits of a float that is not negative: they sort as the number.
+    /// Value of `served` at which the job ends, as the bits of a non-negative float, which sort as the number
+    /// does.
     mark: u64,
-    /// Guards against an order that hangs on the heap's layout where two marks are equal.
+    /// Start order. Without it, jobs with equal marks would end in an order that depends on the heap's
+    /// layout.
     number: u64,
     token: T,
 }
 
-/// Cores and what runs on them.
+/// The cores and the jobs on them.
 #[derive(Debug, Clone)]
 pub(crate) struct Station<T> {
     cores: f64,
-    /// Speed of one core now, 0 while it stands still.
+    /// Present speed of one core, 0 while the process is paused or down.
     speed: f64,
-    /// Service given to each job, ns of work.
+    /// Cumulative service per job, in ns of work.
     served: f64,
-    /// When `served` was last brought up.
+    /// Time up to which `served` is computed.
     at: Nanos,
     jobs: BinaryHeap<Reverse<Job<T>>>,
     started: u64,
@@ -55,7 +58,7 @@
         if jobs > self.cores { self.speed * self.cores / jobs } else { self.speed }
     }
 
-    /// Brings the service given up to now.
+    /// Updates the cumulative service up to now.
     fn advance(&mut self, now: Nanos) {
         if now > self.at {
             let each = (now - self.at) as f64 * self.rate();
@@ -65,24 +68,25 @@
         }
     }
 
+    /// Recomputes when the next job ends.
     fn plan(&mut self) {
         let rate = self.rate();
         self.due = match self.jobs.peek() {
             Some(Reverse(job)) if rate > 0.0 => {
-                // A float beyond the range saturates.
+                // The cast saturates.
                 let left = ((f64::from_bits(job.mark) - self.served).max(0.0) / rate).ceil() as Nanos;
                 self.at.saturating_add(left)
             }
             Some(_) => NEVER,
             None => {
-                // Guards against a mark that loses its last bits over a long run.
+                // A sum that grew over a long run would lose precision in the marks.
                 self.served = 0.0;
                 NEVER
             }
         };
     }
 
-    /// From now on a core does this much work in 1 ns.
+    /// Sets the work that a core does in 1 ns from now on.
     pub(crate) fn set_speed(&mut self, now: Nanos, speed: f64) {
         if speed != self.speed {
             self.advance(now);
@@ -91,7 +95,7 @@
         }
     }
 
-    /// Begins a job of that much work.
+    /// Starts a job with the given work.
     pub(crate) fn start(&mut self, now: Nanos, work: Nanos, token: T) {
         self.advance(now);
         let mark = (self.served + work.max(0) as f64).to_bits();
@@ -100,12 +104,12 @@
         self.plan();
     }
 
-    /// When the next job is over, as things are.
+    /// When the next job ends at the present speed.
     pub(crate) fn due(&self) -> Nanos {
         self.due
     }
 
-    /// Takes the job that is over by now.
+    /// Removes and returns a job that has ended by now.
     pub(crate) fn finish(&mut self, now: Nanos) -> Option<T> {
         if self.due > now {
             return None;
@@ -146,7 +150,7 @@
 mod tests {
     use super::*;
 
-    /// Runs to the end: when each job was over.
+    /// Runs until all jobs have ended; returns the end of each.
     fn run(station: &mut Station<u32>) -> Vec<(Nanos, u32)> {
         let mut over = Vec::new();
         while station.due() < NEVER {
@@ -169,7 +173,7 @@
     }
 
     #[test]
-    fn a_change_of_speed_and_a_stand_still_move_the_end() {
+    fn a_change_of_speed_or_a_pause_moves_the_end() {
         let mut station = Station::new(1, 0);
         station.set_speed(0, 1.0);
         station.start(0, 100, 7);
--- a/crates/model/src/server/stats.rs
+++ b/crates/model/src/server/stats.rs
@@ -1,8 +1,8 @@
-//! What a server has done and how it stands: for checks and plots.
+//! Counters and current state of a server, for checks and plots.
 
 use crate::Micros;
 
-/// Counts since the start of the run (restarts do not set them back) and how things stand now.
+/// Counters since the start of the run, which restarts do not reset, and the current state.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ServerStats {
     /// Connects accepted.
@@ -11,90 +11,94 @@
     pub not_accepted: u64,
     /// Handshakes carried out.
     pub handshakes: u64,
-    /// Connections closed from this side because they were idle.
+    /// Connections that the server closed at the idle timeout.
     pub idle_closed: u64,
-    /// Requests taken. Each ends in exactly one of: `answered`, `client_gone`, `dropped`, `lost`, or is still `held`.
+    /// Requests received. Each ends in exactly one of `answered`, `client_gone`, `dropped` and `lost`, or is
+    /// still `held`.
     pub requests: u64,
-    /// Answers given out in an [`super::Act::Answer`].
+    /// Answers sent in an [`super::Act::Answer`].
     pub answered: u64,
-    /// Requests that ended here after the other side had hung up: work for nobody, or an answer that could not go.
+    /// Requests whose work was finished but whose client had closed the connection, so no answer could be
+    /// sent.
     pub client_gone: u64,
-    /// Requests dropped before their work was done, since nobody waited.
+    /// Requests dropped before their work was done because the client had closed the connection.
     pub dropped: u64,
-    /// Requests that went down with the process, or with a connection closed from this side.
+    /// Requests lost with the process, or with a connection that the server closed.
     pub lost: u64,
-    /// Answered requests by kind of answer: values.
+    /// Answered requests: values.
     pub hits: u64,
     /// Answered requests: misses.
     pub misses: u64,
-    /// Of these, told that others fetch.
+    /// Of these, answered with `fetch_in_progress`.
     pub misses_fetch_in_progress: u64,
     /// Answered requests: receipts.
     pub receipts: u64,
-    /// Answered requests: turned away since full.
+    /// Answered requests: rejected because the waiting queue was full.
     pub busy_full: u64,
-    /// Answered requests: turned away since draining.
+    /// Answered requests: rejected because the server drained.
     pub busy_draining: u64,
-    /// Answered requests: turned away since their time was over.
+    /// Answered requests: rejected because their deadline had passed.
     pub busy_expired: u64,
     /// Answered requests: failed.
     pub failed: u64,
-    /// Answered requests: carried out, and nothing comes.
+    /// Answered requests: carried out, with no answer ever written.
     pub swallowed: u64,
-    /// Answers that went out spoilt or with more than belongs to them.
+    /// Answers sent corrupt or with extra bytes.
     pub corrupted: u64,
     /// Writes carried out.
     pub effects: u64,
-    /// Keyed repeats within the window.
+    /// Repeats of keyed writes within their window.
     pub repeats: u64,
-    /// Fills and stores taken.
+    /// Copies handed to the cache by fills, stores and writes.
     pub stored: u64,
-    /// Copies evicted for room.
+    /// Copies evicted to free memory.
     pub evicted: u64,
     /// Copies found expired.
     pub expired: u64,
-    /// Copies void by a change or a flush.
+    /// Copies invalidated by a change or a flush.
     pub invalidated: u64,
-    /// Times that it fell over while cold.
+    /// Crashes under overload while cold.
     pub overload_crashes: u64,
-    /// Times that it stopped since overdriven.
+    /// Stops of an origin under overload.
     pub stops: u64,
-    /// Pauses begun, of its own or from outside.
+    /// Pauses begun, spontaneous or by [`super::Fault::Pause`].
     pub pauses: u64,
-    /// Work of all that reached it (requests by what they would take as hits, handshakes), µs.
+    /// Work of all requests (as if they were hits) and handshakes that reached the server, µs.
     pub work_sent_us: f64,
     /// Work done, µs.
     pub work_done_us: f64,
-    /// Bytes of values given out and taken in.
+    /// Bytes of values sent.
     pub bytes_out: u64,
-    /// Bytes of values that requests brought.
+    /// Bytes of values received with requests.
     pub bytes_in: u64,
-    /// Requests begun (a slot was given).
+    /// Requests begun, that is given a slot.
     pub begun: u64,
-    /// Sum of the time from arrival to the begin, over begun requests, µs.
+    /// Sum over begun requests of the time from arrival to start, µs.
     pub waited_us: f64,
-    /// Sum of the time from arrival to the end, over ended requests, µs.
+    /// Sum over ended requests of the time from arrival to end, µs.
     pub sojourn_us: f64,
-    /// Integral of `held` over time, µs (Little: over the time it is the mean number held).
+    /// Integral of `held` over time, µs. Divided by the time it is the mean number held, as Little's law
+    /// needs.
     pub held_integral_us: f64,
-    /// Requests taken and not ended.
+    /// Requests received and not ended.
     pub held: u32,
     /// Requests in work.
     pub in_work: u32,
-    /// Requests in the waiting room.
+    /// Requests in the waiting queue.
     pub waiting: u32,
     /// Requests in work over slots.
     pub load: f64,
-    /// Connections held.
+    /// Open connections.
     pub connections: u32,
-    /// Copies kept.
+    /// Stored copies.
     pub objects: u64,
     /// Bytes of memory in use.
     pub memory: u64,
-    /// Share of the capacity that warm-up leaves, 0 to 1.
+    /// Share of the full capacity that warm-up has reached, 0 to 1.
     pub warm_share: f64,
-    /// Work sent within the tip window over what may be; 0 where no rule holds (warm, or none set).
+    /// Work sent within the window of the overload threshold, divided by the threshold; 0 if no threshold
+    /// applies (none set, or a warm server).
     pub overload_ratio: f64,
-    /// Time of the books.
+    /// Time of these figures.
     pub at: Micros,
 }
--- a/crates/model/src/server/storage.rs
+++ b/crates/model/src/server/storage.rs
@@ -1,4 +1,4 @@
-//! What distinguishes a cache server from the origin: what it keeps, and what a request finds there.
+//! The storage of a server: the part in which a cache server and the origin differ.
 
 use std::collections::VecDeque;
 
@@ -9,7 +9,7 @@
 use crate::Micros;
 use crate::value::{RequestId, Uid};
 
-/// What a request found when it was begun.
+/// What a request found in the storage when it was begun.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Found {
     /// A copy or the object.
@@ -19,29 +19,29 @@
         /// Bytes.
         size: u32,
     },
-    /// Nothing.
+    /// No copy, or the server takes no writes.
     Missing {
-        /// Another request was told to fetch it.
+        /// Another request holds the fetch lease of the key.
         fetch_in_progress: bool,
     },
-    /// It writes.
+    /// The request stores or writes.
     Change,
 }
 
-/// Where orders go.
+/// Queue of orders that [`super::Server::poll`] returns.
 #[derive(Debug, Clone, Default)]
 pub struct Outbox {
     pub(crate) orders: VecDeque<Order>,
-    /// Requests that were begun, where somebody watches.
+    /// Requests that were begun, if [`super::Server::watch_begun`] was called.
     pub(crate) begun: Option<VecDeque<Begun>>,
 }
 
-/// A request that has left the waiting room.
+/// A request that was given a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Begun {
-    /// When.
+    /// Time at which it was begun.
     pub at: Micros,
-    /// Connection that it came on.
+    /// Connection that it arrived on.
     pub conn: ConnId,
     /// Its id.
     pub request: RequestId,
@@ -58,19 +58,20 @@
         }
     }
 
-    /// Tells of a write that was carried out.
+    /// Reports a write that was carried out.
     pub(crate) fn report_effect(&mut self, now: Nanos, effect: Effect) {
         self.push(now, Act::Effect(effect));
         self.push(now, Act::Changed { key: effect.receipt.key, version: effect.receipt.version });
     }
 }
 
-/// The contents of a server: objects or copies of them. Times and work are nanoseconds.
+/// The storage of a server: objects or copies of them. Times and work are in nanoseconds.
 pub trait Storage {
-    /// A request is begun: the work that it takes, and what it finds. `work`: what its class and its own draw say.
+    /// Begins a request: returns its work and what it finds. `work` is the work as drawn, before storage
+    /// costs.
     fn begin(&mut self, now: Nanos, request: &Request, work: Nanos) -> (Nanos, Found);
 
-    /// Its work is done: its answer, and what is told of it.
+    /// Finishes a request: returns its answer and the note that goes with it.
     fn finish(
         &mut self,
         now: Nanos,
@@ -80,19 +81,19 @@
         out: &mut Outbox,
     ) -> (Answer, Option<Note>);
 
-    /// Something is told that takes no work: a fill, a change, a receipt from elsewhere. `up`: whether the process
-    /// runs.
+    /// Handles an event that takes no work: a fill, an invalidation, a change, a receipt of another server.
+    /// `up`: whether the process runs.
     fn notify(&mut self, now: Nanos, event: &Event, up: bool, out: &mut Outbox);
 
-    /// Copies of that share of keys go void.
+    /// Invalidates the copies of the given share of keys, selected by the salt.
     fn flush(&mut self, share: f64, salt: u64);
 
-    /// A new process begins.
+    /// A new process starts: what was in memory is lost.
     fn restart(&mut self);
 
-    /// Enters what it knows.
+    /// Fills in the figures that the storage keeps.
     fn fill_stats(&self, stats: &mut ServerStats);
 
-    /// What was carried out here.
+    /// The writes that were carried out here.
     fn ledger(&self) -> &Ledger;
 }
--- a/crates/model/src/server/table.rs
+++ b/crates/model/src/server/table.rs
@@ -1,6 +1,6 @@
-//! The connection table, and the requests on each connection in their order.
+//! The connection table, with the requests of each connection in order of arrival.
 //!
-//! All lists go through two slabs, so that nothing is allocated for a request, and each step is O(1).
+//! All lists are linked through two slabs, so that a request needs no allocation and each step is O(1).
 
 use rustc_hash::FxHashMap;
 use slab::Slab;
@@ -9,37 +9,39 @@
 use super::storage::Found;
 use super::time::Nanos;
 
-/// No place in a slab.
+/// Index that stands for no entry of a slab.
 pub(crate) const NONE: u32 = u32::MAX;
 
-/// How far a request has come.
+/// Processing stage of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Stage {
-    /// Behind others on its connection, or its connection is not ready.
+    /// Not read yet: the connection is not ready or has reached its limit of open requests.
     Unread,
-    /// It came in a pause.
+    /// Became readable during a pause of the process.
     Inbox,
-    /// In the waiting room.
+    /// In the waiting queue.
     Waiting,
-    /// It has a slot.
+    /// Has a slot; holds what it found in the storage.
     InWork(Found),
-    /// Being turned away takes work too.
+    /// Is being rejected, which takes work on the cores.
     Refusing(BusyReason),
-    /// Its answer waits for those before it.
+    /// Done; its answer waits for those of earlier requests on the connection.
     Done(Answer, Option<Note>),
 }
 
-/// A request that was taken and has not ended.
+/// A request that was received and has not ended.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Call {
     pub(crate) request: Request,
     pub(crate) arrived: Nanos,
-    /// Its work as a hit or a read.
+    /// Its work as drawn, before storage costs.
     pub(crate) work: Nanos,
-    /// Its connection, or [`NONE`] when nobody waits any more.
+    /// Index of its connection, or [`NONE`] after that was closed.
     pub(crate) conn: u32,
     pub(crate) stage: Stage,
+    /// Next request on the connection.
     next: u32,
+    /// Previous and next request in a [`RequestQueue`].
     line: (u32, u32),
 }
 
@@ -47,17 +49,19 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Conn {
     pub(crate) id: ConnId,
+    /// First and last open request.
     head: u32,
     tail: u32,
+    /// First unread request.
     unread: u32,
-    /// Requests that were begun and not answered.
+    /// Requests that were read and not answered.
     begun: u32,
-    /// Its handshake is over.
+    /// Its handshake is finished, including the round trips.
     pub(crate) ready: bool,
-    /// What went out on it last leaves it of no further use.
+    /// The last answer was missing or corrupt, so that no further answer is sent.
     pub(crate) stuck: bool,
     pub(crate) idle_since: Nanos,
-    /// A timer looks at it.
+    /// A timer for the idle check is set.
     pub(crate) idle_check_scheduled: bool,
 }
 
@@ -67,7 +71,7 @@
     }
 }
 
-/// A first-come-first-served line of requests.
+/// A first-come, first-served queue of requests.
 #[derive(Debug, Clone)]
 pub(crate) struct RequestQueue {
     front: u32,
@@ -116,7 +120,7 @@
     }
 }
 
-/// Connections and calls.
+/// All connections and open requests.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Table {
     pub(crate) calls: Slab<Call>,
@@ -125,7 +129,7 @@
 }
 
 impl Table {
-    /// Takes a connection, or says that the number is in use.
+    /// Adds a connection and returns its index, or `None` if the number is in use.
     pub(crate) fn open(&mut self, now: Nanos, id: ConnId, ready: bool) -> Option<u32> {
         if self.by_id.contains_key(&id) {
             return None;
@@ -150,7 +154,7 @@
         self.by_id.get(&id).copied()
     }
 
-    /// Adds a request behind those on the connection.
+    /// Appends a request to its connection.
     pub(crate) fn push(&mut self, conn: u32, now: Nanos, request: Request, work: Nanos) -> u32 {
         let stage = Stage::Unread;
         let call = Call { request, arrived: now, work, conn, stage, next: NONE, line: (NONE, NONE) };
@@ -169,7 +173,7 @@
         at
     }
 
-    /// The next request that may be begun on a connection, which counts as begun from here on.
+    /// Reads the next request of a connection, if one is unread and the limit allows it.
     pub(crate) fn begin(&mut self, conn: u32, at_once: u32) -> Option<u32> {
         let lane = &mut self.conns[conn as usize];
         if !lane.ready || lane.begun >= at_once || lane.unread == NONE {
@@ -181,7 +185,7 @@
         Some(at)
     }
 
-    /// The first request of a connection, if it is done and its answer may go out; it ends here.
+    /// Removes and returns the first request of a connection, if it is done and its answer can be sent.
     pub(crate) fn take_done(&mut self, conn: u32) -> Option<(Call, Answer, Option<Note>)> {
         let lane = self.conns.get_mut(conn as usize)?;
         if lane.stuck || lane.head == NONE {
@@ -199,20 +203,20 @@
         Some((call, answer, note))
     }
 
-    /// Takes a connection away. Its requests follow from the given place on, by [`Self::next`]; they hang on no
-    /// connection any more.
+    /// Removes a connection. Returns its number and the index of its first request; the caller visits the
+    /// requests by [`Self::next`] and detaches each.
     pub(crate) fn close(&mut self, conn: u32) -> (ConnId, u32) {
         let lane = self.conns.remove(conn as usize);
         self.by_id.remove(&lane.id);
         (lane.id, lane.head)
     }
 
-    /// The request behind one, on what was its connection.
+    /// The next request on the same connection, which may be removed already.
     pub(crate) fn next(&self, at: u32) -> u32 {
         self.calls[at as usize].next
     }
 
-    /// Forgets all; the numbers of the connections there were, in the order of their places.
+    /// Removes everything. Returns the numbers of the connections in the order of their indices.
     pub(crate) fn clear(&mut self) -> Vec<ConnId> {
         let ids = self.conns.iter().map(|(_, conn)| conn.id).collect();
         *self = Self::default();
--- a/crates/model/src/server/warm_up.rs
+++ b/crates/model/src/server/warm_up.rs
@@ -1,11 +1,11 @@
-//! The share of its capacity that a server has after a start, and whether it is sent too much for it.
+//! The share of its capacity that a server has after a start, and the load offered to it.
 
 use std::collections::VecDeque;
 
 use super::config::{OverloadThreshold, WarmUp};
 use super::time::{Nanos, from_micros};
 
-/// The warm-up curve.
+/// Progress along the warm-up curve.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WarmUpState {
     start: f64,
@@ -18,7 +18,7 @@
 }
 
 impl WarmUpState {
-    /// A server that has run for long. `capacity`: work that it can do in 1 ns when it is warm.
+    /// A server at full capacity. `capacity`: work that it can do in 1 ns when it is warm.
     pub(crate) fn warm(curve: &WarmUp, capacity: f64) -> Self {
         let full_after = from_micros(curve.full_after_us) as f64;
         let full_after_work = curve.full_after_work_us.map_or(f64::INFINITY, |us| us * 1e3);
@@ -33,12 +33,12 @@
         }
     }
 
-    /// It starts now; `done`: the work that it has done so far.
+    /// Starts warming up now. `done`: the work that the server has done so far.
     pub(crate) fn restart(&mut self, now: Nanos, done: f64) {
         (self.since, self.done_at_start, self.warm) = (now, done, self.start >= 1.0);
     }
 
-    /// The share of the full capacity; `done`: the work that it has done so far.
+    /// The share of the full capacity. `done`: the work that the server has done so far.
     pub(crate) fn share(&mut self, now: Nanos, done: f64) -> f64 {
         if self.warm {
             return 1.0;
@@ -54,19 +54,20 @@
         self.warm
     }
 
-    /// How often to look at the curve while there is work: 1,024 steps on the way at the least.
+    /// Interval at which to update the speed of the cores while there is work: at least 1,024 steps until
+    /// warm.
     pub(crate) fn step(&self) -> Nanos {
         self.step
     }
 }
 
-/// The work sent within a window, against a multiple of the present capacity.
+/// The work sent within a sliding window, compared with a multiple of the present capacity.
 #[derive(Debug, Clone)]
 pub(crate) struct OfferedLoad {
     multiple: f64,
     window: Nanos,
     sent: VecDeque<(Nanos, Nanos)>,
-    /// Whole numbers: guards against a sum that drifts.
+    /// Sum of the work in the window. An integer, since a float sum would drift.
     sum: i128,
 }
 
@@ -83,8 +84,8 @@
         }
     }
 
-    /// Work arrives. Whether all that came within the last window is now over the multiple of what that capacity
-    /// (work in 1 ns) can do in a window.
+    /// Adds work that arrives. Returns whether the work of the window now exceeds the threshold for the given
+    /// capacity (work in 1 ns).
     pub(crate) fn add(&mut self, now: Nanos, work: Nanos, capacity: f64) -> bool {
         self.forget(now);
         self.sent.push_back((now, work));
@@ -92,7 +93,7 @@
         self.level(now, capacity) > 1.0
     }
 
-    /// The same as a share: over 1 it is too much.
+    /// The work of the window divided by the threshold: above 1 is overload.
     pub(crate) fn level(&mut self, now: Nanos, capacity: f64) -> f64 {
         self.forget(now);
         self.sum as f64 / (self.multiple * capacity * self.window as f64)
--- a/crates/model/tests/servers/caching.rs
+++ b/crates/model/tests/servers/caching.rs
@@ -16,8 +16,8 @@
     weights.iter().map(|w| w / sum).collect()
 }
 
-/// Share of hits when the probability that a key is kept is `kept(p, t)`, with `t` such that `places` keys are kept
-/// on average (the fixed point that Che's and the FIFO approximation have in common).
+/// Share of hits when the probability that a key is kept is `kept(p, t)`, with `t` such that `places` keys
+/// are kept on average (the fixed point that Che's and the FIFO approximation have in common).
 fn theory(popularity: &[f64], places: f64, kept: &dyn Fn(f64, f64) -> f64) -> f64 {
     let (mut low, mut high) = (0.0_f64, 1e12_f64);
     for _ in 0..200 {
--- a/crates/model/tests/servers/histories.rs
+++ b/crates/model/tests/servers/histories.rs
@@ -1,5 +1,5 @@
-//! Random histories: no request is lost, answers keep their order, books add up, a slot is never free while somebody
-//! waits, and neither a second run nor a late caller changes anything.
+//! Random histories: no request is lost, answers keep their order, books add up, a slot is never free while
+//! somebody waits, and neither a second run nor a late caller changes anything.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,7 +11,8 @@
 
 use super::harness::*;
 
-/// What the other side knows of its connections: the requests without an answer, and whether nothing more can come.
+/// What the other side knows of its connections: the requests without an answer, and whether nothing more can
+/// come.
 #[derive(Default)]
 struct Sent {
     open: BTreeMap<u64, (VecDeque<u64>, bool)>,
--- a/crates/model/tests/servers/queueing.rs
+++ b/crates/model/tests/servers/queueing.rs
@@ -63,9 +63,10 @@
 
 #[test]
 fn waits_in_m_m_c_are_erlangs() {
-    // Tolerance: four standard errors. In M/M/1 the variance of the mean number held over a run of t service times
-    // is 2 (1 + 4r - 4r² + r³) / (r (1 - r)² t) of its square (Whitt 1989, Planning queueing simulations). While all
-    // c cores are busy, M/M/c is an M/M/1 with a core c times as fast, so the same t is taken for it.
+    // Tolerance: four standard errors. In M/M/1 the variance of the mean number held over a run of t service
+    // times is 2 (1 + 4r - 4r² + r³) / (r (1 - r)² t) of its square (Whitt 1989, Planning queueing
+    // simulations). While all c cores are busy, M/M/c is an M/M/1 with a core c times as fast, so the same t
+    // is taken for it.
     for cores in [1, 4] {
         for (load, n) in [(0.5, 150_000), (0.7, 200_000), (0.9, 400_000)] {
             let got = run(cores, cores, load, &exponential, n);
@@ -92,8 +93,8 @@
     }
 }
 
-/// First come first served on c cores, request by request and to the µs: Kiefer and Wolfowitz 1955 (Lindley 1952
-/// for one core).
+/// First come first served on c cores, request by request and to the µs: Kiefer and Wolfowitz 1955 (Lindley
+/// 1952 for one core).
 #[test]
 fn each_answer_comes_when_the_recursion_says() {
     for cores in [1u32, 3] {
@@ -109,7 +110,8 @@
 
 #[test]
 fn processor_sharing_is_insensitive_to_the_spread_of_work() {
-    // Kleinrock 1967 and Sakata et al. 1969: mean time in M/G/1-PS is work / (1 - r), whatever the distribution.
+    // Kleinrock 1967 and Sakata et al. 1969: mean time in M/G/1-PS is work / (1 - r), whatever the
+    // distribution.
     let spread = |unit: &mut dyn FnMut() -> f64| {
         let mean = if unit() < 0.9 { MEAN_US * 0.5 } else { MEAN_US * 5.5 };
         -unit().ln() * mean
--- a/crates/model/tests/servers/rules.rs
+++ b/crates/model/tests/servers/rules.rs
@@ -72,8 +72,8 @@
 
 #[test]
 fn capacity_rises_with_time_or_with_work() {
-    // Work of 1 s. By time: the integral of 0.25 + 0.75 t / 20 is 1 at 3.2216 s. By work: s' = 0.25 + 0.75 s / 10
-    // gives s = (e^(0.075 t) - 1) / 0.3, which is 1 at ln(1.3) / 0.075 = 3.4982 s.
+    // Work of 1 s. By time: the integral of 0.25 + 0.75 t / 20 is 1 at 3.2216 s. By work: s' = 0.25 + 0.75 s
+    // / 10 gives s = (e^(0.075 t) - 1) / 0.3, which is 1 at ln(1.3) / 0.075 = 3.4982 s.
     for (work, full_after_us, end) in [(None, 20 * SECOND, 3.2216), (Some(1e7), 100_000 * SECOND, 3.4982)] {
         let warm_up = WarmUp { start: 0.25, full_after_us, full_after_work_us: work, tip: None };
         let mut rig = cache(&CacheConfig { warm_up, ..single(|_| ()) });
@@ -87,7 +87,8 @@
 
 #[test]
 fn answers_of_a_connection_keep_their_order() {
-    // Cores, requests at once on a connection, connections of a request of 100 µs and one of 10; when they end.
+    // Cores, requests at once on a connection, connections of a request of 100 µs and one of 10; when they
+    // end.
     for (cores, at_once, conns, ends) in [
         (2, 32, [0, 0], [(100, 1), (100, 2)]),
         (2, 1, [0, 0], [(100, 1), (110, 2)]),
@@ -144,7 +145,8 @@
     rig.connect(0..3);
     ask(&mut rig, 0, 0, 1, 100.0);
     rig.at(0, Event::Request(Request { left_us: Some(50), ..read(1, 2, 2, 100.0) }));
-    // Unread behind the second, and read when that is turned away: then there is a free slot, and the fourth waits.
+    // Unread behind the second, and read when that is turned away: then there is a free slot, and the fourth
+    // waits.
     ask(&mut rig, 0, 1, 3, 100.0);
     ask(&mut rig, 0, 2, 4, 100.0);
     assert_eq!(when(&rig.run_to(1000)), [(100, 1), (100, 2), (200, 4), (300, 3)]);
--- a/crates/model/tests/world.rs
+++ b/crates/model/tests/world.rs
@@ -127,7 +127,8 @@
         }
     }
 
-    /// A whole line: a node answers it 5 ms later with a line that holds the id, a client takes that as its answer.
+    /// A whole line: a node answers it 5 ms later with a line that holds the id, a client takes that as its
+    /// answer.
     fn line(&mut self, now: Micros, conn: Conn, side: Side, line: &str) {
         let id = line.split(' ').find_map(|word| word.strip_prefix('O')).unwrap().trim_end();
         if side == Side::Server {
