--- a/crates/model/examples/speed.rs
+++ b/crates/model/examples/speed.rs
@@ -1,5 +1,5 @@
-//! How many events a second one core drives through cache servers: `cargo run --release -p lapisrudder-model
-//! --example speed`. An event is a call of `handle`, an order, or a piece of work that ends inside.
+//! Measures how many events per second one core simulates with cache servers: `cargo run --release -p
+//! lapisrudder-model --example speed`. An event is a call of `handle`, an order, or a request that is begun.
 
 use std::error::Error;
 use std::time::Instant;
@@ -30,7 +30,8 @@
     }
     let mut rng = stream(1, "speed", servers);
     let (mut now, mut events, mut answered) = (0, 0u64, 0u64);
-    // 4,000 requests a second for each server with 8 cores and 1 ms: half of its capacity; cold ones hold on.
+    // 4,000 requests per second per server, with 8 cores and 1 ms of work each: half of the capacity, below
+    // the overload threshold of cold servers.
     let gap = 250.0 / servers as f64;
     let mut at = 0.0;
     let begin = Instant::now();
--- a/crates/model/examples/world_speed.rs
+++ b/crates/model/examples/world_speed.rs
@@ -1,6 +1,6 @@
-//! How many arrivals a second are drawn, how many requests a second clients play against nodes that answer in
-//! 1 ms, and how many writes a second the network carries: `cargo run --release -p lapisrudder-model
-//! --example world_speed`.
+//! Measures how many arrivals per second are drawn, how many requests per second are simulated with clients
+//! and nodes that answer in 1 ms, and how many writes per second the network carries: `cargo run --release -p
+//! lapisrudder-model --example world_speed`.
 
 use std::collections::VecDeque;
 use std::error::Error;
@@ -47,7 +47,7 @@
     let mut clients = Clients::new(plan, 1)?;
     (0..3).for_each(|node| clients.handle(0, Event::Probed(NodeId(node), true)));
     clients.begin(0);
-    // All events come 1 ms after their orders, so that a queue keeps them in order.
+    // Each event follows its order by 1 ms, so that a queue keeps the events sorted.
     let mut events = VecDeque::new();
     let mut now = 0;
     while !clients.done() {
--- a/crates/model/src/discovery/catalog.rs
+++ b/crates/model/src/discovery/catalog.rs
@@ -1,11 +1,11 @@
-//! The list of members in all versions that may still be asked for.
+//! The list of members, in every version that a node may still ask for.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use super::{Listing, Member, State};
 use crate::Micros;
 
-/// One member's entry in one version.
+/// A change of one member, in one version.
 #[derive(Clone, Debug)]
 pub(super) struct Change {
     pub(super) rev: u64,
@@ -20,17 +20,18 @@
     rev: u64,
     /// The latest changes, oldest first.
     log: VecDeque<Change>,
-    /// Entries of each member by version, as far back as the log.
+    /// Entries of each member by version, back to the start of the log.
     entries: BTreeMap<String, Vec<(u64, Member)>>,
-    /// How many changes an answer may bring.
+    /// Maximum number of changes that an answer may hold.
     max_changes: usize,
-    /// Who has this version or an older one gets the whole list.
+    /// A node with a version before this one gets the full list.
     horizon: u64,
-    /// The oldest version that is known.
+    /// The oldest known version.
     oldest: u64,
 }
 
-/// Changes that are kept at least: the books tell nodes of them one by one, however few answers may bring.
+/// Minimum number of changes in the log. Notifications are recorded change by change, even where an answer
+/// may hold fewer changes.
 const MIN_KEPT_CHANGES: usize = 65_536;
 
 impl Catalog {
@@ -43,7 +44,7 @@
         self.rev
     }
 
-    /// The version that was current at a time; the oldest known one for times before.
+    /// The version that was current at the given time, or the oldest known one.
     pub(super) fn rev_at(&self, at: Micros) -> u64 {
         let later = self.log.partition_point(|change| change.at <= at);
         later.checked_sub(1).and_then(|i| self.log.get(i)).map_or(self.oldest, |change| change.rev)
@@ -72,14 +73,14 @@
         }
     }
 
-    /// Changes after one version, up to another, oldest first.
+    /// Changes after one version and up to another, oldest first.
     pub(super) fn changes(&self, after: u64, upto: u64) -> impl Iterator<Item = &Change> {
         let from = self.log.partition_point(|change| change.rev <= after);
         let to = self.log.partition_point(|change| change.rev <= upto);
         self.log.range(from..to.max(from))
     }
 
-    /// The whole list as of a version.
+    /// The full list of a version.
     pub(super) fn full(&self, rev: u64) -> Listing {
         let as_of = |entries: &Vec<(u64, Member)>| {
             let newer = entries.partition_point(|entry| entry.0 <= rev);
@@ -89,8 +90,8 @@
         Listing { rev, all: true, targets: self.entries.values().filter_map(as_of).collect() }
     }
 
-    /// What brings a node from one version to another: the changes, or the whole list where those are
-    /// forgotten.
+    /// What a node needs to get from one version to another: the changes, or the full list if there are too
+    /// many.
     pub(super) fn since(&self, from: u64, rev: u64) -> Listing {
         if from < self.horizon {
             return self.full(rev);
--- a/crates/model/src/discovery/machine.rs
+++ b/crates/model/src/discovery/machine.rs
@@ -1,4 +1,4 @@
-//! The service: calls worked through in turn, watches that wait, outages, views and moves.
+//! The service: calls worked through one after the other, waiting watches, outages, views and moves.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -14,18 +14,18 @@
 use crate::clients::NodeId;
 use crate::draw::stream;
 
-/// Where a call is.
+/// Processing stage of a call.
 #[derive(Clone, Debug)]
 enum Stage {
-    /// It waits for its turn.
+    /// Waits in the queue.
     Queued,
-    /// A watch waits for something new.
+    /// A watch that waits for a change.
     Waiting,
-    /// The answer is worked out and on its way.
+    /// The answer is computed; its latency is not over.
     Answering(Listing),
-    /// The driver has been told to write the version.
+    /// The driver is writing the answer with this version.
     Writing(u64),
-    /// Discovery is silent; nothing comes of it.
+    /// Open during a silent outage: not answered, and reset when the outage ends.
     Hung,
 }
 
@@ -39,9 +39,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    /// A call's turn is over.
+    /// The work of a call is done.
     Worked(CallId),
-    /// A watch has waited long enough.
+    /// A watch has waited for its `hold`.
     HoldOver(CallId),
     /// An answer is to be written.
     Answer(CallId),
@@ -49,25 +49,25 @@
     Unavailable(CallId),
     /// A call is to be reset.
     Reset(CallId),
-    /// What the answer to a call brings counts as told.
+    /// The time limit for the answer to a call: the node counts as notified.
     Late(CallId),
-    /// The node counts as told if it has not asked since.
+    /// The node counts as notified if it has not called since.
     Unasked(NodeId),
-    /// The node counts as told after a new configuration.
+    /// The time limit after a new configuration: the node counts as notified.
     Reloaded(NodeId),
-    /// A lagging view may show more.
+    /// A lagging view can reach the next change.
     Visible,
-    /// The old address closes what is open.
+    /// The old address closes its open connections.
     CloseAll(Address),
 }
 
-/// Discovery. See the [module](super) for how to drive it.
+/// The discovery service. See the [module](super) for how to drive it.
 #[derive(Debug)]
 pub struct Discovery {
     plan: DiscoveryPlan,
     catalog: Catalog,
     view: View,
-    /// Nodes were last shown this version.
+    /// The version that was last visible to nodes.
     shown: u64,
     down: Option<Outage>,
     address: Address,
@@ -83,7 +83,7 @@
 }
 
 impl Discovery {
-    /// Up, at one address.
+    /// Creates a service that is up at the given address.
     pub fn new(plan: DiscoveryPlan, address: Address, seed: u64) -> Self {
         Self {
             catalog: Catalog::new(plan.rev, plan.members.clone(), plan.max_changes),
@@ -103,9 +103,9 @@
         }
     }
 
-    /// Something happened.
+    /// Handles an event at the given time.
     pub fn handle(&mut self, now: Micros, event: Event) {
-        // Guards against a driver that comes late: what was due before comes before.
+        // Timers that were due before the event fire before it, even if the driver polls late.
         self.advance(now - 1);
         match event {
             Event::Call(id, node, address, ask) => self.call(now, id, node, address, ask),
@@ -145,7 +145,7 @@
         }
     }
 
-    /// The next order due by now.
+    /// Returns the next order due by now.
     pub fn poll(&mut self, now: Micros) -> Option<Order> {
         self.advance(now);
         self.orders.pop_front()
@@ -159,7 +159,7 @@
         }
     }
 
-    /// When to poll again if nothing happens before; a time long past if there are orders to take.
+    /// Returns when to poll next if no event happens before, or a time in the past while orders wait.
     pub fn next(&self) -> Option<Micros> {
         if !self.orders.is_empty() {
             return Some(Micros::MIN);
@@ -167,23 +167,22 @@
         self.timers.peek().map(|timer| timer.0.0)
     }
 
-    /// Who counts as told of what since the last call of this. A `notified` or `due` may lie before earlier
-    /// entries'.
+    /// Removes and returns the recorded notifications. They are not sorted by `notified` or `due`.
     pub fn take_notifications(&mut self) -> Vec<Notification> {
         std::mem::take(&mut self.notifications.recorded)
     }
 
-    /// The whole list as it is, whatever is served: what a node's configuration holds at its start.
+    /// The current full list, regardless of the view, as a node's configuration holds it at its start.
     pub fn list(&self) -> Listing {
         self.catalog.full(self.catalog.rev())
     }
 
-    /// Where it answers.
+    /// The current address.
     pub fn address(&self) -> Address {
         self.address
     }
 
-    /// Calls that are open.
+    /// Number of open calls.
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
@@ -193,7 +192,7 @@
         self.timers_made += 1;
     }
 
-    /// The version that it serves now.
+    /// The version that is visible to nodes now.
     fn visible(&self, now: Micros) -> u64 {
         match self.view {
             View::Live => self.catalog.rev(),
@@ -226,7 +225,7 @@
         self.timer(done, Timer::Worked(id));
     }
 
-    /// When work for that many lines, put behind what is there, is done.
+    /// Queues the work of a call or answer with the given number of entries; returns when it is done.
     fn work(&mut self, now: Micros, lines: usize) -> Micros {
         self.busy_until =
             self.busy_until.max(now) + self.plan.per_call + self.plan.per_line * lines as Micros;
@@ -316,7 +315,7 @@
         }
     }
 
-    /// Answers a watch that waits, if there is something new.
+    /// Answers a waiting watch if there are changes after its version.
     fn answer_if_newer(&mut self, now: Micros, id: CallId) {
         let visible = self.visible(now);
         let waits = self.calls.get(&id).is_some_and(|call| matches!(call.stage, Stage::Waiting));
@@ -326,7 +325,7 @@
         }
     }
 
-    /// The answer is known; its lines are worked through in turn.
+    /// Queues the work of an answer, and schedules when it is written.
     fn answer(&mut self, now: Micros, id: CallId, listing: Listing) {
         let waited = self.from(id).is_some();
         let done = self.work(now, listing.targets.len());
@@ -340,7 +339,7 @@
         }
     }
 
-    /// More may be visible.
+    /// Answers watches after the visible version may have changed.
     fn on_view_change(&mut self, now: Micros) {
         let visible = self.visible(now);
         if visible > self.shown {
--- a/crates/model/src/discovery/machine/tests.rs
+++ b/crates/model/src/discovery/machine/tests.rs
@@ -30,8 +30,8 @@
     Event::Change(vec![member(uid, State::Draining)])
 }
 
-/// Plays events at milliseconds; each answer is written 2 ms after its order. Gives orders and tellings as
-/// lines.
+/// Runs events at times in ms; each answer is written 2 ms after its order. Returns orders and notifications
+/// as lines.
 fn play(plan: DiscoveryPlan, events: &[(Micros, Event)], end: Micros) -> (Vec<String>, Vec<String>) {
     let mut discovery = Discovery::new(plan, HOME, 1);
     let mut events: VecDeque<(Micros, Event)> =
@@ -96,9 +96,10 @@
     Event::Call(CallId(id), NODE, HOME, ask)
 }
 
-/// The books are kept change by change, also where an answer brings the whole list.
+/// Notifications are recorded change by change even if an answer holds the full list, where a change can be
+/// missing from the entries.
 #[test]
-fn a_whole_list_tells_of_each_change() {
+fn a_full_list_notifies_of_each_change() {
     let events = [
         (0, Event::NodeStarted(NODE, 10)),
         (100, drain("s1")),
@@ -124,7 +125,7 @@
             notified: &["s1 Draining 11: due 500ms, told 504ms, Written"],
         },
         Case {
-            name: "the whole list, then nothing new within the wait",
+            name: "the full list, then no change within the wait",
             events: vec![
                 start.clone(),
                 (1, call(1, Ask::Full)),
@@ -167,7 +168,7 @@
             ],
         },
         Case {
-            name: "a node that does not ask counts as told after 10 s, and then at once",
+            name: "a node that does not call counts as notified after 10 s, and then at once",
             events: vec![start.clone(), (500, drain("s1")), (11_000, drain("s2"))],
             end: 20_000,
             orders: &[],
@@ -177,7 +178,7 @@
             ],
         },
         Case {
-            name: "down: watches end, calls fail, nothing is told while the node goes on asking",
+            name: "down: watches end, calls fail, no notification while the node keeps calling",
             events: vec![
                 start.clone(),
                 (1, call(1, watch(10))),
@@ -198,7 +199,7 @@
             notified: &["s1 Draining 11: due 12500ms, told 12505ms, Written"],
         },
         Case {
-            name: "silent: calls hang and are reset at the end",
+            name: "silent outage: calls hang and are reset at its end",
             events: vec![
                 start.clone(),
                 (1, call(1, watch(10))),
@@ -212,7 +213,7 @@
             notified: &[],
         },
         Case {
-            name: "a move: the old address answers on for 1.5 s, then its watch ends; told 4 s after the reload",
+            name: "a move: the old address answers for 1.5 s, then its watch ends; notified 4 s after reload",
             events: vec![
                 start.clone(),
                 (1, call(1, watch(10))),
@@ -231,7 +232,7 @@
             notified: &["s1 Draining 11: due 4000ms, told 5000ms, Reloaded"],
         },
         Case {
-            name: "a frozen view serves the old list and lets watches wait",
+            name: "a frozen view serves the old list, and watches wait",
             events: vec![
                 start.clone(),
                 (100, Event::View(View::Frozen(10))),
@@ -258,7 +259,7 @@
             notified: &["s1 Draining 11: due 210ms, told 604ms, Written"],
         },
         Case {
-            name: "removed members are among changes and not on the whole list",
+            name: "removed members are in changes and not in the full list",
             events: vec![
                 start,
                 (100, drain("s1")),
@@ -278,7 +279,7 @@
 }
 
 #[test]
-fn watches_and_books_by_table() {
+fn calls_get_their_orders_and_notifications() {
     for case in cases() {
         let (orders, notified) = play(plan(), &case.events, case.end);
         assert_eq!(orders.get(1..).unwrap_or_default(), case.orders, "{}", case.name);
@@ -287,19 +288,19 @@
 }
 
 #[test]
-fn calls_are_worked_through_in_turn_and_turned_away_when_too_many() {
+fn calls_queue_and_get_503_when_too_many_wait() {
     let calls: Vec<(Micros, Event)> = (0..30).map(|n| (10, call(n, Ask::Full))).collect();
     let plan = DiscoveryPlan { per_call: 100_000, per_line: 0, max_queue_wait: 1_000_000, ..plan() };
     let (orders, _) = play(plan, &calls, 60_000);
     let answered: Vec<&str> =
         orders.iter().filter(|o| o.contains("all to")).filter_map(|o| o.split(' ').next()).collect();
-    // Each call is worked on for 100 ms, and its answer for as long again, behind what is in turn by then.
+    // Each call takes 100 ms of work, and its answer another 100 ms behind what is queued by then.
     assert_eq!(orders.iter().filter(|order| order.ends_with("503")).count(), 19);
     assert_eq!((answered.len(), answered.first(), answered.last()), (11, Some(&"1211ms"), Some(&"2211ms")));
 }
 
 #[test]
-fn an_answer_that_is_not_read_counts_as_told_in_time() {
+fn an_unread_answer_counts_as_notified_after_its_limit() {
     let mut discovery = Discovery::new(plan(), HOME, 1);
     discovery.handle(0, Event::NodeStarted(NODE, 10));
     discovery.handle(0, drain("s1"));
@@ -314,7 +315,7 @@
 }
 
 #[test]
-fn a_node_that_lacks_too_much_gets_the_whole_list() {
+fn a_node_too_far_behind_gets_the_full_list() {
     let mut catalog = Catalog::new(1, vec![member("s0", State::Up)], 3);
     for n in 1..=5 {
         catalog
@@ -330,7 +331,7 @@
 }
 
 #[test]
-fn listings_have_the_protocols_form() {
+fn listings_serialize_in_the_protocols_form() {
     let listing = Listing { rev: 43, all: false, targets: vec![member("s-5be2a07c", State::Draining)] };
     assert_eq!(
         serde_json::to_string(&listing).unwrap_or_default(),
--- a/crates/model/src/discovery/mod.rs
+++ b/crates/model/src/discovery/mod.rs
@@ -1,8 +1,9 @@
-//! Discovery: the list of members, calls for it and watches on it, and its troubles.
+//! Model of the discovery service: the list of members, calls and watches on it, and its faults.
 //!
-//! [`Discovery`] answers calls in turn, with a latency. The driver carries HTTP: it hands each call in as an
-//! [`Event`], writes what an [`Order`] says, and tells when an answer's last byte was written, which is when
-//! the node counts as told. [`Notification`]s are the books for the check on drains.
+//! [`Discovery`] works through calls one after the other and answers each with a latency. The driver does
+//! HTTP: it hands in each call as an [`Event`], writes what an [`Order`] says, and reports when the last byte
+//! of an answer was written, from when on the node counts as notified. The [`Notification`]s are input to the
+//! check that no new work goes to a draining member.
 
 mod catalog;
 mod machine;
@@ -18,111 +19,111 @@
 use crate::Micros;
 use crate::clients::NodeId;
 
-/// Whether a member takes work.
+/// State of a member on the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It does.
+    /// It takes new work.
     Up,
-    /// It finishes what it has and wants nothing new.
+    /// It finishes its open requests and takes no new work.
     Draining,
-    /// It has left the list; only among changes.
+    /// It has left the list. Occurs only in changes, never in a full list.
     Removed,
 }
 
-/// A member as the list has it.
+/// An entry of the list.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Member {
-    /// The same at every node.
+    /// Unique id, the same for every node.
     pub uid: String,
     /// Address and port.
     pub endpoint: String,
     /// Its zone.
     pub az: String,
-    /// What kind of machine it is.
+    /// Machine model.
     pub model: String,
-    /// Its cell.
+    /// Its cell (a group of servers).
     pub pod_group: u32,
-    /// Whether it takes work.
+    /// Its state.
     pub state: State,
-    /// Size against others.
+    /// Capacity relative to other members.
     pub capacity_hint: f64,
-    /// Unix time in milliseconds of its last start; 0 is long ago.
+    /// Unix time of its last start in ms; 0 means long ago.
     pub boot_ms: i64,
 }
 
-/// The body of an answer, in the protocol's form when serialized to JSON.
+/// The body of an answer; its JSON is the form that the protocol defines.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Listing {
     /// The version that it brings the node to.
     pub rev: u64,
-    /// It is the whole list; else only what changed.
+    /// Whether this is the full list; otherwise it holds only changes.
     pub all: bool,
     /// The entries.
     pub targets: Vec<Member>,
 }
 
-/// A call, named by the driver and never twice.
+/// A call, by the number that the driver gave it. Numbers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// An address that discovery answers at, by number.
+/// An address of discovery, by number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Address(pub u16);
 
-/// What a call asks for.
+/// The query of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ask {
-    /// The whole list, at once.
+    /// The full list, at once.
     Full,
-    /// What is newer than `from`, within `hold`.
+    /// Changes after version `from`, as soon as there are any; an empty answer after `hold`.
     Watch {
         /// The version that the node has.
         from: u64,
-        /// How long to wait; 60 s at most.
+        /// How long to wait; limited to [`DiscoveryPlan::max_hold`].
         hold: Micros,
     },
 }
 
-/// What happened.
+/// An event at discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A node calls at an address.
     Call(CallId, NodeId, Address, Ask),
-    /// The caller has closed its connection.
+    /// The caller closed its connection.
     Gone(CallId),
-    /// The last byte of the answer has been written.
+    /// The last byte of the answer was written.
     Written(CallId),
-    /// Members change, all in one version. An unknown uid is a new member.
+    /// Members change, all in one new version. An unknown uid is a new member.
     Change(Vec<Member>),
     /// Discovery goes down: watches end and calls fail.
     Down(Outage),
-    /// It is back.
+    /// Discovery is available again.
     Up,
-    /// It serves another view of the list from now on.
+    /// Discovery serves another view of the list from now on.
     View(View),
-    /// It moves: the new address listens at once, the old one takes no new connection and later closes open
-    /// ones.
+    /// Discovery moves. The new address listens at once; the old one accepts no new connections and later
+    /// closes the open ones.
     Move(Address),
-    /// A node starts, with the list of that version in its configuration.
+    /// A node starts with the list of the given version in its configuration.
     NodeStarted(NodeId, u64),
-    /// A node was told of a new configuration.
+    /// A node was sent a new configuration.
     NodeReloaded(NodeId),
 }
 
-/// What to do.
+/// An action for the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    /// Answer a call with 200 and this body. `Written` or `Gone` is owed.
+    /// Answer a call with 200 and this body. The driver must report [`Event::Written`] or [`Event::Gone`].
     Answer(CallId, Listing),
     /// Answer a call with 503.
     Unavailable(CallId),
     /// Reset the connection of a call.
     Reset(CallId),
-    /// Take connections at this address.
+    /// Accept connections at this address.
     Listen(Address),
-    /// Take no further connection there.
+    /// Accept no further connections at this address.
     Unlisten(Address),
-    /// Close all connections there.
+    /// Close all connections at this address.
     CloseAll(Address),
 }
--- a/crates/model/src/discovery/notifications.rs
+++ b/crates/model/src/discovery/notifications.rs
@@ -1,4 +1,5 @@
-//! Who was told what, and when: the books for the check that no new work goes to a member that drains.
+//! Records when each node was notified of each change, for the check that no new work goes to a draining
+//! member.
 
 use std::collections::BTreeMap;
 
@@ -7,18 +8,20 @@
 use crate::Micros;
 use crate::clients::NodeId;
 
-/// Times after which a node counts as told, from the protocol and the settings.
+/// Times after which a node counts as notified, from the protocol and the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// A node that has neither watched nor asked for so long counts as told. `None` where it need not ask.
+    /// A node that has not called for this long counts as notified; `None` if nodes need not call.
     pub ask_within: Option<Micros>,
-    /// What an answer brings counts as told so long after its call, written or not,
+    /// A node counts as notified this long after a call for the full list, whether or not the answer was
+    /// written.
     pub call: Micros,
-    /// or, where the call may wait, so long after that wait is over.
+    /// A node counts as notified this long after its watch stopped waiting, whether or not the answer was
+    /// written.
     pub wait: Micros,
-    /// A watch goes on if the next call comes so soon after the last answer.
+    /// A call continues a watch if it comes within this time after the last answer.
     pub gap: Micros,
-    /// After a new configuration all there is to tell counts as told by then.
+    /// A node counts as notified of all visible changes this long after it was sent a new configuration.
     pub reload: Micros,
 }
 
@@ -34,57 +37,57 @@
     }
 }
 
-/// Why a node counts as told.
+/// Why a node counts as notified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotifiedBy {
-    /// An answer with the change was written whole.
+    /// An answer with the change was written completely.
     Written,
-    /// An answer was due and its limit passed.
+    /// The time limit of an answer passed.
     Late,
-    /// The node has not asked for too long.
+    /// The node has not called within [`Limits::ask_within`].
     Unasked,
     /// The limit after a new configuration passed.
     Reloaded,
 }
 
-/// A node counts as told of one change.
+/// A change of which a node counts as notified.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notification {
     /// The node.
     pub node: NodeId,
     /// The member.
     pub uid: String,
-    /// What it changed to.
+    /// Its new state.
     pub state: State,
-    /// In which version.
+    /// The version of the change.
     pub rev: u64,
-    /// From when on discovery had it to tell this node: the change itself while a watch was on (the short
-    /// gaps between its calls included), else the node's next call. The strictest reading of when it was
-    /// told.
+    /// Earliest time at which the node can have known: the time of the change if a watch was open (the short
+    /// gaps between its calls included), otherwise the time of the node's next call.
     pub due: Micros,
-    /// When it counts as told.
+    /// Time from which the node counts as notified.
     pub notified: Micros,
-    /// Why.
+    /// Why it does.
     pub by: NotifiedBy,
 }
 
+/// What is known of the calls of one node.
 #[derive(Clone, Debug, Default)]
 struct NodeRecord {
-    /// It is told of everything up to this version.
+    /// The node is notified of everything up to this version.
     rev: u64,
-    /// Calls that are open.
+    /// Number of open calls.
     open: u32,
-    /// When its last call began or ended.
+    /// Time at which its last call began or ended.
     contact: Micros,
-    /// When its last answer was written.
+    /// Time at which its last answer was written.
     answered: Option<Micros>,
-    /// When its watch began, or its last call that continues none.
+    /// Start of its watch, that is the time of its last call that did not continue one.
     session: Micros,
-    /// It has not asked for too long.
+    /// The node has not called within the limit.
     silent: bool,
 }
 
-/// All nodes' books.
+/// The records of all nodes.
 #[derive(Clone, Debug)]
 pub(super) struct NotificationTable {
     limits: Limits,
@@ -97,7 +100,7 @@
         Self { limits, nodes: BTreeMap::new(), recorded: Vec::new() }
     }
 
-    /// A node starts and knows the list of a version. Gives when it counts as silent if it never asks.
+    /// A node starts and knows the list of a version. Returns when it counts as silent if it never calls.
     pub(super) fn started(&mut self, now: Micros, node: NodeId, rev: u64) -> Option<Micros> {
         let node_record = NodeRecord { rev, contact: now, session: now, ..NodeRecord::default() };
         self.nodes.insert(node, node_record);
@@ -106,7 +109,7 @@
 
     pub(super) fn call_begins(&mut self, now: Micros, node: NodeId, known: u64) {
         let limits = self.limits;
-        // A node that nobody announced knows what it says it does.
+        // A node without a start event knows the version that it names.
         let node_record =
             self.nodes.entry(node).or_insert_with(|| NodeRecord { rev: known, ..NodeRecord::default() });
         let continues = node_record.open > 0 || node_record.answered.is_some_and(|at| now - at <= limits.gap);
@@ -118,7 +121,7 @@
         node_record.silent = false;
     }
 
-    /// A call is over, with an answer or without. Gives when the node counts as silent if it does not ask
+    /// A call ends, with an answer or without. Returns when the node counts as silent if it does not call
     /// again.
     pub(super) fn call_ends(&mut self, now: Micros, node: NodeId, answered: bool) -> Option<Micros> {
         let node_record = self.nodes.get_mut(&node)?;
@@ -128,7 +131,8 @@
         (node_record.open == 0).then_some(now + self.limits.ask_within?)
     }
 
-    /// The time that `started` or `call_ends` gave has come.
+    /// Handles the time that `started` or `call_ends` returned: the node counts as silent if it has not
+    /// called since.
     pub(super) fn check_silent(&mut self, now: Micros, node: NodeId, catalog: &Catalog, visible: u64) {
         let Some(node_record) = self.nodes.get_mut(&node) else { return };
         let within = self.limits.ask_within.unwrap_or(Micros::MAX);
@@ -138,7 +142,7 @@
         }
     }
 
-    /// There is more to see: silent nodes count as told at once.
+    /// More changes are visible; silent nodes count as notified of them at once.
     pub(super) fn visible(&mut self, now: Micros, catalog: &Catalog, visible: u64) {
         let silent: Vec<NodeId> =
             self.nodes.iter().filter(|(_, node_record)| node_record.silent).map(|(node, _)| *node).collect();
@@ -147,7 +151,7 @@
         }
     }
 
-    /// The node counts as told of everything up to a version.
+    /// Records that the node counts as notified of everything up to a version.
     pub(super) fn mark_notified(
         &mut self,
         now: Micros,
--- a/crates/model/src/discovery/plan.rs
+++ b/crates/model/src/discovery/plan.rs
@@ -1,4 +1,4 @@
-//! How discovery behaves, and the ways in which it fails.
+//! Settings of discovery, and the ways in which it fails.
 
 use super::{Limits, Member};
 use crate::Micros;
@@ -11,44 +11,44 @@
     Unavailable,
     /// Calls end with a reset.
     Reset,
-    /// Nothing is heard until it is back; then the calls that waited end with a reset.
+    /// Calls are not answered. When discovery is back, those that still wait end with a reset.
     Silent,
 }
 
-/// Which list it serves.
+/// The version of the list that discovery serves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum View {
-    /// The present one.
+    /// The current version.
     #[default]
     Live,
-    /// The one of so long ago.
+    /// The version that was current this long ago.
     Lag(Micros),
-    /// The one of that version, whatever happens.
+    /// This version, regardless of changes.
     Frozen(u64),
 }
 
-/// How discovery behaves.
+/// Settings of discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveryPlan {
-    /// The version at the start.
+    /// Version of the list at the start.
     pub rev: u64,
-    /// The members at the start.
+    /// Members at the start.
     pub members: Vec<Member>,
-    /// From when an answer is worked out to when it is to be written.
+    /// Time from when an answer is computed until it is to be written.
     pub latency: Spread,
-    /// Work for each call and each answer to a watch that waited.
+    /// Work of each call, and of each answer, in µs.
     pub per_call: Micros,
-    /// Work for each line of an answer.
+    /// Work of each entry of an answer, in µs.
     pub per_line: Micros,
-    /// A call that would wait longer than this for its turn is answered with 503.
+    /// Maximum time in the queue: a call that would wait longer is answered with 503.
     pub max_queue_wait: Micros,
-    /// No watch waits longer.
+    /// Maximum time for which a watch waits.
     pub max_hold: Micros,
-    /// How many changes it remembers; a node that lacks more gets the whole list.
+    /// Maximum number of changes in an answer; a node that is further behind gets the full list.
     pub max_changes: usize,
-    /// The old address closes open connections so long after a move.
+    /// Time after a move at which the old address closes its open connections.
     pub close_after_move: Micros,
-    /// When nodes count as told.
+    /// When nodes count as notified.
     pub limits: Limits,
 }
 
--- a/crates/model/src/network/links.rs
+++ b/crates/model/src/network/links.rs
@@ -1,4 +1,4 @@
-//! What holds between two hosts now: delays, and which faults are on.
+//! The state of the links between hosts: delays and active faults.
 
 use crate::Micros;
 use crate::mix::{Spread, spot, unit};
@@ -8,74 +8,74 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Host(pub u32);
 
-/// One or more hosts, as one end of a fault.
+/// The set of hosts at one end of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Which {
     /// Every host.
     Any,
     /// This one.
     Host(Host),
-    /// All of a zone.
+    /// All hosts of a zone.
     Zone(u16),
 }
 
-/// What becomes of open connections when a cut ends.
+/// What happens to open connections when a cut ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Heal {
-    /// What was sent meanwhile arrives after all, as TCP sends again.
+    /// What was sent during the cut arrives, as TCP retransmits it.
     Resume,
-    /// A connection on which something was sent meanwhile stays silent for good; connects then under way
-    /// never come up.
+    /// A direction into which something was sent during the cut stays silent; connects made during the cut
+    /// are never established.
     Stay,
-    /// The machine is back without memory: whatever is sent on a connection from before is answered by a
-    /// reset, and so are connects then under way.
+    /// The machine has lost its state: whatever is sent on an older connection is answered by a reset, and so
+    /// are connects made during the cut.
     Reset,
 }
 
-/// A fault from one end to the other.
+/// A fault of the link from one set of hosts to another.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// Bytes vanish without a word. New connections do not come up.
+    /// Bytes are lost silently. New connections are not established.
     Cut(Heal),
     /// New connections are refused.
     Refuse,
-    /// New connections never come up, though open ones work.
+    /// New connections are never established, while open ones work.
     NeverOpens,
-    /// New connections are reset as soon as they are up.
+    /// New connections are reset instead of established.
     ResetNew,
-    /// This share of the new connections, 0 to 1, never comes up.
+    /// This share of new connections, 0 to 1, is never established.
     LoseNew(f64),
-    /// This much is added to the delay of each byte.
+    /// Adds this to the delay of each piece of data.
     Slow(Spread),
 }
 
-/// The name of a fault that is on.
+/// Id of an active fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FaultId(u64);
 
-/// What a new connection comes to.
+/// Outcome of a connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// It opens.
+    /// The connection is established.
     Opens,
-    /// It is refused.
+    /// The connect is refused.
     Refused,
-    /// It opens and is reset.
+    /// The connect is answered by a reset.
     Reset,
-    /// Nothing is heard of it.
+    /// The connect is never answered.
     Never,
 }
 
-/// The delay one way between hosts of two zones.
+/// One-way delay between hosts of two zones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Delay {
-    /// Always.
+    /// Constant part.
     pub base: Micros,
-    /// On top, drawn for each write.
+    /// Added part, drawn for each piece of data.
     pub jitter: Spread,
 }
 
-/// Where hosts are and how far apart zones are.
+/// The zones of hosts and the delays between zones.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinksPlan {
     /// The zone of each host.
@@ -97,9 +97,8 @@
     pub(super) fault: Fault,
 }
 
-/// The state of all links. By itself it is the oracle that a stand-in on real sockets asks: a socket cannot
-/// be cut silently without privileges, so the stand-in does not read or write while [`Links::passes`] says
-/// no.
+/// The state of all links. Test servers on real sockets query it as well: a socket cannot be cut silently
+/// without privileges, so they neither read nor write while [`Links::passes`] is false.
 #[derive(Clone, Debug)]
 pub struct Links {
     plan: LinksPlan,
@@ -109,18 +108,18 @@
 }
 
 impl Links {
-    /// No fault is on.
+    /// Creates links without faults.
     pub fn new(plan: LinksPlan, seed: u64) -> Self {
         Self { plan, seed, active: Vec::new(), made: 0 }
     }
 
-    /// One more host.
+    /// Adds a host to a zone.
     pub fn add_host(&mut self, zone: u16) -> Host {
         self.plan.zones.push(zone);
         Host(self.plan.zones.len() as u32 - 1)
     }
 
-    /// The zone of a host; 0 where there is no such host.
+    /// The zone of a host; 0 for an unknown host.
     pub fn zone(&self, host: Host) -> u16 {
         self.plan.zones.get(host.0 as usize).copied().unwrap_or(0)
     }
@@ -161,18 +160,19 @@
         self.active.iter().filter(move |active| self.covers(active, from, to)).map(|active| active.fault)
     }
 
-    /// The cut on the way from one host to another, if there is one.
+    /// The cut that affects data from one host to another, if there is one.
     pub fn cut(&self, from: Host, to: Host) -> Option<Heal> {
         self.faults(from, to).find_map(|fault| if let Fault::Cut(heal) = fault { Some(heal) } else { None })
     }
 
-    /// A byte sent now from one host to another gets there.
+    /// Whether data sent now from one host to another arrives.
     pub fn passes(&self, from: Host, to: Host) -> bool {
         self.cut(from, to).is_none()
     }
 
-    /// What a connect from one host to another comes to now. `number` tells connections apart: the same one
-    /// has the same luck each time.
+    /// Outcome of a connect made now from one host to another. The draw for lost connects depends on
+    /// `number`, the number of the connection, alone, so that the same connection gets the same result each
+    /// time.
     pub fn connect(&self, number: u64, from: Host, to: Host) -> Fate {
         if !self.passes(from, to) || !self.passes(to, from) {
             return Fate::Never;
@@ -191,7 +191,7 @@
         fate
     }
 
-    /// How long a byte sent now takes from one host to another.
+    /// Delay of data sent now from one host to another.
     pub fn delay(&self, from: Host, to: Host, draws: &mut impl RngCore) -> Micros {
         let (a, b) = (self.zone(from), self.zone(to));
         let pair = self.plan.pairs.iter().find(|pair| (pair.0, pair.1) == (a, b)).map(|pair| pair.2);
@@ -222,12 +222,12 @@
     }
 
     #[test]
-    fn faults_hold_where_and_while_they_are_on() {
+    fn faults_apply_to_their_hosts_while_active() {
         use Fate::{Never, Opens, Refused, Reset};
         let (h0, h1, h2) = (Host(0), Host(1), Host(2));
         let cases = [
-            // from, to, both, fault; then the fates 0 to 1, 0 to 2, 2 to 0; then whether 0 to 2 and 2 to 0
-            // pass.
+            // from, to, both, fault; then the connect outcomes 0 to 1, 0 to 2, 2 to 0; then whether data
+            // passes 0 to 2 and 2 to 0.
             (
                 Which::Zone(0),
                 Which::Zone(1),
@@ -261,7 +261,7 @@
     }
 
     #[test]
-    fn zones_have_their_delays_and_shares_are_lost() {
+    fn delays_follow_zones_and_a_share_of_connects_is_lost() {
         let mut links = links();
         let mut draws = crate::draw::stream(1, "delay", 0);
         let mut delay = |links: &Links, a, b| links.delay(Host(a), Host(b), &mut draws);
@@ -270,7 +270,7 @@
         assert_eq!([(0, 1), (0, 2), (2, 0)].map(|(a, b)| delay(&links, a, b)), [100, 950, 950]);
         links.begin(Which::Any, Which::Any, false, Fault::LoseNew(0.25));
         let lost = (0..10_000).filter(|&n| links.connect(n, Host(0), Host(1)) == Fate::Never).count();
-        // 4 deviations of a binomial share of 0.25 in 10,000.
+        // Four standard deviations of a binomial count with p = 0.25, n = 10,000.
         assert!(lost.abs_diff(2500) < 174, "{lost}");
     }
 }
--- a/crates/model/src/network/mod.rs
+++ b/crates/model/src/network/mod.rs
@@ -1,11 +1,12 @@
-//! The network between hosts: byte streams with delay, cuts, resets, connects that fail, and any split.
+//! Model of the network between hosts: byte streams with delay, cuts, resets, failed connects and arbitrary
+//! splits.
 //!
-//! [`Network`] carries connections in simulated time: `connect`, `send`, `shut`, `close`, `abort` go in, and
-//! `poll(now)` gives what arrives. [`Links`] alone answers what should happen now, for stand-ins on real
-//! sockets.
+//! [`Network`] carries connections in simulated time: `connect`, `send`, `shut`, `close` and `abort` are its
+//! inputs, and `poll(now)` returns what arrives. [`Links`] alone says which faults apply between two hosts,
+//! for test servers on real sockets.
 //!
-//! What it leaves out: acknowledgements are not modelled, so that a cut of one direction does not fill the
-//! buffers of the other; bytes that were under way when a cut began arrive; there is no congestion control.
+//! Simplifications: acknowledgements are not modelled, so that a cut of one direction does not fill the
+//! buffers of the other; bytes that were in flight when a cut began arrive; there is no congestion control.
 
 mod links;
 mod pipe;
@@ -16,16 +17,16 @@
 
 use bytes::Bytes;
 
-/// A connection.
+/// A connection, by number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Conn(pub u64);
 
 /// One end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Side {
-    /// Who connected.
+    /// The end that connected.
     Client,
-    /// Who accepted.
+    /// The end that accepted.
     Server,
 }
 
@@ -36,28 +37,28 @@
     }
 }
 
-/// What arrives.
+/// Something that arrives at one end of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// A connection has come up at the server.
+    /// A connection is established at the server.
     Accepted {
-        /// Its name.
+        /// The connection.
         conn: Conn,
-        /// Who connected.
+        /// Host that connected.
         from: Host,
-        /// Where.
+        /// Host that accepted.
         to: Host,
     },
-    /// A connection has come up at the client.
+    /// A connection is established at the client.
     Opened(Conn),
-    /// A connect was refused. The connection is no more.
+    /// A connect was refused. The connection no longer exists.
     Refused(Conn),
     /// Bytes at one end, in order.
     Data(Conn, Side, Bytes),
-    /// The other end sends no more.
+    /// The other end has shut down its direction (FIN).
     End(Conn, Side),
-    /// A reset, at one end. The connection is no more.
+    /// A reset at one end. The connection no longer exists.
     Reset(Conn, Side),
-    /// There is room again at the end whose last write was short.
+    /// The end whose last write was short can write again.
     Writable(Conn, Side),
 }
--- a/crates/model/src/network/pipe.rs
+++ b/crates/model/src/network/pipe.rs
@@ -1,4 +1,4 @@
-//! The state of one connection: two ordered ways and what either side has done.
+//! The state of one connection: its two directions and what each side has done.
 
 use std::collections::VecDeque;
 
@@ -7,10 +7,10 @@
 use super::{Fate, Heal, Host, Side};
 use crate::Micros;
 
-/// What travels one way of a connection, in order.
+/// Something sent in one direction of a connection.
 #[derive(Clone, Debug)]
 pub(super) enum Segment {
-    /// The answer to a connect.
+    /// The answer to a connect that succeeds.
     Opened,
     Refused,
     Data(Bytes),
@@ -21,27 +21,27 @@
 /// One direction of a connection.
 #[derive(Debug, Default)]
 pub(super) struct Direction {
-    /// Under way, in order, with the time of arrival.
+    /// Segments in flight, in order, with their times of arrival.
     pub(super) in_flight: VecDeque<(Micros, Segment)>,
-    /// Nothing sent from now on arrives before this.
+    /// Arrival of the last segment; no later one arrives before it.
     pub(super) last_arrival: Micros,
-    /// A wake-up for the first of them is in the heap.
+    /// The arrival of the first segment in flight is scheduled.
     pub(super) scheduled: bool,
-    /// Something was sent into a cut, which does this when it ends.
+    /// Set when something was sent into a cut: what happens when the cut ends.
     pub(super) cut: Option<Heal>,
-    /// What was sent into a cut that resumes.
+    /// Segments sent into a cut with [`Heal::Resume`], to send again.
     pub(super) held: VecDeque<Segment>,
-    /// Bytes that take up buffers.
+    /// Bytes sent and not yet read, which occupy the buffers.
     pub(super) bytes: usize,
-    /// The last write was short.
+    /// The last write was short; the sender waits for `Writable`.
     pub(super) wants_writable: bool,
-    /// The sender has sent its end.
+    /// The sender has sent FIN or a reset.
     pub(super) ended: bool,
-    /// The end has arrived.
+    /// FIN has arrived.
     pub(super) end_received: bool,
-    /// The receiver does not read.
+    /// The receiver has paused reading.
     pub(super) paused: bool,
-    /// The receiver has closed: what arrives is answered by a reset.
+    /// The receiver has closed the connection; data that arrives is answered by a reset.
     pub(super) closed: bool,
     /// The receiver has reset the connection or got a reset.
     pub(super) reset: bool,
@@ -49,11 +49,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// The first packet is under way; what becomes of it is known.
+    /// The first packet is in flight; the outcome is already decided.
     Connecting(Fate),
-    /// The server has heard of it.
+    /// The first packet has arrived at the server.
     Up,
-    /// A connect that does not come up: into a cut that does this at its end, or for another reason.
+    /// The connect is lost: in a cut, with what happens when that ends, or (`None`) for another reason.
     Lost(Option<Heal>),
 }
 
@@ -62,7 +62,7 @@
     pub(super) from: Host,
     pub(super) to: Host,
     pub(super) stage: Stage,
-    /// A machine has lost its memory: what is sent is answered by a reset.
+    /// A machine has lost its state: what is sent is answered by a reset.
     pub(super) peer_lost_state: bool,
     pub(super) to_server: Direction,
     pub(super) to_client: Direction,
@@ -79,7 +79,7 @@
         if to == Side::Server { (self.from, self.to) } else { (self.to, self.from) }
     }
 
-    /// Both sides are done with it, and nothing is under way.
+    /// Whether both sides have finished and nothing is in flight.
     pub(super) fn is_finished(&self) -> bool {
         let (a, b) = (&self.to_server, &self.to_client);
         let done = |here: &Direction, there: &Direction| {
--- a/crates/model/src/network/streams.rs
+++ b/crates/model/src/network/streams.rs
@@ -19,33 +19,33 @@
     /// Each write arrives as one read.
     #[default]
     Whole,
-    /// Pieces of this many bytes at most.
+    /// Each read has at most this many bytes.
     AtMost(usize),
-    /// Pieces of 1 to so many bytes, and at times bytes of several writes in one read.
+    /// Writes are split into pieces of 1 to this many bytes, and one read may take bytes of several writes.
     Random(usize),
 }
 
-/// How the network behaves.
+/// Settings of the network.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NetworkPlan {
     /// Hosts and delays.
     pub links: LinksPlan,
     /// How streams are cut into reads.
     pub split: Split,
-    /// Bytes that one direction of a connection holds, from the write to the read: both ends' buffers.
+    /// Capacity in bytes of one direction of a connection, from write to read: the buffers of both ends.
     pub buffer: usize,
-    /// Writes are taken only in part, drawn, even where there is room.
+    /// Whether writes are accepted only in part, by a random draw, even if the buffers have space.
     pub short_writes: bool,
-    /// Bytes a second that each host sends.
+    /// Bytes per second that each host can send; `None`: no limit.
     pub bandwidth: Option<u64>,
 }
 
-/// What is due in the heap.
+/// A scheduled arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     /// The first packet of a connect arrives at the server.
     Connect(Conn),
-    /// The first thing under way to that side arrives.
+    /// The first segment in flight to that side arrives.
     Arrival(Conn, Side),
 }
 
@@ -58,14 +58,14 @@
     due: BinaryHeap<Reverse<(Micros, u64, Due)>>,
     sequence: u64,
     made: u64,
-    /// When each host has sent what it has to send.
+    /// When each host has finished sending, under a bandwidth limit.
     idle_at: FxHashMap<Host, Micros>,
     ready: VecDeque<Delivery>,
     draws: ChaCha8Rng,
 }
 
 impl Network {
-    /// No connections, no faults.
+    /// Creates a network without connections and faults.
     pub fn new(plan: NetworkPlan, seed: u64) -> Self {
         Self {
             links: Links::new(plan.links.clone(), seed),
@@ -80,22 +80,23 @@
         }
     }
 
-    /// The links, to ask.
+    /// The links between hosts.
     pub fn links(&self) -> &Links {
         &self.links
     }
 
-    /// One more host.
+    /// Adds a host to a zone.
     pub fn add_host(&mut self, zone: u16) -> Host {
         self.links.add_host(zone)
     }
 
-    /// Connections in any state.
+    /// Number of connections in any state.
     pub fn connections(&self) -> usize {
         self.pipes.len()
     }
 
-    /// Begins a connection. `Opened`, `Refused` or `Reset` is delivered to the client, or nothing ever.
+    /// Starts a connect. `Opened`, `Refused` or `Reset` is delivered to the client, or nothing if the connect
+    /// is lost.
     pub fn connect(&mut self, now: Micros, from: Host, to: Host) -> Conn {
         let conn = Conn(self.made);
         self.made += 1;
@@ -119,8 +120,8 @@
         self.push(at, Due::Connect(conn));
     }
 
-    /// Writes bytes at one end: how many were taken. If fewer than given, `Writable` follows when there is
-    /// room.
+    /// Writes bytes at one end and returns how many were accepted. If not all were, `Writable` follows when
+    /// the buffers have space.
     pub fn send(&mut self, now: Micros, conn: Conn, side: Side, bytes: &[u8]) -> usize {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return 0 };
         let (gone, to) = (pipe.direction(side).reset, side.other());
@@ -147,7 +148,7 @@
         taken
     }
 
-    /// Sends the end at one side, behind what it sent. It still reads.
+    /// Shuts down the sending direction of one side (FIN after its data). That side can still read.
     pub fn shut(&mut self, now: Micros, conn: Conn, side: Side) {
         let Some(direction) = self.pipes.get_mut(&conn).map(|pipe| pipe.direction(side.other())) else {
             return;
@@ -157,8 +158,9 @@
         }
     }
 
-    /// Closes one side for good. As with sockets, bytes that are there unread, or come later, are answered by
-    /// a reset; else the other side gets the end behind what was sent. A connect not yet up is given up.
+    /// Closes one side completely. As with sockets, unread bytes and bytes that arrive later are answered by
+    /// a reset; otherwise the other side gets FIN after the data. A connect that is not established is
+    /// abandoned.
     pub fn close(&mut self, now: Micros, conn: Conn, side: Side) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         if pipe.stage != Stage::Up {
@@ -205,16 +207,16 @@
         }
     }
 
-    /// One side stops or resumes reading. What is sent to it stays in the buffers, and so does news of an
-    /// end.
+    /// One side stops or resumes reading. Data sent to it stays in the buffers meanwhile, and so do FIN and
+    /// resets.
     pub fn pause(&mut self, conn: Conn, side: Side, paused: bool) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         pipe.direction(side).paused = paused;
         self.schedule(conn, side);
     }
 
-    /// The process on a host dies: its connections are reset. Switch [`Fault::Refuse`] on as well, until it
-    /// is back.
+    /// The process on a host dies and its connections are reset. The caller switches [`Fault::Refuse`] on as
+    /// well until the process is back.
     pub fn kill(&mut self, now: Micros, host: Host) {
         for conn in self.sorted(|_, pipe| pipe.from == host || pipe.to == host) {
             let Some(pipe) = self.pipes.get(&conn) else { continue };
@@ -223,7 +225,7 @@
         }
     }
 
-    /// Resets the open connections between two ends: each side gets one.
+    /// Resets the open connections between two sets of hosts; both sides receive a reset.
     pub fn reset_between(&mut self, now: Micros, a: Which, b: Which) {
         let up = self.sorted(|links, pipe| {
             let (from, to) = (pipe.from, pipe.to);
@@ -242,7 +244,7 @@
         self.links.begin(from, to, both, fault)
     }
 
-    /// Switches a fault off. Where a cut ends, connections go on as its [`Heal`] says.
+    /// Switches a fault off. After a cut, connections continue as its [`Heal`] says.
     pub fn end(&mut self, now: Micros, id: FaultId) {
         let Some(ended) = self.links.take(id) else { return };
         let Fault::Cut(heal) = ended.fault else { return };
@@ -290,7 +292,7 @@
         }
     }
 
-    /// What was sent to a side met a machine that knows nothing of it.
+    /// Answers what was sent to a side by a reset, because that machine has lost its state.
     fn answer_by_reset(&mut self, now: Micros, conn: Conn, to: Side) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         pipe.peer_lost_state = false;
@@ -300,7 +302,7 @@
         self.transmit(back, conn, to.other(), Segment::Reset);
     }
 
-    /// The next thing that arrives by now.
+    /// Returns the next delivery by the given time.
     pub fn poll(&mut self, now: Micros) -> Option<Delivery> {
         loop {
             if let Some(ready) = self.ready.pop_front() {
@@ -318,7 +320,7 @@
         }
     }
 
-    /// When the next thing arrives; a time long past if something has.
+    /// Returns when the next arrival is due, or a time in the past if a delivery is ready.
     pub fn next(&self) -> Option<Micros> {
         if !self.ready.is_empty() {
             return Some(Micros::MIN);
@@ -326,7 +328,8 @@
         self.due.peek().map(|due| due.0.0)
     }
 
-    /// Connections in order, as tables are never walked in theirs.
+    /// Matching connections sorted by number, since the iteration order of a hash table must not affect a
+    /// run.
     fn sorted(&self, keep: impl Fn(&Links, &Pipe) -> bool) -> Vec<Conn> {
         let kept = self.pipes.iter().filter(|(_, pipe)| keep(&self.links, pipe));
         let mut found: Vec<Conn> = kept.map(|(conn, _)| *conn).collect();
@@ -339,7 +342,7 @@
         self.sequence += 1;
     }
 
-    /// The first packet of a connect arrives.
+    /// Handles the arrival of the first packet of a connect.
     fn on_connect_packet(&mut self, at: Micros, conn: Conn) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         let Stage::Connecting(fate) = pipe.stage else { return };
@@ -362,7 +365,7 @@
         self.transmit(at, conn, Side::Client, answer);
     }
 
-    /// Sends something towards a side, behind what is under way.
+    /// Sends a segment towards a side, after those in flight.
     fn transmit(&mut self, now: Micros, conn: Conn, to: Side, segment: Segment) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         let (a, b) = pipe.hosts(to);
@@ -391,7 +394,7 @@
         self.schedule(conn, to);
     }
 
-    /// Wakes up for what arrives next at a side, unless that is arranged or the side does not read.
+    /// Schedules the next arrival at a side, unless one is scheduled or the side does not read.
     fn schedule(&mut self, conn: Conn, to: Side) {
         let Some(direction) = self.pipes.get_mut(&conn).map(|pipe| pipe.direction(to)) else { return };
         if direction.scheduled || direction.paused {
@@ -417,7 +420,7 @@
                 self.pipes.remove(&conn);
                 self.ready.push_back(Delivery::Refused(conn));
             }
-            // It met a machine that knows nothing of the connection, and was answered by a reset.
+            // The receiver no longer knows the connection and has answered by a reset.
             Segment::Data(_) if direction.reset => {}
             Segment::Data(bytes) => self.data(at, now, conn, to, bytes),
             Segment::Fin => {
--- a/crates/model/src/network/streams/tests.rs
+++ b/crates/model/src/network/streams/tests.rs
@@ -15,7 +15,7 @@
     Network::new(plan, 5)
 }
 
-/// All that arrives until a time, with when.
+/// All deliveries until the given time, with their times.
 fn until(net: &mut Network, end: Micros) -> Vec<(Micros, Delivery)> {
     let mut seen = Vec::new();
     while let Some(at) = net.next().filter(|at| *at <= end) {
@@ -34,7 +34,7 @@
     data.flatten().collect()
 }
 
-/// A connection that is up at time 10,000, and nothing else under way.
+/// Opens a connection that is established by time 10,000, with nothing else in flight.
 fn open(net: &mut Network) -> Conn {
     let conn = net.connect(0, CLIENT, SERVER);
     let seen = until(net, 10_000);
@@ -52,10 +52,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// However writes are split, cut short and delayed, each side gets the other's bytes in order and whole,
-    /// and the end behind them; the connection is then forgotten.
+    /// However writes are split, accepted in part and delayed, each side gets all of the other's bytes in
+    /// order and then FIN, and the connection is removed.
     #[test]
-    fn bytes_arrive_whole_and_in_order(
+    fn all_bytes_arrive_in_order(
         writes in proptest::collection::vec((0i64..3000, any::<bool>(), 1usize..400), 1..40),
         split in prop_oneof![Just(Split::Whole), (1usize..50).prop_map(Split::AtMost), (1usize..90).prop_map(Split::Random)],
         buffer in 1usize..2000,
@@ -93,7 +93,7 @@
                     waiting[i].drain(..taken);
                 }
                 let Some(at) = net.next().filter(|at| *at <= end) else { break };
-                prop_assert!(at >= now, "nothing is due before what has come");
+                prop_assert!(at >= now, "an arrival is due before the present time");
                 now = at;
                 while let Some(delivery) = net.poll(now) {
                     if let Delivery::Data(_, side, bytes) = delivery {
@@ -119,10 +119,11 @@
 }
 
 #[test]
-fn a_cut_is_silent_and_heals_as_stated() {
+fn a_cut_is_silent_and_heals_as_configured() {
     let ask = b"ask".as_slice();
     let cases = [
-        // What comes of bytes sent into the cut once it ends, and of a connect made meanwhile.
+        // After the cut: the bytes of a write made during it that arrive, whether the connection and a
+        // connect made meanwhile are reset, and whether that connect succeeds.
         (Heal::Resume, ask.to_vec(), false, true),
         (Heal::Stay, Vec::new(), false, false),
         (Heal::Reset, Vec::new(), true, false),
@@ -141,7 +142,8 @@
         assert_eq!(has(Delivery::Reset(conn, Side::Client)), reset, "{heal:?}: {seen:?}");
         assert_eq!(has(Delivery::Reset(late, Side::Client)), reset, "{heal:?}: {seen:?}");
         assert_eq!(has(Delivery::Opened(late)), connects, "{heal:?}: {seen:?}");
-        // The way back was not used meanwhile: it works, unless a machine has lost its memory.
+        // Nothing was sent in the other direction during the cut: it works, unless a machine has lost its
+        // state.
         net.send(61_000_000, conn, Side::Server, b"answer");
         let seen = until(&mut net, 62_000_000);
         assert_eq!(bytes(&seen, Side::Client).is_empty(), reset, "{heal:?}: {seen:?}");
@@ -149,7 +151,7 @@
 }
 
 #[test]
-fn a_cut_of_one_direction_leaves_the_other() {
+fn a_cut_of_one_direction_leaves_the_other_intact() {
     let mut net = network(Split::Whole, |_| {});
     let conn = open(&mut net);
     net.begin(Which::Host(SERVER), Which::Host(CLIENT), false, Fault::Cut(Heal::Stay));
@@ -160,7 +162,7 @@
 }
 
 #[test]
-fn connects_fail_as_their_fate_is() {
+fn connects_fail_as_the_fault_says() {
     for (fault, wanted) in [
         (Fault::Refuse, Some(Delivery::Refused(Conn(0)))),
         (Fault::ResetNew, Some(Delivery::Reset(Conn(0), Side::Client))),
@@ -181,7 +183,7 @@
 }
 
 #[test]
-fn deaths_and_closes_reset_as_sockets_do() {
+fn kills_and_closes_reset_as_sockets_do() {
     let mut net = network(Split::Whole, |_| {});
     let killed = open(&mut net);
     net.kill(10_000, SERVER);
@@ -190,7 +192,7 @@
         matches!(seen.as_slice(), [(_, Delivery::Reset(conn, Side::Client))] if *conn == killed),
         "{seen:?}"
     );
-    // Closed with bytes unread; closed before bytes come; closed with none.
+    // Closed with unread bytes; closed before the bytes arrive; closed without any.
     for (send, wait, reset) in [(true, 5000, true), (true, 0, true), (false, 0, false)] {
         let mut net = network(Split::Whole, |_| {});
         let conn = open(&mut net);
@@ -215,7 +217,7 @@
 }
 
 #[test]
-fn a_reader_that_stops_fills_the_buffers() {
+fn a_paused_reader_fills_the_buffers() {
     let mut net = network(Split::Whole, |plan| plan.buffer = 100);
     let conn = open(&mut net);
     net.pause(conn, Side::Server, true);
--- a/crates/model/tests/servers/caching.rs
+++ b/crates/model/tests/servers/caching.rs
@@ -1,4 +1,4 @@
-//! Hit shares against theory, under independent draws from a Zipf distribution.
+//! Hit ratios compared with theory, for independent draws from a Zipf distribution.
 
 use lapisrudder_model::draw::stream;
 use lapisrudder_model::server::*;
@@ -16,8 +16,8 @@
     weights.iter().map(|w| w / sum).collect()
 }
 
-/// Share of hits when the probability that a key is kept is `kept(p, t)`, with `t` such that `places` keys
-/// are kept on average (the fixed point that Che's and the FIFO approximation have in common).
+/// Hit ratio if a key of popularity `p` is stored with probability `kept(p, t)`, with `t` such that `places`
+/// keys are stored on average (the fixed point that Che's and the FIFO approximation share).
 fn theory(popularity: &[f64], places: f64, kept: &dyn Fn(f64, f64) -> f64) -> f64 {
     let (mut low, mut high) = (0.0_f64, 1e12_f64);
     for _ in 0..200 {
@@ -28,7 +28,7 @@
     popularity.iter().map(|p| p * kept(*p, low)).sum()
 }
 
-/// Share of hits of the server once it is full; a miss is filled before the next read.
+/// Hit ratio of the server once it is full. Each miss is filled before the next read.
 fn measured(popularity: &[f64], places: u64, eviction: Eviction) -> f64 {
     let mut sum = 0.0;
     let up_to: Vec<f64> = popularity.iter().map(|p| (sum += p, sum).1).collect();
@@ -56,10 +56,10 @@
 }
 
 #[test]
-fn hit_shares_are_ches_and_gelenbes() {
+fn hit_ratios_match_che_and_gelenbe() {
     let popularity = zipf(0.8);
     for places in [100, 500, 2000, 5000] {
-        // Che, Tung and Wang 2002: kept if asked for within the characteristic time, 1 - exp(-p t).
+        // Che, Tung and Wang 2002: stored if read within the characteristic time, 1 - exp(-p t).
         let lru = theory(&popularity, places as f64, &|p, t| 1.0 - (-p * t).exp());
         // Gelenbe 1973: FIFO keeps what random eviction does; with the mean-field time (Martina et al. 2014)
         // p t / (1 + p t).
@@ -67,9 +67,9 @@
         for (eviction, theory) in [(Eviction::Lru, lru), (Eviction::Fifo, fifo)] {
             let got = measured(&popularity, places, eviction);
             println!("{eviction:?}, {places} places: {got:.4}, theory {theory:.4}");
-            // Standard error of 200,000 draws: 0.0011 at most; the rest for the approximation.
+            // The standard error of 200,000 draws is at most 0.0011; the rest is for the approximation.
             assert!((got - theory).abs() < 0.006, "{eviction:?}, {places} places: {got}, theory {theory}");
         }
-        assert!(lru > fifo + 0.006, "the test tells one from the other");
+        assert!(lru > fifo + 0.006, "the theories differ by more than the tolerance");
     }
 }
--- a/crates/model/tests/servers/harness.rs
+++ b/crates/model/tests/servers/harness.rs
@@ -1,4 +1,4 @@
-//! One server on a virtual clock.
+//! Runs one server on a virtual clock.
 
 use lapisrudder_model::Micros;
 use lapisrudder_model::server::*;
@@ -9,7 +9,7 @@
     pub now: Micros,
 }
 
-/// A cache server that has run for long.
+/// A warm cache server.
 pub fn cache(config: &CacheConfig) -> Rig<Cache> {
     Rig { server: CacheServer::new(config, Uid(1), 1, true, 0).unwrap(), now: 0 }
 }
@@ -30,7 +30,7 @@
 }
 
 impl<K: Storage> Rig<K> {
-    /// Takes an event at that time; all orders by then.
+    /// Handles an event at the given time; returns all orders until then.
     pub fn at(&mut self, now: Micros, event: Event) -> Vec<Order> {
         let mut orders = self.run_to(now);
         self.server.handle(now, event);
@@ -42,7 +42,7 @@
         std::iter::from_fn(|| self.server.poll(self.now)).collect()
     }
 
-    /// Goes from one due time to the next up to that time; all orders by then.
+    /// Polls at each due time up to the given time; returns all orders.
     pub fn run_to(&mut self, until: Micros) -> Vec<Order> {
         let mut orders = Vec::new();
         while let Some(due) = self.server.next().filter(|due| *due <= until) {
--- a/crates/model/tests/servers/histories.rs
+++ b/crates/model/tests/servers/histories.rs
@@ -1,5 +1,5 @@
-//! Random histories: no request is lost, answers keep their order, books add up, a slot is never free while
-//! somebody waits, and neither a second run nor a late caller changes anything.
+//! Random histories: no request is lost, answers keep their order, the counters add up, no slot is free while
+//! a request waits, and neither a second run nor a caller that polls late changes the result.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,7 +11,7 @@
 
 use super::harness::*;
 
-/// What the other side knows of its connections: the requests without an answer, and whether nothing more can
+/// The clients' view: for each open connection the unanswered requests, and whether no further answer can
 /// come.
 #[derive(Default)]
 struct Sent {
@@ -29,7 +29,7 @@
         match order.act {
             Act::Answer(answered) => {
                 let (waiting, stuck) = self.open.get_mut(&answered.conn.0).expect("an open connection");
-                assert!(!*stuck, "{order:?} behind what ended the use of its connection");
+                assert!(!*stuck, "{order:?} after a missing or corrupt answer on its connection");
                 assert_eq!(waiting.pop_front(), Some(answered.request.0), "out of order, or twice");
                 *stuck = answered.answer == Answer::Nothing || answered.noise.is_some_and(Noise::spoils);
             }
@@ -56,7 +56,7 @@
     Fault(Fault),
 }
 
-/// Plays the steps, and lets the server come to rest. `lazy`: orders are taken only when something happens.
+/// Runs the steps, then lets the server finish. `lazy`: orders are polled only when an event happens.
 fn play<K: Storage>(
     server: Server<K>,
     machine: &Machine,
@@ -112,7 +112,10 @@
         assert!(stats.in_work <= machine.slots && stats.waiting <= machine.waiting_room);
         assert!(stats.connections <= machine.connections.cap);
         let paused = rig.server.paused_until().is_some();
-        assert!(paused || stats.waiting == 0 || stats.in_work == machine.slots, "a free slot, and one waits");
+        assert!(
+            paused || stats.waiting == 0 || stats.in_work == machine.slots,
+            "a slot is free while a request waits"
+        );
         let ended = stats.answered + stats.client_gone + stats.dropped + stats.lost;
         assert_eq!(stats.requests, ended + u64::from(stats.held), "{stats:?}");
     }
@@ -212,7 +215,7 @@
     })]
 
     #[test]
-    fn cache_servers_lose_nothing(machine in machine(), steps in steps(), carry_out: bool, cold: bool) {
+    fn cache_servers_lose_no_request(machine in machine(), steps in steps(), carry_out: bool, cold: bool) {
         let tip = Some(OverloadThreshold { multiple: 3.0, window_us: 500 });
         let warm_up = WarmUp { start: 0.2, full_after_us: 5000, full_after_work_us: Some(2000.0), tip };
         let writes = if carry_out { Writes::CarryOut } else { Writes::Miss };
@@ -224,7 +227,7 @@
     }
 
     #[test]
-    fn origins_lose_nothing(machine in machine(), steps in steps(), resets: bool) {
+    fn origins_lose_no_request(machine in machine(), steps in steps(), resets: bool) {
         let tip = OverloadThreshold { multiple: 2.0, window_us: 500 };
         let overdriven = Some(OverloadOutage { tip, down: Dist::Exp(300.0), resets, most: 3 });
         let config = OriginConfig { machine, overdriven, ..OriginConfig::default() };
--- a/crates/model/tests/servers/main.rs
+++ b/crates/model/tests/servers/main.rs
@@ -1,4 +1,4 @@
-//! The servers of the model against theory and against their own rules.
+//! Tests of the server models against queueing and caching theory and against their own rules.
 
 mod caching;
 mod harness;
--- a/crates/model/tests/servers/queueing.rs
+++ b/crates/model/tests/servers/queueing.rs
@@ -1,4 +1,4 @@
-//! Waiting times against queueing theory, and Little's law on the books.
+//! Waiting times compared with queueing theory, and Little's law on the counters.
 
 use lapisrudder_model::draw::stream;
 use lapisrudder_model::server::*;
@@ -8,16 +8,16 @@
 
 const MEAN_US: f64 = 10_000.0;
 
-/// Draws the work of a request, µs, from draws in (0, 1].
+/// Draws the work of a request in µs, from uniform draws in (0, 1].
 type Work<'a> = &'a dyn Fn(&mut dyn FnMut() -> f64) -> f64;
 
 struct Run {
-    /// Arrival, work and answer of each request, µs.
+    /// Arrival time, work and answer time of each request, µs.
     requests: Vec<(i64, f64, i64)>,
     stats: ServerStats,
 }
 
-/// Poisson arrivals at that share of the capacity, each on a connection of its own.
+/// Runs Poisson arrivals at the given share of the capacity, each on its own connection.
 fn run(cores: u32, slots: u32, load: f64, work: Work, n: usize) -> Run {
     let connections = Connections { cap: u32::MAX, idle_us: None, ..Connections::default() };
     let machine = Machine { cores, slots, waiting_room: u32::MAX, connections, ..Machine::default() };
@@ -48,7 +48,7 @@
     -unit().ln() * MEAN_US
 }
 
-/// Erlang 1917: the share that waits in M/M/c, with `a` = arrival rate over service rate.
+/// Erlang 1917: the probability of waiting in M/M/c, with `a` = arrival rate / service rate.
 fn erlang_c(servers: u32, a: f64) -> f64 {
     let c = f64::from(servers);
     // B(0) = 1, B(k) = a B(k-1) / (k + a B(k-1)); C = c B / (c - a (1 - B)).
@@ -56,17 +56,17 @@
     c * b / (c - a * (1.0 - b))
 }
 
-/// Mean wait over the theory's, less one.
+/// Relative deviation of the mean wait from theory.
 fn off(run: &Run, theory_us: f64) -> f64 {
     run.stats.waited_us / run.stats.begun as f64 / theory_us - 1.0
 }
 
 #[test]
-fn waits_in_m_m_c_are_erlangs() {
-    // Tolerance: four standard errors. In M/M/1 the variance of the mean number held over a run of t service
-    // times is 2 (1 + 4r - 4r² + r³) / (r (1 - r)² t) of its square (Whitt 1989, Planning queueing
-    // simulations). While all c cores are busy, M/M/c is an M/M/1 with a core c times as fast, so the same t
-    // is taken for it.
+fn waits_in_m_m_c_match_erlang() {
+    // Tolerance: four standard errors. In M/M/1 the relative variance of the mean number held, over a run of
+    // t service times, is 2 (1 + 4r - 4r² + r³) / (r (1 - r)² t) (Whitt 1989, Planning queueing simulations).
+    // While all c cores are busy, M/M/c behaves as M/M/1 with a core c times as fast, so the same t is used
+    // for it.
     for cores in [1, 4] {
         for (load, n) in [(0.5, 150_000), (0.7, 200_000), (0.9, 400_000)] {
             let got = run(cores, cores, load, &exponential, n);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn waits_in_m_d_1_are_pollaczeks_and_khinchines() {
+fn waits_in_m_d_1_match_pollaczek_khinchine() {
     for load in [0.5, 0.8] {
         let got = run(1, 1, load, &|_| MEAN_US, 200_000);
         // Mean wait = r (1 + cv²) / (2 (1 - r)) service times, with cv = 0. Waits vary less than in M/M/1.
@@ -93,10 +93,10 @@
     }
 }
 
-/// First come first served on c cores, request by request and to the µs: Kiefer and Wolfowitz 1955 (Lindley
-/// 1952 for one core).
+/// First come, first served on c cores, exact to the µs for each request: the recursion of Kiefer and
+/// Wolfowitz 1955 (Lindley 1952 for one core).
 #[test]
-fn each_answer_comes_when_the_recursion_says() {
+fn each_answer_time_matches_the_kiefer_wolfowitz_recursion() {
     for cores in [1u32, 3] {
         let got = run(cores, cores, 0.85, &|unit| exponential(unit).round(), 20_000);
         let mut free_at = vec![0; cores as usize];
@@ -129,16 +129,19 @@
 }
 
 #[test]
-fn littles_law_holds_on_the_books() {
+fn littles_law_holds_on_the_counters() {
     let got = run(4, 6, 0.8, &exponential, 20_000);
     let ServerStats { requests, answered, sojourn_us, held_integral_us, held, at, .. } = got.stats;
     assert_eq!((requests, answered, held), (20_000, 20_000, 0));
-    // Little 1961: mean number held = rate x mean time; with nothing left over it is an identity.
+    // Little 1961: mean number held = rate x mean time. With no request left at the end it is an identity.
     let (number, rate, time) =
         (held_integral_us / at as f64, answered as f64 / at as f64, sojourn_us / answered as f64);
     assert!((number / (rate * time) - 1.0).abs() < 1e-9, "{number} held, {rate} x {time}");
     let seen: i64 = got.requests.iter().map(|(from, _, to)| to - from).sum();
-    assert!((sojourn_us / seen as f64 - 1.0).abs() < 1e-3, "{sojourn_us} by the books, {seen} seen");
+    assert!((sojourn_us / seen as f64 - 1.0).abs() < 1e-3, "{sojourn_us} by the counters, {seen} seen");
     let asked: f64 = got.requests.iter().map(|r| r.1).sum();
-    assert!((got.stats.work_done_us / asked - 1.0).abs() < 1e-6, "no work is lost or made up");
+    assert!(
+        (got.stats.work_done_us / asked - 1.0).abs() < 1e-6,
+        "the work done differs from the work requested"
+    );
 }
--- a/crates/model/tests/servers/rules.rs
+++ b/crates/model/tests/servers/rules.rs
@@ -1,4 +1,4 @@
-//! Each rule of a server caused and seen, with figures worked out by hand.
+//! Each rule of a server in a minimal case, with results calculated by hand.
 
 use lapisrudder_model::Micros;
 use lapisrudder_model::origin::Origin;
@@ -9,7 +9,7 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// One core and one slot, and what the change makes of it.
+/// A cache server with one core and one slot, after the given change.
 fn single(change: impl FnOnce(&mut Machine)) -> CacheConfig {
     let mut machine = Machine { cores: 1, slots: 1, waiting_room: 100, ..Machine::default() };
     change(&mut machine);
@@ -34,12 +34,13 @@
 }
 
 #[test]
-fn a_cold_server_falls_just_over_the_rule_and_stays_down() {
-    // Capacity 0.25 (it hardly warms), 3 times, 2 s: 1.5 s of work in any 2 s.
+fn a_cold_server_crashes_above_the_threshold_and_stays_down() {
+    // Capacity 0.25 (warm-up is negligible) x 3 x 2 s allows 1.5 s of work in any 2 s.
     let tip = Some(OverloadThreshold { multiple: 3.0, window_us: 2 * SECOND });
     let warm_up = WarmUp { start: 0.25, full_after_us: 1_000_000 * SECOND, full_after_work_us: None, tip };
     let config = CacheConfig { warm_up, ..single(|m| m.waiting_room = 2) };
-    // When the sixteenth piece of 0.1 s comes, after fifteen at 0; whether the server has run for long.
+    // Time of the sixteenth request of 0.1 s of work after fifteen at 0, whether the server is warm, whether
+    // it crashes.
     for (at, warm, falls) in
         [(0, false, true), (2 * SECOND - 1, false, true), (2 * SECOND, false, false), (0, true, false)]
     {
@@ -52,7 +53,7 @@
         let overload_ratio = rig.server.stats(0).overload_ratio;
         assert!(
             (overload_ratio - if warm { 0.0 } else { 1.0 }).abs() < 1e-6,
-            "what is turned away counts: {overload_ratio}"
+            "rejected requests count: {overload_ratio}"
         );
         assert_eq!(rig.server.state(), State::Up);
         let orders = acts(&ask(&mut rig, at, 0, 15, 1e5));
@@ -72,8 +73,8 @@
 
 #[test]
 fn capacity_rises_with_time_or_with_work() {
-    // Work of 1 s. By time: the integral of 0.25 + 0.75 t / 20 is 1 at 3.2216 s. By work: s' = 0.25 + 0.75 s
-    // / 10 gives s = (e^(0.075 t) - 1) / 0.3, which is 1 at ln(1.3) / 0.075 = 3.4982 s.
+    // A request of 1 s of work. By time: the integral of 0.25 + 0.75 t / 20 is 1 at 3.2216 s. By work:
+    // s' = 0.25 + 0.75 s / 10 gives s = (e^(0.075 t) - 1) / 0.3, which is 1 at ln(1.3) / 0.075 = 3.4982 s.
     for (work, full_after_us, end) in [(None, 20 * SECOND, 3.2216), (Some(1e7), 100_000 * SECOND, 3.4982)] {
         let warm_up = WarmUp { start: 0.25, full_after_us, full_after_work_us: work, tip: None };
         let mut rig = cache(&CacheConfig { warm_up, ..single(|_| ()) });
@@ -81,14 +82,14 @@
         rig.connect(0..1);
         ask(&mut rig, 0, 0, 1, 1e6);
         let at = when(&rig.run_to(10 * SECOND))[0].0 as f64 / 1e6;
-        assert!((at / end - 1.0).abs() < 2e-3, "{work:?}: {at}, worked out {end}");
+        assert!((at / end - 1.0).abs() < 2e-3, "{work:?}: {at}, expected {end}");
     }
 }
 
 #[test]
 fn answers_of_a_connection_keep_their_order() {
-    // Cores, requests at once on a connection, connections of a request of 100 µs and one of 10; when they
-    // end.
+    // Cores, maximum of requests at once on a connection, connections of a request of 100 µs and one of 10
+    // µs; times and ids of the answers.
     for (cores, at_once, conns, ends) in [
         (2, 32, [0, 0], [(100, 1), (100, 2)]),
         (2, 1, [0, 0], [(100, 1), (110, 2)]),
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn beyond_the_waiting_room_and_over_time_is_busy() {
+fn a_full_queue_and_a_passed_deadline_give_busy() {
     for (busy_work_us, turned_away) in [(0.0, 0), (20.0, 40)] {
         let mut rig = cache(&single(|m| {
             (m.waiting_room, m.drops_expired, m.busy_work_us) = (1, true, busy_work_us);
@@ -117,7 +118,7 @@
         rig.at(0, Event::Request(Request { left_us: Some(100), ..read(1, 2, 2, 100.0) }));
         let mut orders = ask(&mut rig, 0, 2, 3, 100.0);
         orders.extend(rig.run_to(1000));
-        // Turning the third away shares the core with the first, and then the second is turned away alone.
+        // Rejecting the third shares the core with the first; the second is then rejected alone.
         let first = 100 + busy_work_us as i64;
         let expected = [
             (turned_away, 3, Answer::Busy(BusyReason::Full)),
@@ -129,32 +130,33 @@
 }
 
 #[test]
-fn a_clock_that_steps_back_moves_nothing() {
+fn a_clock_that_steps_back_is_ignored() {
     let mut rig = cache(&single(|_| ()));
     rig.connect(0..1);
     ask(&mut rig, 0, 0, 1, 100.0);
     assert_eq!(when(&rig.run_to(150)), [(100, 1)]);
-    // The last it was told is 100.
+    // The last time given to the server is 100, from its last poll.
     rig.server.handle(20, Event::Connect(ConnId(1)));
     assert_eq!(rig.server.poll(30), Some(Order { at: 100, act: Act::Accepted(ConnId(1)) }));
 }
 
 #[test]
-fn nobody_overtakes_the_waiting_room() {
+fn no_request_overtakes_the_waiting_queue() {
     let mut rig = cache(&single(|m| (m.drops_expired, m.connections.at_once) = (true, 1)));
     rig.connect(0..3);
     ask(&mut rig, 0, 0, 1, 100.0);
     rig.at(0, Event::Request(Request { left_us: Some(50), ..read(1, 2, 2, 100.0) }));
-    // Unread behind the second, and read when that is turned away: then there is a free slot, and the fourth
-    // waits.
+    // The third is unread behind the second, and read when that is rejected: a slot is free then, and the
+    // fourth waits.
     ask(&mut rig, 0, 1, 3, 100.0);
     ask(&mut rig, 0, 2, 4, 100.0);
     assert_eq!(when(&rig.run_to(1000)), [(100, 1), (100, 2), (200, 4), (300, 3)]);
 }
 
 #[test]
-fn work_that_nobody_waits_for_goes_on_or_is_dropped() {
-    // One in work, one waiting, both given up at 10; when a third of 100 µs ends, and the books.
+fn requests_of_closed_connections_continue_or_are_dropped() {
+    // One request in work and one waiting, both connections closed at 10; end of a third request of 100 µs,
+    // and the counters.
     for (abandoned, end, client_gone, dropped) in
         [(Abandoned::GoesOn, 300, 2, 0), (Abandoned::DropWaiting, 200, 1, 1), (Abandoned::Drop, 110, 0, 2)]
     {
@@ -184,7 +186,7 @@
     rig.connect(0..3);
     ask(&mut rig, 0, 0, 1, 100.0);
     fault(&mut rig, 50, Fault::Pause { until: 1000 });
-    assert_eq!(ask(&mut rig, 60, 1, 2, 10.0), [], "not even turned away");
+    assert_eq!(ask(&mut rig, 60, 1, 2, 10.0), [], "not even rejected");
     assert_eq!(rig.at(70, Event::Connect(ConnId(9)))[0].act, Act::Accepted(ConnId(9)), "the backlog accepts");
     let orders = rig.run_to(2000);
     assert_eq!(answers(&orders)[0], (1000, 2, Answer::Busy(BusyReason::Full)));
@@ -193,22 +195,22 @@
     assert_eq!(
         closes,
         [1000, 1000, 1300, 1350],
-        "idle ones at the pause's end, used ones 300 after their use"
+        "idle connections at the end of the pause, used ones 300 µs after their last answer"
     );
 }
 
 #[test]
-fn pauses_of_its_own_take_their_share() {
+fn spontaneous_pauses_take_their_share_of_time() {
     let pauses = Pauses { every: Dist::Exp(900.0), length: Dist::Fixed(100.0), grow: 0.0 };
     let mut rig = cache(&single(|m| m.pauses = Some(pauses)));
     rig.connect(0..1);
     ask(&mut rig, 0, 0, 1, 9e6);
     let at = when(&rig.run_to(60 * SECOND))[0].0 as f64;
-    assert!((at / 1e7 - 1.0).abs() < 0.02, "nine tenths of the time are left: {at}");
+    assert!((at / 1e7 - 1.0).abs() < 0.02, "nine tenths of the time are available: {at}");
 }
 
 #[test]
-fn idle_connections_close_with_and_without_telling() {
+fn idle_connections_close_as_configured() {
     for kind in [CloseKind::Fin, CloseKind::Rst, CloseKind::Silent] {
         let mut rig =
             cache(&single(|m| (m.connections.idle_us, m.connections.idle_close) = (Some(500), kind)));
@@ -223,14 +225,14 @@
         assert_eq!(
             acts(&ask(&mut rig, 5000, 0, 2, 1.0)),
             [closed(0, CloseKind::Rst)],
-            "what comes later is reset"
+            "a later request is answered by a reset"
         );
         assert_eq!((rig.server.stats(5000).idle_closed, rig.server.stats(5000).connections), (2, 0));
     }
 }
 
 #[test]
-fn the_connection_table_has_a_cap_and_a_price() {
+fn the_connection_table_has_a_limit_and_a_cost() {
     let mut rig = cache(&single(|m| {
         m.connections.cap = 2;
         m.connections.full_loss = 0.5;
@@ -239,7 +241,8 @@
     }));
     rig.connect(0..1);
     ask(&mut rig, 0, 0, 1, 75.0);
-    // Half full: speed 0.75. The handshake takes 133.3, then the wait, then the request's 100.
+    // Half full: speed 0.75. The handshake takes 133.3 µs, then come the wait of 30 µs and the request with
+    // 100 µs.
     assert_eq!(when(&rig.run_to(1000)), [(264, 1)]);
     rig.connect(1..2);
     assert_eq!(acts(&rig.at(1000, Event::Connect(ConnId(2)))), [Act::Refused(ConnId(2))]);
@@ -257,8 +260,9 @@
 }
 
 #[test]
-fn crowding_and_slowness_cost_speed() {
-    // Four held on one core, from two on a quarter less for each: divided by 1.5; at half speed.
+fn concurrency_and_slowness_reduce_speed() {
+    // Four requests held on one core, with a loss of 0.25 for each above two: speed divided by 1.5, and half
+    // speed.
     let mut rig = cache(&single(|m| (m.slots, m.choke) = (4, ConcurrencyPenalty { at: 2.0, loss: 0.25 })));
     rig.connect(0..4);
     fault(&mut rig, 0, Fault::Slow(0.5));
@@ -275,14 +279,14 @@
 }
 
 #[test]
-fn a_drain_finishes_what_there_is() {
+fn a_drain_finishes_open_requests() {
     let mut rig = cache(&single(|m| m.drain_closes_idle = true));
     rig.connect(0..3);
     ask(&mut rig, 0, 0, 1, 100.0);
     ask(&mut rig, 0, 1, 2, 100.0);
     assert_eq!(fault(&mut rig, 10, Fault::Drain), [closed(2, CloseKind::Fin)]);
     let busy = ask(&mut rig, 20, 0, 3, 1.0);
-    assert_eq!(busy, [], "its refusal waits behind the first");
+    assert_eq!(busy, [], "its rejection waits for the first answer");
     let orders = rig.run_to(1000);
     assert_eq!(when(&orders), [(100, 1), (100, 3), (200, 2)]);
     assert_eq!(answers(&orders)[1].2, Answer::Busy(BusyReason::Draining));
@@ -294,7 +298,7 @@
 }
 
 #[test]
-fn a_process_that_dies_tells_and_a_machine_that_vanishes_does_not() {
+fn a_dead_process_resets_connections_and_a_vanished_machine_is_silent() {
     for silent in [false, true] {
         let mut rig = cache(&single(|_| ()));
         rig.connect(0..2);
@@ -309,7 +313,11 @@
         let stats = rig.server.stats(1000);
         assert_eq!((stats.lost, stats.held, stats.work_done_us), (1, 0, 50.0));
         assert_eq!(fault(&mut rig, 1000, Fault::Restart { uid: Some(Uid(2)) }), []);
-        assert_eq!(acts(&ask(&mut rig, 1000, 1, 3, 1.0)), [closed(1, CloseKind::Rst)], "an old connection");
+        assert_eq!(
+            acts(&ask(&mut rig, 1000, 1, 3, 1.0)),
+            [closed(1, CloseKind::Rst)],
+            "a connection of the old process"
+        );
         rig.connect(3..4);
         ask(&mut rig, 1000, 3, 1, 10.0);
         assert_eq!(answers(&rig.run_to(1010))[0].2, Answer::Miss { fetch_in_progress: false }, "it is empty");
@@ -318,7 +326,7 @@
 }
 
 #[test]
-fn reads_hit_what_was_filled_until_it_goes_void() {
+fn reads_hit_filled_copies_until_they_are_invalid() {
     let config = CacheConfig { ttl_us: Some(1000), lease_us: 200, ..single(|m| m.per_kib_us = 10.0) };
     let mut rig = cache(&config);
     rig.connect(0..1);
@@ -354,7 +362,7 @@
 }
 
 #[test]
-fn shares_of_requests_fail_or_come_spoilt() {
+fn the_given_shares_of_requests_fail_or_are_corrupt() {
     let mut rig = cache(&single(|m| m.slots = 100));
     let n = 20_000;
     fault(&mut rig, 0, Fault::Fail(0.2));
@@ -381,7 +389,7 @@
 }
 
 #[test]
-fn nothing_more_comes_behind_an_answer_that_is_spoilt_cut_or_missing() {
+fn no_answer_follows_a_corrupt_cut_or_missing_one() {
     let only = |noise| Fault::Spoil { share: 1.0, kinds: [noise].into_iter().collect() };
     for (trouble, answers_sent, closes) in [
         (Fault::Swallow(1.0), 1, 0),
@@ -400,7 +408,7 @@
         let told =
             (count(|a| matches!(a, Act::Answer(_))), count(|a| matches!(a, Act::Close(_, CloseKind::Fin))));
         assert_eq!(told, (answers_sent, closes), "{trouble:?}");
-        // Only the last on the connection has something right behind it.
+        // Only the last answer on the connection gets extra bytes after it.
         if trouble == only(Noise::SecondCopy) {
             assert_eq!(rig.server.stats(1000).corrupted, 1);
         }
@@ -414,7 +422,7 @@
 }
 
 #[test]
-fn the_origin_holds_each_object_and_repeats_no_keyed_write() {
+fn the_origin_has_every_object_and_deduplicates_keyed_writes() {
     let mut rig = origin(|c| c.write_share = 2.0);
     rig.connect(0..1);
     ask(&mut rig, 0, 0, 5, 100.0);
@@ -426,13 +434,13 @@
     let receipt = Receipt { key: Key(5), version: 1, maker: Maker::Origin(Uid(0)) };
     for (now, id, first) in [(200, 1, true), (1000, 2, false)] {
         rig.at(now, write(0, id, 5, 77));
-        assert_eq!(rig.run_to(now + 199), [], "a write takes twice a read");
+        assert_eq!(rig.run_to(now + 199), [], "a write takes twice as long as a read");
         let orders = acts(&rig.run_to(now + 200));
         let effect = orders.iter().any(|act| matches!(act, Act::Effect(e) if e.receipt == receipt));
         let changed = orders.contains(&Act::Changed { key: Key(5), version: 1 });
         assert_eq!((effect, changed), (first, first), "{orders:?}");
         let Act::Answer(Answered { answer, .. }) = orders[orders.len() - 1] else { panic!("{orders:?}") };
-        assert_eq!(answer, Answer::Receipt(receipt), "a repeat is given the same");
+        assert_eq!(answer, Answer::Receipt(receipt), "a repeat gets the same receipt");
     }
     assert_eq!(rig.server.object(Key(5)), (1, 500));
     assert_eq!((rig.server.ledger().times(IdempotencyKey(77)), rig.server.ledger().repeats()), (1, 1));
@@ -440,7 +448,7 @@
 }
 
 #[test]
-fn a_failed_write_may_have_run() {
+fn a_failed_write_may_have_been_carried_out() {
     for (ran, effects) in [(0.0, 0), (1.0, 1)] {
         let mut rig = origin(|c| (c.machine.fail_share, c.machine.failed_writes_ran) = (1.0, ran));
         rig.connect(0..1);
@@ -452,14 +460,14 @@
 }
 
 #[test]
-fn an_overdriven_origin_stops_and_comes_back() {
-    // Twice its capacity for 1 s is 2 s of work.
+fn an_overloaded_origin_stops_and_resumes() {
+    // The threshold is twice the capacity for 1 s, that is 2 s of work.
     let tip = OverloadThreshold { multiple: 2.0, window_us: SECOND };
     for resets in [false, true] {
         let over = OverloadOutage { tip, down: Dist::Fixed(3e6), resets, most: 1 };
         let mut rig = origin(|c| c.overdriven = Some(over));
         rig.connect(0..1);
-        assert_eq!(ask(&mut rig, 0, 0, 1, 2e6), [], "just at it");
+        assert_eq!(ask(&mut rig, 0, 0, 1, 2e6), [], "at the threshold, not above");
         let told = acts(&ask(&mut rig, 500_000, 0, 2, 1.0));
         let until = 500_000 + 3 * SECOND;
         assert_eq!(told[0], Act::Stopped { until });
@@ -476,12 +484,12 @@
         assert_eq!(when(&later), ends);
         rig.connect(2..3);
         let again = ask(&mut rig, until + 20 * SECOND, 2, 3, 1e7);
-        assert_eq!(again, [], "once at most");
+        assert_eq!(again, [], "at most one stop is configured");
     }
 }
 
 #[test]
-fn a_group_of_servers_drops_repeats_of_each_other() {
+fn servers_of_a_group_deduplicate_each_others_writes() {
     let config = CacheConfig { writes: Writes::CarryOut, ..single(|_| ()) };
     let (mut one, mut two) = (cache(&config), cache(&config));
     one.connect(0..1);
@@ -499,7 +507,7 @@
 }
 
 #[test]
-fn each_bad_setting_is_named() {
+fn each_invalid_setting_is_named() {
     type Spoil = fn(&mut CacheConfig);
     let bad: [(&str, Spoil); 8] = [
         ("cores", |c| c.machine.cores = 0),
--- a/crates/model/tests/world.rs
+++ b/crates/model/tests/world.rs
@@ -1,4 +1,5 @@
-//! Clients and network together on a virtual clock, with nodes that answer everything: the shape of a driver.
+//! Clients and network together on a virtual clock, with nodes that answer every request; an example of a
+//! driver.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -18,7 +19,7 @@
 const S: Micros = 1_000_000;
 const CLIENTS: Host = Host(0);
 
-/// What the world does at a time of its own.
+/// A scheduled action of the test world.
 enum Do {
     /// A node writes these bytes.
     Answer(Conn, Vec<u8>),
@@ -30,10 +31,10 @@
 struct World {
     clients: Clients,
     net: Network,
-    /// Names of the clients' connections on the network and back.
+    /// Network connection of each client connection, and the reverse.
     conns: HashMap<ConnId, Conn>,
     names: HashMap<Conn, ConnId>,
-    /// Bytes that came and are not whole yet, by connection and side.
+    /// Received bytes of incomplete lines, by connection and side.
     came: HashMap<(Conn, Side), Vec<u8>>,
     agenda: BTreeMap<(Micros, u64), Do>,
     made: u64,
@@ -127,8 +128,8 @@
         }
     }
 
-    /// A whole line: a node answers it 5 ms later with a line that holds the id, a client takes that as its
-    /// answer.
+    /// Handles a complete line: a node answers 5 ms later with a line that holds the id, which a client takes
+    /// as the answer.
     fn line(&mut self, now: Micros, conn: Conn, side: Side, line: &str) {
         let id = line.split(' ').find_map(|word| word.strip_prefix('O')).unwrap().trim_end();
         if side == Side::Server {
@@ -153,7 +154,8 @@
         }
     }
 
-    /// Plays to the end: the stories and their digest.
+    /// Runs to the end. Returns the stories of all requests, their digest, and the number of connections that
+    /// no client holds.
     fn play(mut self) -> (Vec<Story>, Digest, usize) {
         let node = |n| Which::Host(Host(n));
         self.plan(2 * S, Do::Begin(node(1), Fault::Cut(Heal::Stay)));
@@ -189,18 +191,18 @@
 }
 
 #[test]
-fn a_day_is_the_same_each_time_and_only_faults_hurt() {
+fn runs_repeat_exactly_and_only_faults_cause_retries() {
     for split in [Split::Whole, Split::Random(20)] {
         let (stories, digest, left) = world(split, 3).play();
         assert_eq!(digest, world(split, 3).play().1);
         assert_ne!(digest, world(split, 4).play().1);
-        // In a cut, either end may be left with a connection of which the other heard nothing more.
+        // After a cut, an end can keep a connection that the other end has closed.
         assert!(left <= 250, "{left} connections that no client holds");
         let mut tally = Tally::default();
         stories.iter().for_each(|story| tally.add(story));
-        // 400 a second for 10 s, within 4 deviations.
+        // 400 requests per second for 10 s, within four standard deviations.
         assert!(tally.requests.abs_diff(4000) < 253 && tally.goodput() > 0.9, "{tally:?}");
-        // A request that meets no fault takes one try; those of the cut and of the killed node more, or fail.
+        // A request without a fault takes one try; those in the cut or at the killed node take more, or fail.
         let hurt = |story: &&Story| story.tries.len() > 1 || story.end != End::Served;
         let seconds: Vec<Micros> = stories.iter().filter(hurt).map(|story| story.due / S).collect();
         let in_second = |n| seconds.iter().filter(|second| **second == n).count();
