--- a/crates/model/examples/speed.rs
+++ b/crates/model/examples/speed.rs
@@ -68,7 +68,7 @@
     let ended: u64 = world.iter_mut().map(|s| s.stats(now).begun).sum();
     events += ended;
     println!(
-        "{servers} servers: {requests} requests, {answered} answers, {:.2} million events/s, {:.0} ns a request",
+        "{servers} servers: {requests} requests, {answered} answers, {:.2} million events/s, {:.0} ns per request",
         events as f64 / took / 1e6,
         took / requests as f64 * 1e9,
     );
--- a/crates/model/examples/world_speed.rs
+++ b/crates/model/examples/world_speed.rs
@@ -22,26 +22,26 @@
     let even =
         Population { keys, sources: 10_000, rate: Profile::constant(50_000.0), ..Population::default() };
     let on_off = OnOff { on: Spread::Exponential(1e6), off: Spread::Exponential(1e6) };
-    let turns = Population { on_off: Some(on_off), ..even.clone() };
+    let bursty = Population { on_off: Some(on_off), ..even.clone() };
     let few = Population { sources: 500, ..even.clone() };
-    for (name, population) in [("Poisson", even), ("10,000 clients in turns", turns)] {
+    for (name, population) in [("Poisson", even), ("10,000 on-off clients", bursty)] {
         let load = Load { span: 60_000_000, classes: vec![read.clone()], populations: vec![population] };
         let begun = Instant::now();
-        tell(name, Arrivals::new(&load, 1)?.count() as u64, begun);
+        report(name, Arrivals::new(&load, 1)?.count() as u64, begun);
     }
     let load = Load { span: 20_000_000, classes: vec![read], populations: vec![few] };
     let begun = Instant::now();
-    tell("clients, 500 with up to 4 connections", play(load)?.requests, begun);
+    report("clients, 500 with up to 4 connections", run_clients(load)?.requests, begun);
     let begun = Instant::now();
-    tell("network, writes of 100 bytes on 1,000 connections", carry(), begun);
+    report("network, writes of 100 bytes on 1,000 connections", run_network(), begun);
     Ok(())
 }
 
-fn tell(name: &str, count: u64, begun: Instant) {
-    println!("{name}: {count}, {:.2} million a second", count as f64 / begun.elapsed().as_secs_f64() / 1e6);
+fn report(name: &str, count: u64, begun: Instant) {
+    println!("{name}: {count}, {:.2} million per second", count as f64 / begun.elapsed().as_secs_f64() / 1e6);
 }
 
-fn play(load: Load) -> Result<Tally, Box<dyn Error>> {
+fn run_clients(load: Load) -> Result<Tally, Box<dyn Error>> {
     let front = FrontPlan { zones: vec![0; 3], deal: Deal::Any, health: None, linger: Spread::Fixed(0) };
     let plan = ClientsPlan { load, habits: vec![Habits::default()], front, room: None };
     let mut clients = Clients::new(plan, 1)?;
@@ -70,7 +70,7 @@
     Ok(clients.tally())
 }
 
-fn carry() -> u64 {
+fn run_network() -> u64 {
     let delay = Delay { base: 500, jitter: Spread::Exponential(100.0) };
     let links = LinksPlan { zones: vec![0; 2], near: delay, far: delay, pairs: Vec::new() };
     let plan =
@@ -79,7 +79,7 @@
     for _ in 0..1000 {
         net.connect(0, Host(0), Host(1));
     }
-    let mut carried = 0;
+    let mut writes = 0;
     while let Some(now) = net.next().filter(|now| *now < 2_000_000) {
         while let Some(delivery) = net.poll(now) {
             match delivery {
@@ -87,12 +87,12 @@
                     net.send(now, conn, Side::Client, &[1; 100]);
                 }
                 Delivery::Data(conn, side, bytes) => {
-                    carried += 1;
+                    writes += 1;
                     net.send(now, conn, side, &bytes);
                 }
                 _ => {}
             }
         }
     }
-    carried
+    writes
 }
--- a/crates/model/src/discovery/machine/tests.rs
+++ b/crates/model/src/discovery/machine/tests.rs
@@ -32,7 +32,7 @@
 
 /// Runs events at times in ms; each answer is written 2 ms after its order. Returns orders and notifications
 /// as lines.
-fn play(plan: DiscoveryPlan, events: &[(Micros, Event)], end: Micros) -> (Vec<String>, Vec<String>) {
+fn run(plan: DiscoveryPlan, events: &[(Micros, Event)], end: Micros) -> (Vec<String>, Vec<String>) {
     let mut discovery = Discovery::new(plan, HOME, 1);
     let mut events: VecDeque<(Micros, Event)> =
         events.iter().map(|(ms, event)| (ms * 1000, event.clone())).collect();
@@ -58,7 +58,7 @@
     }
     let notified = discovery.take_notifications().into_iter().map(|t| {
         format!(
-            "{} {:?} {}: due {}ms, told {}ms, {:?}",
+            "{} {:?} {}: due {}ms, notified {}ms, {:?}",
             t.uid,
             t.state,
             t.rev,
@@ -107,7 +107,7 @@
         (300, Event::Change(vec![member("s1", State::Removed)])),
         (400, call(1, watch(10))),
     ];
-    let (orders, notified) = play(DiscoveryPlan { max_changes: 1, ..plan() }, &events, 1000);
+    let (orders, notified) = run(DiscoveryPlan { max_changes: 1, ..plan() }, &events, 1000);
     assert_eq!(orders[1..], ["403ms 1: all to 13 [s2 Draining]"]);
     let uids: Vec<&str> = notified.iter().filter_map(|line| line.split(':').next()).collect();
     assert_eq!(uids, ["s1 Draining 11", "s2 Draining 12", "s1 Removed 13"]);
@@ -122,7 +122,7 @@
             end: 1000,
             // 1 ms of work, 0.1 ms for the line, 1 ms of latency.
             orders: &["502ms 1: changes to 11 [s1 Draining]"],
-            notified: &["s1 Draining 11: due 500ms, told 504ms, Written"],
+            notified: &["s1 Draining 11: due 500ms, notified 504ms, Written"],
         },
         Case {
             name: "the full list, then no change within the wait",
@@ -147,8 +147,8 @@
             end: 1000,
             orders: &["502ms 1: changes to 11 [s1 Draining]", "703ms 2: changes to 12 [s2 Draining]"],
             notified: &[
-                "s1 Draining 11: due 500ms, told 504ms, Written",
-                "s2 Draining 12: due 600ms, told 705ms, Written",
+                "s1 Draining 11: due 500ms, notified 504ms, Written",
+                "s2 Draining 12: due 600ms, notified 705ms, Written",
             ],
         },
         Case {
@@ -163,8 +163,8 @@
             end: 1000,
             orders: &["502ms 1: changes to 11 [s1 Draining]", "903ms 2: changes to 12 [s2 Draining]"],
             notified: &[
-                "s1 Draining 11: due 500ms, told 504ms, Written",
-                "s2 Draining 12: due 900ms, told 905ms, Written",
+                "s1 Draining 11: due 500ms, notified 504ms, Written",
+                "s2 Draining 12: due 900ms, notified 905ms, Written",
             ],
         },
         Case {
@@ -173,8 +173,8 @@
             end: 20_000,
             orders: &[],
             notified: &[
-                "s1 Draining 11: due 500ms, told 10000ms, Unasked",
-                "s2 Draining 12: due 11000ms, told 11000ms, Unasked",
+                "s1 Draining 11: due 500ms, notified 10000ms, Unasked",
+                "s2 Draining 12: due 11000ms, notified 11000ms, Unasked",
             ],
         },
         Case {
@@ -196,7 +196,7 @@
                 "8001ms 3: reset",
                 "12503ms 4: changes to 11 [s1 Draining]",
             ],
-            notified: &["s1 Draining 11: due 12500ms, told 12505ms, Written"],
+            notified: &["s1 Draining 11: due 12500ms, notified 12505ms, Written"],
         },
         Case {
             name: "silent outage: calls hang and are reset at its end",
@@ -229,7 +229,7 @@
                 "2500ms CloseAll(Address(0))",
                 "4001ms 2: reset",
             ],
-            notified: &["s1 Draining 11: due 4000ms, told 5000ms, Reloaded"],
+            notified: &["s1 Draining 11: due 4000ms, notified 5000ms, Reloaded"],
         },
         Case {
             name: "a frozen view serves the old list, and watches wait",
@@ -243,7 +243,7 @@
             ],
             end: 1000,
             orders: &["303ms 1: all to 10 [s1 Up, s2 Up]", "802ms 2: changes to 11 [s1 Draining]"],
-            notified: &["s1 Draining 11: due 300ms, told 804ms, Written"],
+            notified: &["s1 Draining 11: due 300ms, notified 804ms, Written"],
         },
         Case {
             name: "a lagging view shows changes late; a watch from a newer version waits",
@@ -256,7 +256,7 @@
             ],
             end: 1000,
             orders: &["602ms 2: changes to 11 [s1 Draining]"],
-            notified: &["s1 Draining 11: due 210ms, told 604ms, Written"],
+            notified: &["s1 Draining 11: due 210ms, notified 604ms, Written"],
         },
         Case {
             name: "removed members are in changes and not in the full list",
@@ -270,9 +270,9 @@
             end: 1000,
             orders: &["303ms 1: changes to 12 [s1 Removed, s3 Up]", "403ms 2: all to 12 [s2 Up, s3 Up]"],
             notified: &[
-                "s1 Draining 11: due 300ms, told 305ms, Written",
-                "s1 Removed 12: due 300ms, told 305ms, Written",
-                "s3 Up 12: due 300ms, told 305ms, Written",
+                "s1 Draining 11: due 300ms, notified 305ms, Written",
+                "s1 Removed 12: due 300ms, notified 305ms, Written",
+                "s3 Up 12: due 300ms, notified 305ms, Written",
             ],
         },
     ]
@@ -281,7 +281,7 @@
 #[test]
 fn calls_get_their_orders_and_notifications() {
     for case in cases() {
-        let (orders, notified) = play(plan(), &case.events, case.end);
+        let (orders, notified) = run(plan(), &case.events, case.end);
         assert_eq!(orders.get(1..).unwrap_or_default(), case.orders, "{}", case.name);
         assert_eq!(notified, case.notified, "{}", case.name);
     }
@@ -291,7 +291,7 @@
 fn calls_queue_and_get_503_when_too_many_wait() {
     let calls: Vec<(Micros, Event)> = (0..30).map(|n| (10, call(n, Ask::Full))).collect();
     let plan = DiscoveryPlan { per_call: 100_000, per_line: 0, max_queue_wait: 1_000_000, ..plan() };
-    let (orders, _) = play(plan, &calls, 60_000);
+    let (orders, _) = run(plan, &calls, 60_000);
     let answered: Vec<&str> =
         orders.iter().filter(|o| o.contains("all to")).filter_map(|o| o.split(' ').next()).collect();
     // Each call takes 100 ms of work, and its answer another 100 ms behind what is queued by then.
--- a/crates/model/src/origin.rs
+++ b/crates/model/src/origin.rs
@@ -59,7 +59,7 @@
             None => Overload::Unlimited,
         };
         let warm_up = (WarmUpState::warm(&WarmUp::default(), config.machine.capacity()), true);
-        Server::join(&config.machine, (uid, seed), now, storage, warm_up, overload)
+        Server::with_storage(&config.machine, (uid, seed), now, storage, warm_up, overload)
     }
 
     /// Current version and size of an object.
--- a/crates/model/src/server/cache.rs
+++ b/crates/model/src/server/cache.rs
@@ -61,7 +61,7 @@
         let overload =
             tip.map_or(Overload::Unlimited, |tip| Overload::CrashesWhenCold(OfferedLoad::new(tip)));
         let warm_up = (WarmUpState::warm(&config.warm_up, config.machine.capacity()), warm);
-        Server::join(&config.machine, (uid, seed), now, storage, warm_up, overload)
+        Server::with_storage(&config.machine, (uid, seed), now, storage, warm_up, overload)
     }
 }
 
--- a/crates/model/src/server/config.rs
+++ b/crates/model/src/server/config.rs
@@ -387,7 +387,7 @@
         if let Some(idle) = table.idle_us {
             ensure((1..=MAX_LENGTH).contains(&idle), "connections.idle_us", "must be 1 to 1e15 µs")?;
         }
-        ensure(!self.classes.is_empty(), "classes", "must name one at least")?;
+        ensure(!self.classes.is_empty(), "classes", "must contain at least one class")?;
         for class in &self.classes {
             check_length(class.keyed_window_us, "classes.keyed_window_us")?;
         }
--- a/crates/model/src/server/flow.rs
+++ b/crates/model/src/server/flow.rs
@@ -68,7 +68,7 @@
     }
 
     /// Takes a request whose last byte has arrived.
-    pub(super) fn take(&mut self, request: Request) {
+    pub(super) fn receive(&mut self, request: Request) {
         let Some(conn) = self.table.find(request.conn) else {
             return self.out.push(self.now, Act::Close(request.conn, CloseKind::Rst));
         };
@@ -106,7 +106,7 @@
                     self.table.calls[at as usize].stage = Stage::Inbox;
                     self.inbox.push(&mut self.table.calls, at);
                 } else {
-                    self.enter(at);
+                    self.admit(at);
                 }
             }
             match self.flush_answers(conn) {
@@ -172,7 +172,7 @@
     }
 
     /// Gives a request that was read a slot or a place in the waiting queue, or rejects it.
-    fn enter(&mut self, at: u32) {
+    fn admit(&mut self, at: u32) {
         if self.state == State::Draining {
             self.refuse(at, BusyReason::Draining);
         } else if self.in_work < self.machine.slots && self.waiting.len() == 0 {
@@ -226,7 +226,7 @@
     /// Reads the requests that arrived during a pause.
     pub(super) fn read_inbox(&mut self) {
         while let Some(at) = self.inbox.pop(&mut self.table.calls) {
-            self.enter(at);
+            self.admit(at);
             self.settle(at);
         }
     }
@@ -240,7 +240,7 @@
         match call.conn {
             NONE => {
                 self.stats.client_gone += 1;
-                self.end(at);
+                self.remove_unanswered(at);
             }
             conn => self.pump(conn),
         }
@@ -282,7 +282,7 @@
     }
 
     /// Removes a request that ends without an answer.
-    fn end(&mut self, at: u32) {
+    fn remove_unanswered(&mut self, at: u32) {
         self.count_held();
         let call = self.table.calls.remove(at as usize);
         self.stats.sojourn_us += (self.now - call.arrived) as f64 / 1e3;
@@ -333,7 +333,7 @@
                     _ if done => self.stats.client_gone += 1,
                     _ => self.stats.dropped += 1,
                 }
-                self.end(at);
+                self.remove_unanswered(at);
             }
             at = next;
         }
--- a/crates/model/src/server/host.rs
+++ b/crates/model/src/server/host.rs
@@ -95,10 +95,10 @@
     pub(super) in_work: u32,
     timers: BinaryHeap<Reverse<(Nanos, Timer)>>,
     warm_up: WarmUpState,
-    warm_due: Nanos,
+    warm_up_due: Nanos,
     overload: Overload,
     paused_until: Option<Nanos>,
-    back_at: Nanos,
+    resume_at: Nanos,
     spontaneous_pauses: Option<SpontaneousPauses>,
     pub(super) faults: ActiveFaults,
     pub(super) draws: Draws,
@@ -111,7 +111,7 @@
 
 impl<K: Storage> Server<K> {
     /// Builds a server. `warm`: it has been running for long enough to be at full capacity.
-    pub(crate) fn join(
+    pub(crate) fn with_storage(
         machine: &Machine,
         (uid, seed): (Uid, u64),
         now: Micros,
@@ -147,10 +147,10 @@
             in_work: 0,
             timers: BinaryHeap::new(),
             warm_up,
-            warm_due: NEVER,
+            warm_up_due: NEVER,
             overload,
             paused_until: None,
-            back_at: NEVER,
+            resume_at: NEVER,
             spontaneous_pauses,
             faults: ActiveFaults::new(draw::stream(seed, "server troubles", uid.0)),
             draws: Draws {
@@ -178,11 +178,11 @@
             Event::Request(request) => match self.state {
                 State::Vanished => {}
                 State::Down => self.out.push(self.now, Act::Close(request.conn, CloseKind::Rst)),
-                State::Up | State::Draining => self.take(request),
+                State::Up | State::Draining => self.receive(request),
             },
             Event::Fault(fault) => self.fault(fault),
             Event::Fill { .. } | Event::Invalidate { .. } | Event::Change(_) | Event::Learn { .. } => {
-                let up = self.runs();
+                let up = self.is_running();
                 self.storage.notify(self.now, &event, up, &mut self.out);
             }
         }
@@ -263,7 +263,7 @@
         stats
     }
 
-    pub(super) fn runs(&self) -> bool {
+    pub(super) fn is_running(&self) -> bool {
         matches!(self.state, State::Up | State::Draining)
     }
 
@@ -285,7 +285,7 @@
         };
         let own = self.spontaneous_pauses.as_ref().map_or(NEVER, |own| own.next);
         let resume = self.paused_until.unwrap_or(NEVER);
-        self.station.due().min(timer).min(own).min(resume).min(self.warm_due).min(self.back_at)
+        self.station.due().min(timer).min(own).min(resume).min(self.warm_up_due).min(self.resume_at)
     }
 
     /// Carries out everything that is due by now, each item at its due time.
@@ -306,8 +306,8 @@
     /// Carries out one due item. Items that are due at the same time are taken in the order written here.
     fn step(&mut self) {
         let now = self.now;
-        if self.back_at <= now {
-            self.back_at = NEVER;
+        if self.resume_at <= now {
+            self.resume_at = NEVER;
             self.state = State::Up;
         } else if self.paused_until.is_some_and(|until| until <= now) {
             self.paused_until = None;
@@ -340,12 +340,12 @@
         let crowded = 1.0 + machine.choke.loss * (held - machine.choke.at).max(0.0);
         let full = self.table.conns.len() as f64 / f64::from(machine.connections.cap.max(1));
         let connection_factor = 1.0 - machine.connections.full_loss * full.min(1.0);
-        let halted = self.paused() || !self.runs();
+        let halted = self.paused() || !self.is_running();
         let speed =
             if halted { 0.0 } else { machine.speed * self.faults.slow * warm * connection_factor / crowded };
         self.station.set_speed(self.now, speed);
         let rechecks = !self.warm_up.is_warm() && !self.station.is_empty() && speed > 0.0;
-        self.warm_due = if rechecks { self.now.saturating_add(self.warm_up.step()) } else { NEVER };
+        self.warm_up_due = if rechecks { self.now.saturating_add(self.warm_up.step()) } else { NEVER };
         if self.state == State::Draining && !self.drained_reported && self.table.calls.is_empty() {
             self.drained_reported = true;
             self.out.push(self.now, Act::Drained);
@@ -389,7 +389,7 @@
                 self.out.push(now, Act::Stopped { until: to_micros(until) });
                 if resets {
                     self.go_down(State::Down);
-                    self.back_at = until;
+                    self.resume_at = until;
                 } else {
                     self.paused_until = Some(until);
                 }
@@ -413,7 +413,7 @@
         match fault {
             Fault::Pause { until } => {
                 let until = from_micros(until);
-                if self.runs() && until > self.now {
+                if self.is_running() && until > self.now {
                     self.stats.pauses += 1;
                     self.paused_until = Some(until);
                 } else if self.paused() {
@@ -440,12 +440,12 @@
                 }
             }
             Fault::Restart { uid } => {
-                if self.runs() {
+                if self.is_running() {
                     self.go_down(State::Down);
                 }
                 self.uid = uid.unwrap_or(self.uid);
                 self.state = State::Up;
-                self.back_at = NEVER;
+                self.resume_at = NEVER;
                 self.warm_up.restart(self.now, self.station.done(self.now));
                 self.storage.restart();
             }
@@ -468,7 +468,7 @@
         self.station.clear(now);
         (self.waiting, self.inbox, self.in_work) = (RequestQueue::new(), RequestQueue::new(), 0);
         self.timers.clear();
-        (self.paused_until, self.back_at) = (None, NEVER);
+        (self.paused_until, self.resume_at) = (None, NEVER);
         if let Overload::CrashesWhenCold(offered_load) | Overload::Stops { offered_load, .. } =
             &mut self.overload
         {
--- a/crates/model/src/server/table.rs
+++ b/crates/model/src/server/table.rs
@@ -42,7 +42,7 @@
     /// Next request on the connection.
     next: u32,
     /// Previous and next request in a [`RequestQueue`].
-    line: (u32, u32),
+    queue_links: (u32, u32),
 }
 
 /// A connection.
@@ -90,10 +90,10 @@
 
     pub(crate) fn push(&mut self, calls: &mut Slab<Call>, at: u32) {
         let was = std::mem::replace(&mut self.back, at);
-        calls[at as usize].line = (was, NONE);
+        calls[at as usize].queue_links = (was, NONE);
         match was {
             NONE => self.front = at,
-            was => calls[was as usize].line.1 = at,
+            was => calls[was as usize].queue_links.1 = at,
         }
         self.len += 1;
     }
@@ -107,14 +107,14 @@
     }
 
     pub(crate) fn remove(&mut self, calls: &mut Slab<Call>, at: u32) {
-        let (before, after) = calls[at as usize].line;
+        let (before, after) = calls[at as usize].queue_links;
         match before {
             NONE => self.front = after,
-            before => calls[before as usize].line.1 = after,
+            before => calls[before as usize].queue_links.1 = after,
         }
         match after {
             NONE => self.back = before,
-            after => calls[after as usize].line.0 = before,
+            after => calls[after as usize].queue_links.0 = before,
         }
         self.len -= 1;
     }
@@ -157,15 +157,15 @@
     /// Appends a request to its connection.
     pub(crate) fn push(&mut self, conn: u32, now: Nanos, request: Request, work: Nanos) -> u32 {
         let stage = Stage::Unread;
-        let call = Call { request, arrived: now, work, conn, stage, next: NONE, line: (NONE, NONE) };
+        let call = Call { request, arrived: now, work, conn, stage, next: NONE, queue_links: (NONE, NONE) };
         let at = self.calls.insert(call) as u32;
-        let lane = &mut self.conns[conn as usize];
-        let was = std::mem::replace(&mut lane.tail, at);
+        let entry = &mut self.conns[conn as usize];
+        let was = std::mem::replace(&mut entry.tail, at);
         if was == NONE {
-            lane.head = at;
+            entry.head = at;
         }
-        if lane.unread == NONE {
-            lane.unread = at;
+        if entry.unread == NONE {
+            entry.unread = at;
         }
         if was != NONE {
             self.calls[was as usize].next = at;
@@ -175,29 +175,29 @@
 
     /// Reads the next request of a connection, if one is unread and the limit allows it.
     pub(crate) fn begin(&mut self, conn: u32, at_once: u32) -> Option<u32> {
-        let lane = &mut self.conns[conn as usize];
-        if !lane.ready || lane.begun >= at_once || lane.unread == NONE {
+        let entry = &mut self.conns[conn as usize];
+        if !entry.ready || entry.begun >= at_once || entry.unread == NONE {
             return None;
         }
-        let at = lane.unread;
-        lane.begun += 1;
-        lane.unread = self.calls[at as usize].next;
+        let at = entry.unread;
+        entry.begun += 1;
+        entry.unread = self.calls[at as usize].next;
         Some(at)
     }
 
     /// Removes and returns the first request of a connection, if it is done and its answer can be sent.
     pub(crate) fn take_done(&mut self, conn: u32) -> Option<(Call, Answer, Option<Note>)> {
-        let lane = self.conns.get_mut(conn as usize)?;
-        if lane.stuck || lane.head == NONE {
+        let entry = self.conns.get_mut(conn as usize)?;
+        if entry.stuck || entry.head == NONE {
             return None;
         }
-        let at = lane.head;
+        let at = entry.head;
         let call = self.calls[at as usize];
         let Stage::Done(answer, note) = call.stage else { return None };
-        lane.head = call.next;
-        lane.begun -= 1;
-        if lane.head == NONE {
-            lane.tail = NONE;
+        entry.head = call.next;
+        entry.begun -= 1;
+        if entry.head == NONE {
+            entry.tail = NONE;
         }
         self.calls.remove(at as usize);
         Some((call, answer, note))
@@ -206,9 +206,9 @@
     /// Removes a connection. Returns its number and the index of its first request; the caller visits the
     /// requests by [`Self::next`] and detaches each.
     pub(crate) fn close(&mut self, conn: u32) -> (ConnId, u32) {
-        let lane = self.conns.remove(conn as usize);
-        self.by_id.remove(&lane.id);
-        (lane.id, lane.head)
+        let entry = self.conns.remove(conn as usize);
+        self.by_id.remove(&entry.id);
+        (entry.id, entry.head)
     }
 
     /// The next request on the same connection, which may be removed already.
--- a/crates/model/tests/servers/histories.rs
+++ b/crates/model/tests/servers/histories.rs
@@ -21,7 +21,7 @@
 
 impl Sent {
     /// Checks an order against what was sent.
-    fn see(&mut self, now: i64, order: Order) {
+    fn check(&mut self, now: i64, order: Order) {
         assert!(
             order.at <= now && self.orders.last().is_none_or(|last| last.at <= order.at),
             "{order:?} at {now}"
@@ -51,13 +51,13 @@
     Connect,
     Hangup(usize),
     Ask { conn: usize, key: u64, work: f64, left_us: Option<i64>, keyed: Option<u64> },
-    Told(Event),
+    Notify(Event),
     Pause(i64),
     Fault(Fault),
 }
 
 /// Runs the steps, then lets the server finish. `lazy`: orders are polled only when an event happens.
-fn play<K: Storage>(
+fn run_steps<K: Storage>(
     server: Server<K>,
     machine: &Machine,
     steps: &[Step],
@@ -69,7 +69,7 @@
         let id = id as u64;
         if lazy && !matches!(step, Step::Wait(_)) {
             rig.now = now;
-            rig.drain().into_iter().for_each(|order| sent.see(now, order));
+            rig.drain().into_iter().for_each(|order| sent.check(now, order));
         }
         let conns: Vec<u64> = sent.open.keys().copied().collect();
         let pick = |at: usize| conns.get(at % conns.len().max(1)).copied();
@@ -77,7 +77,7 @@
             Step::Wait(gap) => {
                 now += gap;
                 if !lazy {
-                    rig.run_to(now).into_iter().for_each(|order| sent.see(now, order));
+                    rig.run_to(now).into_iter().for_each(|order| sent.check(now, order));
                 }
                 continue;
             }
@@ -92,7 +92,7 @@
                 let keyed = keyed.map(IdempotencyKey);
                 Event::Request(Request { kind, keyed, left_us, size: 100, ..read(conn, id, key, work) })
             }
-            Step::Told(event) => event,
+            Step::Notify(event) => event,
             Step::Pause(length) => Event::Fault(Fault::Pause { until: now + length }),
             Step::Fault(fault) => Event::Fault(fault),
         };
@@ -107,7 +107,7 @@
         }
         rig.server.handle(now, event);
         rig.now = now;
-        rig.drain().into_iter().for_each(|order| sent.see(now, order));
+        rig.drain().into_iter().for_each(|order| sent.check(now, order));
         let stats = rig.server.stats(now);
         assert!(stats.in_work <= machine.slots && stats.waiting <= machine.waiting_room);
         assert!(stats.connections <= machine.connections.cap);
@@ -120,7 +120,7 @@
         assert_eq!(stats.requests, ended + u64::from(stats.held), "{stats:?}");
     }
     rig.server.handle(now, Event::Fault(Fault::Slow(1.0)));
-    rig.run_to(now + 3_000_000).into_iter().for_each(|order| sent.see(i64::MAX, order));
+    rig.run_to(now + 3_000_000).into_iter().for_each(|order| sent.check(i64::MAX, order));
     for (conn, (waiting, stuck)) in &sent.open {
         assert!(*stuck || waiting.is_empty(), "{waiting:?} on {conn} without an answer");
     }
@@ -133,7 +133,7 @@
     let ask = (0..9usize, 0..6u64, 0.0..150.0, left, keyed);
     let ask = ask.prop_map(|(conn, key, work, left_us, keyed)| Step::Ask { conn, key, work, left_us, keyed });
     let fill = (0..6u64, 0..3u64).prop_map(|(k, version)| Event::Fill { key: Key(k), version, size: 100 });
-    let told = prop_oneof![
+    let notify = prop_oneof![
         4 => fill,
         1 => (0..6u64, 0..3u64).prop_map(|(k, version)| Event::Invalidate { key: Key(k), version }),
         1 => (0..6u64).prop_map(|k| Event::Change(Key(k))),
@@ -156,7 +156,7 @@
         8 => Just(Step::Connect),
         2 => (0..9usize).prop_map(Step::Hangup),
         30 => ask,
-        3 => told.prop_map(Step::Told),
+        3 => notify.prop_map(Step::Notify),
         1 => (0..400i64).prop_map(Step::Pause),
         1 => fault.prop_map(Step::Fault),
     ];
@@ -221,9 +221,9 @@
         let writes = if carry_out { Writes::CarryOut } else { Writes::Miss };
         let config = CacheConfig { machine, warm_up, memory: 500, writes, ..CacheConfig::default() };
         let server = CacheServer::new(&config, Uid(1), 7, !cold, 0).unwrap();
-        let first = play(server.clone(), &config.machine, &steps, false);
-        prop_assert_eq!(&first, &play(server.clone(), &config.machine, &steps, false), "a second run");
-        prop_assert_eq!(&first.0, &play(server, &config.machine, &steps, true).0, "a late caller");
+        let first = run_steps(server.clone(), &config.machine, &steps, false);
+        prop_assert_eq!(&first, &run_steps(server.clone(), &config.machine, &steps, false), "a second run");
+        prop_assert_eq!(&first.0, &run_steps(server, &config.machine, &steps, true).0, "a late caller");
     }
 
     #[test]
@@ -232,7 +232,7 @@
         let overdriven = Some(OverloadOutage { tip, down: Dist::Exp(300.0), resets, most: 3 });
         let config = OriginConfig { machine, overdriven, ..OriginConfig::default() };
         let server = Origin::new(&config, Uid(1), 7, 0).unwrap();
-        let first = play(server.clone(), &config.machine, &steps, false);
-        prop_assert_eq!(&first.0, &play(server, &config.machine, &steps, true).0, "a late caller");
+        let first = run_steps(server.clone(), &config.machine, &steps, false);
+        prop_assert_eq!(&first.0, &run_steps(server, &config.machine, &steps, true).0, "a late caller");
     }
 }
--- a/crates/model/tests/servers/rules.rs
+++ b/crates/model/tests/servers/rules.rs
@@ -304,8 +304,9 @@
         rig.connect(0..2);
         rig.at(0, Event::Fill { key: Key(1), version: 1, size: 100 });
         ask(&mut rig, 0, 0, 1, 100.0);
-        let told = if silent { vec![] } else { vec![closed(0, CloseKind::Rst), closed(1, CloseKind::Rst)] };
-        assert_eq!(fault(&mut rig, 50, Fault::Kill { silent }), told);
+        let actions =
+            if silent { vec![] } else { vec![closed(0, CloseKind::Rst), closed(1, CloseKind::Rst)] };
+        assert_eq!(fault(&mut rig, 50, Fault::Kill { silent }), actions);
         let connect = if silent { Act::Ignored(ConnId(2)) } else { Act::Refused(ConnId(2)) };
         assert_eq!(acts(&rig.at(60, Event::Connect(ConnId(2)))), [connect]);
         assert_eq!(ask(&mut rig, 60, 1, 2, 1.0).is_empty(), silent);
@@ -330,7 +331,7 @@
     let config = CacheConfig { ttl_us: Some(1000), lease_us: 200, ..single(|m| m.per_kib_us = 10.0) };
     let mut rig = cache(&config);
     rig.connect(0..1);
-    let mut look = |now, event: Option<Event>| {
+    let mut read_at = |now, event: Option<Event>| {
         if let Some(event) = event {
             assert_eq!(rig.at(now, event), []);
         }
@@ -348,17 +349,17 @@
         (version, note.unwrap())
     };
     let fill = |version| Some(Event::Fill { key: Key(5), version, size: 2048 });
-    let void = |version| Some(Event::Invalidate { key: Key(5), version });
-    assert_eq!(look(0, None), (None, Note::Miss));
-    assert_eq!(look(100, None), (None, Note::MissFetchInProgress));
-    assert_eq!(look(200, None), (None, Note::Miss), "the lease is over");
-    assert_eq!(look(300, fill(1)), (Some(1), Note::Hit));
-    assert_eq!(look(400, void(2)), (None, Note::Miss));
-    assert_eq!(look(500, fill(2)), (Some(2), Note::Hit));
-    assert_eq!(look(1499, None), (Some(2), Note::Hit));
-    assert_eq!(look(1550, None), (None, Note::Miss), "expired");
-    assert_eq!(look(1600, fill(3)), (Some(3), Note::Hit));
-    assert_eq!(look(1700, Some(Event::Fault(Fault::Flush { share: 1.0, salt: 1 }))), (None, Note::Miss));
+    let invalidate = |version| Some(Event::Invalidate { key: Key(5), version });
+    assert_eq!(read_at(0, None), (None, Note::Miss));
+    assert_eq!(read_at(100, None), (None, Note::MissFetchInProgress));
+    assert_eq!(read_at(200, None), (None, Note::Miss), "the lease is over");
+    assert_eq!(read_at(300, fill(1)), (Some(1), Note::Hit));
+    assert_eq!(read_at(400, invalidate(2)), (None, Note::Miss));
+    assert_eq!(read_at(500, fill(2)), (Some(2), Note::Hit));
+    assert_eq!(read_at(1499, None), (Some(2), Note::Hit));
+    assert_eq!(read_at(1550, None), (None, Note::Miss), "expired");
+    assert_eq!(read_at(1600, fill(3)), (Some(3), Note::Hit));
+    assert_eq!(read_at(1700, Some(Event::Fault(Fault::Flush { share: 1.0, salt: 1 }))), (None, Note::Miss));
 }
 
 #[test]
@@ -391,7 +392,7 @@
 #[test]
 fn no_answer_follows_a_corrupt_cut_or_missing_one() {
     let only = |noise| Fault::Spoil { share: 1.0, kinds: [noise].into_iter().collect() };
-    for (trouble, answers_sent, closes) in [
+    for (injected, answers_sent, closes) in [
         (Fault::Swallow(1.0), 1, 0),
         (only(Noise::OtherId), 1, 0),
         (only(Noise::Cut), 1, 1),
@@ -400,16 +401,16 @@
     ] {
         let mut rig = cache(&single(|_| ()));
         rig.connect(0..1);
-        fault(&mut rig, 0, trouble);
+        fault(&mut rig, 0, injected);
         ask(&mut rig, 0, 0, 1, 100.0);
         ask(&mut rig, 0, 0, 2, 100.0);
         let orders = rig.run_to(1000);
         let count = |f: fn(&Act) -> bool| acts(&orders).iter().filter(|act| f(act)).count();
-        let told =
+        let actions =
             (count(|a| matches!(a, Act::Answer(_))), count(|a| matches!(a, Act::Close(_, CloseKind::Fin))));
-        assert_eq!(told, (answers_sent, closes), "{trouble:?}");
+        assert_eq!(actions, (answers_sent, closes), "{injected:?}");
         // Only the last answer on the connection gets extra bytes after it.
-        if trouble == only(Noise::SecondCopy) {
+        if injected == only(Noise::SecondCopy) {
             assert_eq!(rig.server.stats(1000).corrupted, 1);
         }
     }
@@ -468,10 +469,10 @@
         let mut rig = origin(|c| c.overdriven = Some(over));
         rig.connect(0..1);
         assert_eq!(ask(&mut rig, 0, 0, 1, 2e6), [], "at the threshold, not above");
-        let told = acts(&ask(&mut rig, 500_000, 0, 2, 1.0));
+        let actions = acts(&ask(&mut rig, 500_000, 0, 2, 1.0));
         let until = 500_000 + 3 * SECOND;
-        assert_eq!(told[0], Act::Stopped { until });
-        assert_eq!(told.get(1), resets.then_some(&closed(0, CloseKind::Rst)));
+        assert_eq!(actions[0], Act::Stopped { until });
+        assert_eq!(actions.get(1), resets.then_some(&closed(0, CloseKind::Rst)));
         assert_eq!(rig.run_to(until - 1), []);
         let refused = Act::Refused(ConnId(1));
         let accepted = Act::Accepted(ConnId(1));
--- a/crates/model/tests/world.rs
+++ b/crates/model/tests/world.rs
@@ -20,7 +20,7 @@
 const CLIENTS: Host = Host(0);
 
 /// A scheduled action of the test world.
-enum Do {
+enum Action {
     /// A node writes these bytes.
     Answer(Conn, Vec<u8>),
     Begin(Which, Fault),
@@ -35,8 +35,8 @@
     conns: HashMap<ConnId, Conn>,
     names: HashMap<Conn, ConnId>,
     /// Received bytes of incomplete lines, by connection and side.
-    came: HashMap<(Conn, Side), Vec<u8>>,
-    agenda: BTreeMap<(Micros, u64), Do>,
+    received: HashMap<(Conn, Side), Vec<u8>>,
+    agenda: BTreeMap<(Micros, u64), Action>,
     made: u64,
     faults: Vec<FaultId>,
     stories: Vec<Story>,
@@ -60,7 +60,7 @@
         net: Network::new(net, seed),
         conns: HashMap::new(),
         names: HashMap::new(),
-        came: HashMap::new(),
+        received: HashMap::new(),
         agenda: BTreeMap::new(),
         made: 0,
         faults: Vec::new(),
@@ -69,7 +69,7 @@
 }
 
 impl World {
-    fn plan(&mut self, at: Micros, what: Do) {
+    fn plan(&mut self, at: Micros, what: Action) {
         self.made += 1;
         self.agenda.insert((at, self.made), what);
     }
@@ -112,13 +112,13 @@
             Delivery::Opened(conn) => self.clients.handle(now, Event::Opened(self.names[&conn])),
             Delivery::Refused(conn) => over(self, conn, |name| Event::OpenFailed(name, NotOpen::Refused)),
             Delivery::Data(conn, side, bytes) => {
-                let mut came = self.came.remove(&(conn, side)).unwrap_or_default();
-                came.extend_from_slice(&bytes);
-                while let Some(end) = came.windows(2).position(|pair| pair == b"\r\n") {
-                    let line: Vec<u8> = came.drain(..end + 2).collect();
+                let mut received = self.received.remove(&(conn, side)).unwrap_or_default();
+                received.extend_from_slice(&bytes);
+                while let Some(end) = received.windows(2).position(|pair| pair == b"\r\n") {
+                    let line: Vec<u8> = received.drain(..end + 2).collect();
                     self.line(now, conn, side, &String::from_utf8(line).unwrap());
                 }
-                self.came.insert((conn, side), came);
+                self.received.insert((conn, side), received);
             }
             Delivery::End(conn, Side::Client) | Delivery::Reset(conn, Side::Client) => {
                 over(self, conn, Event::Closed);
@@ -133,36 +133,36 @@
     fn line(&mut self, now: Micros, conn: Conn, side: Side, line: &str) {
         let id = line.split(' ').find_map(|word| word.strip_prefix('O')).unwrap().trim_end();
         if side == Side::Server {
-            self.plan(now + 5000, Do::Answer(conn, format!("HD O{id}\r\n").into_bytes()));
+            self.plan(now + 5000, Action::Answer(conn, format!("HD O{id}\r\n").into_bytes()));
         } else {
             let id = RequestId(u64::from_str_radix(id, 16).unwrap());
             self.clients.handle(now, Event::Answered(self.names[&conn], Some(id), Reply::Served));
         }
     }
 
-    fn act(&mut self, now: Micros, what: Do) {
+    fn act(&mut self, now: Micros, what: Action) {
         match what {
-            Do::Answer(conn, bytes) => {
+            Action::Answer(conn, bytes) => {
                 self.net.send(now, conn, Side::Server, &bytes);
             }
-            Do::Begin(to, fault) => {
+            Action::Begin(to, fault) => {
                 let id = self.net.begin(Which::Any, to, true, fault);
                 self.faults.push(id);
             }
-            Do::End => self.faults.drain(..).for_each(|id| self.net.end(now, id)),
-            Do::Kill(host) => self.net.kill(now, host),
+            Action::End => self.faults.drain(..).for_each(|id| self.net.end(now, id)),
+            Action::Kill(host) => self.net.kill(now, host),
         }
     }
 
     /// Runs to the end. Returns the stories of all requests, their digest, and the number of connections that
     /// no client holds.
-    fn play(mut self) -> (Vec<Story>, Digest, usize) {
+    fn run(mut self) -> (Vec<Story>, Digest, usize) {
         let node = |n| Which::Host(Host(n));
-        self.plan(2 * S, Do::Begin(node(1), Fault::Cut(Heal::Stay)));
-        self.plan(4 * S, Do::End);
-        self.plan(6 * S, Do::Kill(Host(2)));
-        self.plan(6 * S, Do::Begin(node(2), Fault::Refuse));
-        self.plan(7 * S, Do::End);
+        self.plan(2 * S, Action::Begin(node(1), Fault::Cut(Heal::Stay)));
+        self.plan(4 * S, Action::End);
+        self.plan(6 * S, Action::Kill(Host(2)));
+        self.plan(6 * S, Action::Begin(node(2), Fault::Refuse));
+        self.plan(7 * S, Action::End);
         self.clients.begin(S / 10);
         let mut now = 0;
         while now < 20 * S {
@@ -193,9 +193,9 @@
 #[test]
 fn runs_repeat_exactly_and_only_faults_cause_retries() {
     for split in [Split::Whole, Split::Random(20)] {
-        let (stories, digest, left) = world(split, 3).play();
-        assert_eq!(digest, world(split, 3).play().1);
-        assert_ne!(digest, world(split, 4).play().1);
+        let (stories, digest, left) = world(split, 3).run();
+        assert_eq!(digest, world(split, 3).run().1);
+        assert_ne!(digest, world(split, 4).run().1);
         // After a cut, an end can keep a connection that the other end has closed.
         assert!(left <= 250, "{left} connections that no client holds");
         let mut tally = Tally::default();
@@ -214,7 +214,7 @@
 
 #[test]
 fn a_node_is_used_again_once_it_answers() {
-    let (stories, ..) = world(Split::Whole, 5).play();
+    let (stories, ..) = world(Split::Whole, 5).run();
     let by = |node, from: Micros, to: Micros| {
         let first =
             |story: &&Story| (from..to).contains(&story.due) && story.tries[0].node == Some(NodeId(node));
