--- a/crates/lab/src/sim/catalog.rs
+++ b/crates/lab/src/sim/catalog.rs
@@ -11,7 +11,7 @@
 use lapisrudder_model::discovery::{
     Address as Site, Ask, CallId, Discovery, Event, Listing, Member, Order, State, View,
 };
-use lapisrudder_model::network::{Conn, Fault, FaultId, Host, Side, Which};
+use lapisrudder_model::network::{Conn, Fault, FaultId, Host, HostSet, Side};
 use lapisrudder_model::server::State as Running;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
@@ -245,7 +245,7 @@
                 }
                 Order::Unlisten(Site(site)) => {
                     let host = self.hosts[usize::from(site)];
-                    let door = cx.net.begin(Which::Any, Which::Host(host), false, Fault::Refuse);
+                    let door = cx.net.begin(HostSet::Any, HostSet::Host(host), false, Fault::Refuse);
                     self.doors[usize::from(site)] = Some(door);
                 }
                 Order::CloseAll(Site(site)) => {
--- a/crates/lab/src/sim/hands.rs
+++ b/crates/lab/src/sim/hands.rs
@@ -15,7 +15,7 @@
 use lapisrudder_model::discovery::{Event as Told, Outage, View};
 use lapisrudder_model::draw::stream;
 use lapisrudder_model::mix::{SplitMix, Spread, exponential, spot, unit};
-use lapisrudder_model::network::{Conn, Fault as Link, FaultId, Heal, Host, Side as End, Which};
+use lapisrudder_model::network::{Conn, Fault as Link, FaultId, Heal, Host, HostSet, Side as End};
 use lapisrudder_model::server::{Event as Happening, Fault, Noise, NoiseSet, State};
 use lapisrudder_model::value::Uid;
 use rand_distr::{Distribution, Exp};
@@ -207,7 +207,8 @@
                 let extra = millis(self.e.world.discovery.call_ms * (times - 1.0));
                 let slow = Link::Slow(Spread::Fixed(extra));
                 let ids = self.catalog.hosts.to_vec();
-                let ids = ids.into_iter().map(|h| self.cx.net.begin(Which::Host(h), Which::Any, false, slow));
+                let ids =
+                    ids.into_iter().map(|h| self.cx.net.begin(HostSet::Host(h), HostSet::Any, false, slow));
                 let ids = ids.collect();
                 self.hands.links.insert(of, ids);
             }
@@ -341,7 +342,7 @@
         let mut ids = Vec::new();
         for a in &a {
             for b in &b {
-                ids.push(self.cx.net.begin(Which::Host(*a), Which::Host(*b), true, link));
+                ids.push(self.cx.net.begin(HostSet::Host(*a), HostSet::Host(*b), true, link));
             }
         }
         self.hands.links.entry(of).or_default().extend(ids);
@@ -461,10 +462,10 @@
             return;
         }
         if host.door.is_none() {
-            let here = Which::Host(host.host);
+            let here = HostSet::Host(host.host);
             host.door = Some(match silent {
-                true => self.cx.net.begin(Which::Any, here, true, Link::Cut(Heal::Reset)),
-                false => self.cx.net.begin(Which::Any, here, false, Link::Refuse),
+                true => self.cx.net.begin(HostSet::Any, here, true, Link::Cut(Heal::Reset)),
+                false => self.cx.net.begin(HostSet::Any, here, false, Link::Refuse),
             });
         }
         let no = host.no;
@@ -616,7 +617,7 @@
             Blow::CutLink(ms) => {
                 let (a, b) = (self.nodes[node].host, self.servers.hosts[place].host);
                 let cut = Link::Cut(Heal::Resume);
-                let id = self.cx.net.begin(Which::Host(a), Which::Host(b), true, cut);
+                let id = self.cx.net.begin(HostSet::Host(a), HostSet::Host(b), true, cut);
                 self.hands.push(after(ms), Deed::LinkOff(id));
             }
             Blow::Reset => {
--- a/crates/lab/src/sim/world.rs
+++ b/crates/lab/src/sim/world.rs
@@ -23,7 +23,7 @@
 use lapisrudder_model::discovery::{Address as Site, Discovery, DiscoveryPlan, Event as Told};
 use lapisrudder_model::mix::{mix, spot};
 use lapisrudder_model::network::{
-    Delivery, Fault, FaultId, Host, LinksPlan, Network, NetworkPlan, Side, Split, Which,
+    Delivery, Fault, FaultId, Host, HostSet, LinksPlan, Network, NetworkPlan, Side, Split,
 };
 use lapisrudder_model::origin::Origin;
 use lapisrudder_model::server::{CacheServer, State};
@@ -745,7 +745,7 @@
             process.close_all(&mut self.cx);
         }
         if host.door.is_none() {
-            host.door = Some(self.cx.net.begin(Which::Any, Which::Host(host.host), false, Fault::Refuse));
+            host.door = Some(self.cx.net.begin(HostSet::Any, HostSet::Host(host.host), false, Fault::Refuse));
         }
         self.arm(Seat::Node(n as u32), None);
         let _ = now;
@@ -759,7 +759,7 @@
         self.cx.node(NodeEvent::Signalled { node: NodeNo(n as u16), signal: Signal::Kill });
         self.cx.net.kill(self.cx.now, host.host);
         if host.door.is_none() {
-            host.door = Some(self.cx.net.begin(Which::Any, Which::Host(host.host), false, Fault::Refuse));
+            host.door = Some(self.cx.net.begin(HostSet::Any, HostSet::Host(host.host), false, Fault::Refuse));
         }
         self.arm(Seat::Node(n as u32), None);
         self.cx.node(NodeEvent::Ended { node: NodeNo(n as u16), status: None });
@@ -772,7 +772,7 @@
     fn server_gone(&mut self, place: usize, silent: bool) {
         let Some(host) = self.servers.hosts.get_mut(place) else { return };
         if host.machine.state() == State::Down && host.door.is_none() {
-            host.door = Some(self.cx.net.begin(Which::Any, Which::Host(host.host), false, Fault::Refuse));
+            host.door = Some(self.cx.net.begin(HostSet::Any, HostSet::Host(host.host), false, Fault::Refuse));
             if self.day.habits.mend_s > 0.0 {
                 // Operators start again what has fallen.
                 self.hands.back_at(self.cx.now + seconds(self.day.habits.mend_s), place);
--- a/crates/lab/src/stand/control.rs
+++ b/crates/lab/src/stand/control.rs
@@ -7,7 +7,7 @@
 use crate::ledger::{ServerInfo, ServerNo, ZoneNo};
 use lapisrudder_model::clients::NodeId;
 use lapisrudder_model::discovery::{Address, Event, Member, Outage, State as Listing, View};
-use lapisrudder_model::network::{Fault as LinkFault, FaultId, Host, Which};
+use lapisrudder_model::network::{Fault as LinkFault, FaultId, Host, HostSet};
 use lapisrudder_model::server::{CloseKind, Event as Happening, Fault, ServerStats};
 use lapisrudder_model::value::{Key, Uid};
 use std::net::SocketAddr;
@@ -342,17 +342,17 @@
 }
 
 impl Stand {
-    fn which(&self, end: End) -> Result<Which, ControlError> {
+    fn which(&self, end: End) -> Result<HostSet, ControlError> {
         Ok(match end {
-            End::Any => Which::Any,
-            End::Zone(zone) => Which::Zone(zone),
-            End::Node(_) if self.views == 1 => Which::Host(Self::node_host(0)),
-            End::Node(node) if node < self.views => Which::Host(Self::node_host(node)),
+            End::Any => HostSet::Any,
+            End::Zone(zone) => HostSet::Zone(zone),
+            End::Node(_) if self.views == 1 => HostSet::Host(Self::node_host(0)),
+            End::Node(node) if node < self.views => HostSet::Host(Self::node_host(node)),
             End::Node(node) => return Err(ControlError::NoNode(node)),
             End::Server(no) => {
-                Which::Host(self.host_of(self.place_of(no)).ok_or(ControlError::NoServer(no.0))?)
+                HostSet::Host(self.host_of(self.place_of(no)).ok_or(ControlError::NoServer(no.0))?)
             }
-            End::Discovery => Which::Host(self.host_of(self.discovery_place()).ok_or(ControlError::Over)?),
+            End::Discovery => HostSet::Host(self.host_of(self.discovery_place()).ok_or(ControlError::Over)?),
         })
     }
 
@@ -361,14 +361,14 @@
     }
 
     /// Whether a connection lies between two ends.
-    fn meets(&self, number: u32, a: Which, b: Which) -> bool {
+    fn meets(&self, number: u32, a: HostSet, b: HostSet) -> bool {
         let Some(peer) = self.peers.get(&number) else { return false };
         let Some(host) = self.host_of(Some(peer.party)) else { return false };
         let node = Self::node_host(peer.view);
-        let of = |which: Which, host: Host| match which {
-            Which::Any => true,
-            Which::Host(this) => this == host,
-            Which::Zone(zone) => self.links.zone(host) == zone,
+        let of = |which: HostSet, host: Host| match which {
+            HostSet::Any => true,
+            HostSet::Host(this) => this == host,
+            HostSet::Zone(zone) => self.links.zone(host) == zone,
         };
         (of(a, node) && of(b, host)) || (of(b, node) && of(a, host))
     }
--- a/crates/lab/src/stand/peers.rs
+++ b/crates/lab/src/stand/peers.rs
@@ -8,7 +8,7 @@
 use crate::Micros;
 use crate::ledger::{Closer, ConnNo, RefusedWhy, ServerEvent};
 use lapisrudder_model::discovery::CallId;
-use lapisrudder_model::network::{Fate, Heal};
+use lapisrudder_model::network::{ConnectOutcome, Heal};
 use lapisrudder_model::server::CloseKind;
 use std::collections::VecDeque;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -104,7 +104,7 @@
         }) else {
             return self.has_trouble("a connection could not be watched".into());
         };
-        if matches!(fate, Fate::Refused | Fate::Reset) {
+        if matches!(fate, ConnectOutcome::Refused | ConnectOutcome::Reset) {
             socket.reset();
             return self.tell_refused(now, party, view, RefusedWhy::Down);
         }
@@ -112,7 +112,7 @@
         if let Some(party) = self.parties.get(party) {
             conn.limp(party.limp);
         }
-        if fate == Fate::Never {
+        if fate == ConnectOutcome::Never {
             conn.life = Life::Deaf { heard: false };
         }
         let talk = match self.parties.get(party).map(|p| &p.role) {
@@ -134,7 +134,7 @@
         };
         self.peers.insert(number, peer);
         if let Some(server) = self.server_no(party) {
-            if fate == Fate::Opens {
+            if fate == ConnectOutcome::Opens {
                 self.connect(party, number, now);
             } else {
                 self.tell(now, ServerEvent::Opened { server, conn: ConnNo(number), node: Self::node(view) });
--- a/crates/lab/src/stand/run.rs
+++ b/crates/lab/src/stand/run.rs
@@ -15,7 +15,7 @@
 use crate::ledger::{Closer, DiscoveryEvent, LabEvent, NodeNo, ServerEvent, ServerInfo, ServerNo};
 use calloop::{EventLoop, LoopHandle};
 use lapisrudder_model::mix::{below, spot};
-use lapisrudder_model::network::{Fate, Links};
+use lapisrudder_model::network::{ConnectOutcome, Links};
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, VecDeque};
@@ -318,8 +318,8 @@
         }
         let fate = |n: u64| self.links.connect(u64::MAX - n, Self::node_host(door.view), party.host);
         match fate(0) {
-            Fate::Never if (1..PROBES).all(|n| fate(n) == Fate::Never) => Entry::Hangs,
-            Fate::Refused => Entry::Closed,
+            ConnectOutcome::Never if (1..PROBES).all(|n| fate(n) == ConnectOutcome::Never) => Entry::Hangs,
+            ConnectOutcome::Refused => Entry::Closed,
             _ if party.refuses => Entry::Closed,
             _ => Entry::Open,
         }
--- a/crates/model/src/discovery/machine.rs
+++ b/crates/model/src/discovery/machine.rs
@@ -52,7 +52,7 @@
     /// The time limit for the answer to a call: the node counts as notified.
     Late(CallId),
     /// The node counts as notified if it has not called since.
-    Unasked(NodeId),
+    Inactive(NodeId),
     /// The time limit after a new configuration: the node counts as notified.
     Reloaded(NodeId),
     /// A lagging view can reach the next change.
@@ -139,7 +139,7 @@
             Event::Move(to) => self.move_to(now, to),
             Event::NodeStarted(node, known) => {
                 let silent = self.notifications.started(now, node, known);
-                silent.into_iter().for_each(|at| self.timer(at, Timer::Unasked(node)));
+                silent.into_iter().for_each(|at| self.timer(at, Timer::Inactive(node)));
             }
             Event::NodeReloaded(node) => self.timer(now + self.plan.limits.reload, Timer::Reloaded(node)),
         }
@@ -264,7 +264,7 @@
                     self.notifications.mark_notified(now, call.node, &self.catalog, rev, NotifiedBy::Late);
                 }
             }
-            Timer::Unasked(node) => {
+            Timer::Inactive(node) => {
                 let visible = self.visible(now);
                 self.notifications.check_silent(now, node, &self.catalog, visible);
             }
@@ -364,7 +364,7 @@
     fn end_call(&mut self, now: Micros, id: CallId, answered: bool) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         if let Some(silent) = self.notifications.call_ends(now, call.node, answered) {
-            self.timer(silent, Timer::Unasked(call.node));
+            self.timer(silent, Timer::Inactive(call.node));
         }
         Some(call)
     }
--- a/crates/model/src/discovery/machine/tests.rs
+++ b/crates/model/src/discovery/machine/tests.rs
@@ -173,8 +173,8 @@
             end: 20_000,
             orders: &[],
             notified: &[
-                "s1 Draining 11: due 500ms, notified 10000ms, Unasked",
-                "s2 Draining 12: due 11000ms, notified 11000ms, Unasked",
+                "s1 Draining 11: due 500ms, notified 10000ms, Inactive",
+                "s2 Draining 12: due 11000ms, notified 11000ms, Inactive",
             ],
         },
         Case {
--- a/crates/model/src/discovery/notifications.rs
+++ b/crates/model/src/discovery/notifications.rs
@@ -45,7 +45,7 @@
     /// The time limit of an answer passed.
     Late,
     /// The node has not called within [`Limits::ask_within`].
-    Unasked,
+    Inactive,
     /// The limit after a new configuration passed.
     Reloaded,
 }
@@ -138,7 +138,7 @@
         let within = self.limits.ask_within.unwrap_or(Micros::MAX);
         if node_record.open == 0 && now - node_record.contact >= within && !node_record.silent {
             node_record.silent = true;
-            self.mark_notified(now, node, catalog, visible, NotifiedBy::Unasked);
+            self.mark_notified(now, node, catalog, visible, NotifiedBy::Inactive);
         }
     }
 
@@ -147,7 +147,7 @@
         let silent: Vec<NodeId> =
             self.nodes.iter().filter(|(_, node_record)| node_record.silent).map(|(node, _)| *node).collect();
         for node in silent {
-            self.mark_notified(now, node, catalog, visible, NotifiedBy::Unasked);
+            self.mark_notified(now, node, catalog, visible, NotifiedBy::Inactive);
         }
     }
 
--- a/crates/model/src/network/links.rs
+++ b/crates/model/src/network/links.rs
@@ -10,7 +10,7 @@
 
 /// The set of hosts at one end of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Which {
+pub enum HostSet {
     /// Every host.
     Any,
     /// This one.
@@ -41,7 +41,7 @@
     Refuse,
     /// New connections are never established, while open ones work.
     NeverOpens,
-    /// New connections are reset instead of established.
+    /// New connections are reset at once.
     ResetNew,
     /// This share of new connections, 0 to 1, is never established.
     LoseNew(f64),
@@ -55,12 +55,12 @@
 
 /// Outcome of a connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum ConnectOutcome {
     /// The connection is established.
     Opens,
     /// The connect is refused.
     Refused,
-    /// The connect is answered by a reset.
+    /// The connection is reset at once.
     Reset,
     /// The connect is never answered.
     Never,
@@ -91,8 +91,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Active {
     id: FaultId,
-    from: Which,
-    to: Which,
+    from: HostSet,
+    to: HostSet,
     both: bool,
     pub(super) fault: Fault,
 }
@@ -126,7 +126,7 @@
 
     /// Switches a fault on, from one end to the other or in both directions. For faults of new connections
     /// the direction is that of the connect.
-    pub fn begin(&mut self, from: Which, to: Which, both: bool, fault: Fault) -> FaultId {
+    pub fn begin(&mut self, from: HostSet, to: HostSet, both: bool, fault: Fault) -> FaultId {
         let id = FaultId(self.made);
         self.made += 1;
         self.active.push(Active { id, from, to, both, fault });
@@ -148,11 +148,11 @@
             || (active.both && self.matches(active.from, to) && self.matches(active.to, from))
     }
 
-    pub(super) fn matches(&self, which: Which, host: Host) -> bool {
+    pub(super) fn matches(&self, which: HostSet, host: Host) -> bool {
         match which {
-            Which::Any => true,
-            Which::Host(this) => this == host,
-            Which::Zone(zone) => self.zone(host) == zone,
+            HostSet::Any => true,
+            HostSet::Host(this) => this == host,
+            HostSet::Zone(zone) => self.zone(host) == zone,
         }
     }
 
@@ -173,22 +173,22 @@
     /// Outcome of a connect made now from one host to another. The draw for lost connects depends on
     /// `number`, the number of the connection, alone, so that the same connection gets the same result each
     /// time.
-    pub fn connect(&self, number: u64, from: Host, to: Host) -> Fate {
+    pub fn connect(&self, number: u64, from: Host, to: Host) -> ConnectOutcome {
         if !self.passes(from, to) || !self.passes(to, from) {
-            return Fate::Never;
+            return ConnectOutcome::Never;
         }
         let draw = unit(&mut spot(self.seed, "lose", number, 0));
-        let mut fate = Fate::Opens;
+        let mut outcome = ConnectOutcome::Opens;
         for fault in self.faults(from, to) {
             match fault {
-                Fault::Refuse => return Fate::Refused,
-                Fault::NeverOpens => return Fate::Never,
-                Fault::LoseNew(share) if draw < share => return Fate::Never,
-                Fault::ResetNew => fate = Fate::Reset,
+                Fault::Refuse => return ConnectOutcome::Refused,
+                Fault::NeverOpens => return ConnectOutcome::Never,
+                Fault::LoseNew(share) if draw < share => return ConnectOutcome::Never,
+                Fault::ResetNew => outcome = ConnectOutcome::Reset,
                 _ => {}
             }
         }
-        fate
+        outcome
     }
 
     /// Delay of data sent now from one host to another.
@@ -223,37 +223,37 @@
 
     #[test]
     fn faults_apply_to_their_hosts_while_active() {
-        use Fate::{Never, Opens, Refused, Reset};
+        use ConnectOutcome::{Never, Opens, Refused, Reset};
         let (h0, h1, h2) = (Host(0), Host(1), Host(2));
         let cases = [
             // from, to, both, fault; then the connect outcomes 0 to 1, 0 to 2, 2 to 0; then whether data
             // passes 0 to 2 and 2 to 0.
             (
-                Which::Zone(0),
-                Which::Zone(1),
+                HostSet::Zone(0),
+                HostSet::Zone(1),
                 false,
                 Fault::Cut(Heal::Stay),
                 [Opens, Never, Never],
                 [false, true],
             ),
             (
-                Which::Zone(0),
-                Which::Zone(1),
+                HostSet::Zone(0),
+                HostSet::Zone(1),
                 true,
                 Fault::Cut(Heal::Stay),
                 [Opens, Never, Never],
                 [false, false],
             ),
-            (Which::Any, Which::Host(h2), false, Fault::Refuse, [Opens, Refused, Opens], [true, true]),
-            (Which::Any, Which::Host(h2), false, Fault::NeverOpens, [Opens, Never, Opens], [true, true]),
-            (Which::Host(h0), Which::Any, false, Fault::ResetNew, [Reset, Reset, Opens], [true, true]),
-            (Which::Any, Which::Any, false, Fault::LoseNew(1.0), [Never, Never, Never], [true, true]),
+            (HostSet::Any, HostSet::Host(h2), false, Fault::Refuse, [Opens, Refused, Opens], [true, true]),
+            (HostSet::Any, HostSet::Host(h2), false, Fault::NeverOpens, [Opens, Never, Opens], [true, true]),
+            (HostSet::Host(h0), HostSet::Any, false, Fault::ResetNew, [Reset, Reset, Opens], [true, true]),
+            (HostSet::Any, HostSet::Any, false, Fault::LoseNew(1.0), [Never, Never, Never], [true, true]),
         ];
-        for (from, to, both, fault, fates, passes) in cases {
+        for (from, to, both, fault, outcomes, passes) in cases {
             let mut links = links();
             let id = links.begin(from, to, both, fault);
             let pairs = [(h0, h1), (h0, h2), (h2, h0)];
-            assert_eq!(pairs.map(|(a, b)| links.connect(7, a, b)), fates, "{fault:?}");
+            assert_eq!(pairs.map(|(a, b)| links.connect(7, a, b)), outcomes, "{fault:?}");
             assert_eq!([links.passes(h0, h2), links.passes(h2, h0)], passes, "{fault:?}");
             assert_eq!(links.end(id), Some(fault));
             assert_eq!(links.connect(7, h0, h2), Opens);
@@ -266,10 +266,11 @@
         let mut draws = crate::draw::stream(1, "delay", 0);
         let mut delay = |links: &Links, a, b| links.delay(Host(a), Host(b), &mut draws);
         assert_eq!([(0, 1), (0, 2), (0, 3), (3, 0)].map(|(a, b)| delay(&links, a, b)), [100, 900, 5000, 900]);
-        links.begin(Which::Host(Host(2)), Which::Any, true, Fault::Slow(Spread::Fixed(50)));
+        links.begin(HostSet::Host(Host(2)), HostSet::Any, true, Fault::Slow(Spread::Fixed(50)));
         assert_eq!([(0, 1), (0, 2), (2, 0)].map(|(a, b)| delay(&links, a, b)), [100, 950, 950]);
-        links.begin(Which::Any, Which::Any, false, Fault::LoseNew(0.25));
-        let lost = (0..10_000).filter(|&n| links.connect(n, Host(0), Host(1)) == Fate::Never).count();
+        links.begin(HostSet::Any, HostSet::Any, false, Fault::LoseNew(0.25));
+        let lost =
+            (0..10_000).filter(|&n| links.connect(n, Host(0), Host(1)) == ConnectOutcome::Never).count();
         // Four standard deviations of a binomial count with p = 0.25, n = 10,000.
         assert!(lost.abs_diff(2500) < 174, "{lost}");
     }
--- a/crates/model/src/network/mod.rs
+++ b/crates/model/src/network/mod.rs
@@ -12,7 +12,7 @@
 mod pipe;
 mod streams;
 
-pub use links::{Delay, Fate, Fault, FaultId, Heal, Host, Links, LinksPlan, Which};
+pub use links::{ConnectOutcome, Delay, Fault, FaultId, Heal, Host, HostSet, Links, LinksPlan};
 pub use streams::{Network, NetworkPlan, Split};
 
 use bytes::Bytes;
--- a/crates/model/src/network/pipe.rs
+++ b/crates/model/src/network/pipe.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 
-use super::{Fate, Heal, Host, Side};
+use super::{ConnectOutcome, Heal, Host, Side};
 use crate::Micros;
 
 /// Something sent in one direction of a connection.
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     /// The first packet is in flight; the outcome is already decided.
-    Connecting(Fate),
+    Connecting(ConnectOutcome),
     /// The first packet has arrived at the server.
     Up,
     /// The connect is lost: in a cut, with what happens when that ends, or (`None`) for another reason.
--- a/crates/model/src/network/streams.rs
+++ b/crates/model/src/network/streams.rs
@@ -8,7 +8,7 @@
 use rustc_hash::FxHashMap;
 
 use super::pipe::{Pipe, Segment, Stage};
-use super::{Conn, Delivery, Fate, Fault, FaultId, Heal, Host, Links, LinksPlan, Side, Which};
+use super::{Conn, ConnectOutcome, Delivery, Fault, FaultId, Heal, Host, HostSet, Links, LinksPlan, Side};
 use crate::Micros;
 use crate::draw::stream;
 use crate::mix::below;
@@ -110,12 +110,12 @@
     fn begin_connect(&mut self, now: Micros, conn: Conn) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         let (from, to) = (pipe.from, pipe.to);
-        let fate = self.links.connect(conn.0, from, to);
-        if fate == Fate::Never {
+        let outcome = self.links.connect(conn.0, from, to);
+        if outcome == ConnectOutcome::Never {
             pipe.stage = Stage::Lost(self.links.cut(from, to).or_else(|| self.links.cut(to, from)));
             return;
         }
-        pipe.stage = Stage::Connecting(fate);
+        pipe.stage = Stage::Connecting(outcome);
         let at = now + self.links.delay(from, to, &mut self.draws);
         self.push(at, Due::Connect(conn));
     }
@@ -226,7 +226,7 @@
     }
 
     /// Resets the open connections between two sets of hosts; both sides receive a reset.
-    pub fn reset_between(&mut self, now: Micros, a: Which, b: Which) {
+    pub fn reset_between(&mut self, now: Micros, a: HostSet, b: HostSet) {
         let up = self.sorted(|links, pipe| {
             let (from, to) = (pipe.from, pipe.to);
             let meet = (links.matches(a, from) && links.matches(b, to))
@@ -240,7 +240,7 @@
     }
 
     /// Switches a fault on; see [`Links::begin`].
-    pub fn begin(&mut self, from: Which, to: Which, both: bool, fault: Fault) -> FaultId {
+    pub fn begin(&mut self, from: HostSet, to: HostSet, both: bool, fault: Fault) -> FaultId {
         self.links.begin(from, to, both, fault)
     }
 
@@ -345,19 +345,19 @@
     /// Handles the arrival of the first packet of a connect.
     fn on_connect_packet(&mut self, at: Micros, conn: Conn) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
-        let Stage::Connecting(fate) = pipe.stage else { return };
+        let Stage::Connecting(outcome) = pipe.stage else { return };
         let (from, to) = (pipe.from, pipe.to);
         if let Some(heal) = self.links.cut(to, from) {
             pipe.stage = Stage::Lost(Some(heal));
             return;
         }
         pipe.stage = Stage::Up;
-        let answer = match fate {
-            Fate::Refused | Fate::Never => Segment::Refused,
-            Fate::Reset => Segment::Reset,
-            Fate::Opens => Segment::Opened,
+        let answer = match outcome {
+            ConnectOutcome::Refused | ConnectOutcome::Never => Segment::Refused,
+            ConnectOutcome::Reset => Segment::Reset,
+            ConnectOutcome::Opens => Segment::Opened,
         };
-        if fate == Fate::Opens {
+        if outcome == ConnectOutcome::Opens {
             self.ready.push_back(Delivery::Accepted { conn, from, to });
         } else {
             pipe.direction(Side::Server).reset = true;
--- a/crates/model/src/network/streams/tests.rs
+++ b/crates/model/src/network/streams/tests.rs
@@ -82,7 +82,7 @@
         steps.push((60_000_000, None));
         for (n, (gap, write)) in steps.into_iter().enumerate() {
             if n == cut && write.is_some() {
-                fault = Some(net.begin(Which::Any, Which::Host(SERVER), true, Fault::Cut(Heal::Resume)));
+                fault = Some(net.begin(HostSet::Any, HostSet::Host(SERVER), true, Fault::Cut(Heal::Resume)));
             } else if n == cut + 5 || write.is_none() {
                 fault.take().into_iter().for_each(|fault| net.end(now, fault));
             }
@@ -131,7 +131,7 @@
     for (heal, arrives, reset, connects) in cases {
         let mut net = network(Split::Whole, |_| {});
         let conn = open(&mut net);
-        let id = net.begin(Which::Host(SERVER), Which::Any, true, Fault::Cut(heal));
+        let id = net.begin(HostSet::Host(SERVER), HostSet::Any, true, Fault::Cut(heal));
         assert_eq!(net.send(10_000, conn, Side::Client, ask), 3, "the sender notices nothing");
         let late = net.connect(10_000, CLIENT, SERVER);
         assert_eq!(until(&mut net, 60_000_000), [], "{heal:?}");
@@ -154,7 +154,7 @@
 fn a_cut_of_one_direction_leaves_the_other_intact() {
     let mut net = network(Split::Whole, |_| {});
     let conn = open(&mut net);
-    net.begin(Which::Host(SERVER), Which::Host(CLIENT), false, Fault::Cut(Heal::Stay));
+    net.begin(HostSet::Host(SERVER), HostSet::Host(CLIENT), false, Fault::Cut(Heal::Stay));
     net.send(10_000, conn, Side::Client, b"ask");
     net.send(10_000, conn, Side::Server, b"answer");
     let seen = until(&mut net, 1_000_000);
@@ -170,7 +170,7 @@
         (Fault::LoseNew(1.0), None),
     ] {
         let mut net = network(Split::Whole, |_| {});
-        net.begin(Which::Any, Which::Host(SERVER), false, fault);
+        net.begin(HostSet::Any, HostSet::Host(SERVER), false, fault);
         net.connect(0, CLIENT, SERVER);
         let seen = until(&mut net, 100_000_000);
         assert_eq!(
@@ -211,7 +211,7 @@
     }
     let mut net = network(Split::Whole, |_| {});
     let conn = open(&mut net);
-    net.reset_between(10_000, Which::Any, Which::Any);
+    net.reset_between(10_000, HostSet::Any, HostSet::Any);
     let seen = until(&mut net, 20_000);
     assert!(seen.len() == 2 && net.connections() == 0, "each side of {conn:?} gets a reset: {seen:?}");
 }
--- a/crates/model/src/server/host.rs
+++ b/crates/model/src/server/host.rs
@@ -65,6 +65,7 @@
     length: Sampler,
     grow: f64,
     rng: ChaCha8Rng,
+    /// Start of the next pause.
     next: Nanos,
 }
 
@@ -90,20 +91,26 @@
     pub(super) state: State,
     pub(super) station: Station<Job>,
     pub(super) table: Table,
+    /// Requests that wait for a slot.
     pub(super) waiting: RequestQueue,
+    /// Requests that arrived during a pause, to read at its end.
     pub(super) inbox: RequestQueue,
+    /// Requests that have a slot.
     pub(super) in_work: u32,
     timers: BinaryHeap<Reverse<(Nanos, Timer)>>,
     warm_up: WarmUpState,
+    /// When to update the speed of the cores for the warm-up.
     warm_up_due: Nanos,
     overload: Overload,
     paused_until: Option<Nanos>,
+    /// End of an overload stop with resets.
     resume_at: Nanos,
     spontaneous_pauses: Option<SpontaneousPauses>,
     pub(super) faults: ActiveFaults,
     pub(super) draws: Draws,
     pub(super) out: Outbox,
     pub(super) stats: ServerStats,
+    /// Integral of the number of held requests over time, ns, up to `held_since`.
     held_integral: u128,
     held_since: Nanos,
     drained_reported: bool,
--- a/crates/model/src/server/warm_up.rs
+++ b/crates/model/src/server/warm_up.rs
@@ -11,6 +11,7 @@
     start: f64,
     full_after: f64,
     full_after_work: f64,
+    /// Start of the warm-up, and the work done by then.
     since: Nanos,
     done_at_start: f64,
     step: Nanos,
@@ -66,6 +67,7 @@
 pub(crate) struct OfferedLoad {
     multiple: f64,
     window: Nanos,
+    /// Time and work of each piece in the window, oldest first.
     sent: VecDeque<(Nanos, Nanos)>,
     /// Sum of the work in the window. An integer, since a float sum would drift.
     sum: i128,
--- a/crates/model/tests/world.rs
+++ b/crates/model/tests/world.rs
@@ -11,8 +11,8 @@
 };
 use lapisrudder_model::mix::Spread;
 use lapisrudder_model::network::{
-    Conn, Delay, Delivery, Fate, Fault, FaultId, Heal, Host, LinksPlan, Network, NetworkPlan, Side, Split,
-    Which,
+    Conn, ConnectOutcome, Delay, Delivery, Fault, FaultId, Heal, Host, HostSet, LinksPlan, Network,
+    NetworkPlan, Side, Split,
 };
 use lapisrudder_model::profile::Profile;
 
@@ -23,7 +23,7 @@
 enum Action {
     /// A node writes these bytes.
     Answer(Conn, Vec<u8>),
-    Begin(Which, Fault),
+    Begin(HostSet, Fault),
     End,
     Kill(Host),
 }
@@ -92,7 +92,7 @@
                 }
             }
             Order::Probe(node) => {
-                let up = self.net.links().connect(0, CLIENTS, Host(node.0 + 1)) == Fate::Opens;
+                let up = self.net.links().connect(0, CLIENTS, Host(node.0 + 1)) == ConnectOutcome::Opens;
                 self.clients.handle(now, Event::Probed(node, up));
             }
             Order::Over(story) => self.stories.push(*story),
@@ -146,7 +146,7 @@
                 self.net.send(now, conn, Side::Server, &bytes);
             }
             Action::Begin(to, fault) => {
-                let id = self.net.begin(Which::Any, to, true, fault);
+                let id = self.net.begin(HostSet::Any, to, true, fault);
                 self.faults.push(id);
             }
             Action::End => self.faults.drain(..).for_each(|id| self.net.end(now, id)),
@@ -157,7 +157,7 @@
     /// Runs to the end. Returns the stories of all requests, their digest, and the number of connections that
     /// no client holds.
     fn run(mut self) -> (Vec<Story>, Digest, usize) {
-        let node = |n| Which::Host(Host(n));
+        let node = |n| HostSet::Host(Host(n));
         self.plan(2 * S, Action::Begin(node(1), Fault::Cut(Heal::Stay)));
         self.plan(4 * S, Action::End);
         self.plan(6 * S, Action::Kill(Host(2)));
