--- a/crates/model/src/network/pipe.rs
+++ b/crates/model/src/network/pipe.rs
@@ -12,6 +12,7 @@
 pub(super) enum Segment {
     /// The answer to a connect that succeeds.
     Opened,
+    /// The answer to a connect that is refused.
     Refused,
     Data(Bytes),
     Fin,
@@ -47,6 +48,7 @@
     pub(super) reset: bool,
 }
 
+/// How far a connect has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     /// The first packet is in flight; the outcome is already decided.
@@ -57,6 +59,7 @@
     Lost(Option<Heal>),
 }
 
+/// A connection, from the connect until both sides have finished.
 #[derive(Debug)]
 pub(super) struct Pipe {
     pub(super) from: Host,
--- a/crates/model/src/server/flow.rs
+++ b/crates/model/src/server/flow.rs
@@ -126,10 +126,10 @@
 
     /// Sends the answers of a connection that are ready, in the order of its requests.
     fn flush_answers(&mut self, conn: u32) -> Flushed {
-        let mut flush_answers = Flushed::Nothing;
+        let mut flushed = Flushed::Nothing;
         self.count_held();
         while let Some((call, answer, note)) = self.table.take_done(conn) {
-            flush_answers = Flushed::Some;
+            flushed = Flushed::Some;
             let last = self.table.conns[conn as usize].is_idle();
             let noise = self.faults.noise(&answer, last);
             let Request { conn: id, id: request, key, .. } = call.request;
@@ -146,7 +146,7 @@
                 self.table.conns[conn as usize].stuck = true;
             }
         }
-        flush_answers
+        flushed
     }
 
     fn count_answer(&mut self, call: &Call, answer: &Answer) {
--- a/crates/model/tests/servers/rules.rs
+++ b/crates/model/tests/servers/rules.rs
@@ -41,7 +41,7 @@
     let config = CacheConfig { warm_up, ..single(|m| m.waiting_room = 2) };
     // Time of the sixteenth request of 0.1 s of work after fifteen at 0, whether the server is warm, whether
     // it crashes.
-    for (at, warm, falls) in
+    for (at, warm, crashes) in
         [(0, false, true), (2 * SECOND - 1, false, true), (2 * SECOND, false, false), (0, true, false)]
     {
         let server = CacheServer::new(&config, Uid(1), 1, warm, 0).unwrap();
@@ -57,8 +57,8 @@
         );
         assert_eq!(rig.server.state(), State::Up);
         let orders = acts(&ask(&mut rig, at, 0, 15, 1e5));
-        assert_eq!(orders.contains(&Act::Crashed), falls, "at {at}, warm {warm}");
-        if falls {
+        assert_eq!(orders.contains(&Act::Crashed), crashes, "at {at}, warm {warm}");
+        if crashes {
             assert_eq!(orders[orders.len() - 2..], [Act::Crashed, closed(0, CloseKind::Rst)]);
             let late = at + 100 * SECOND;
             assert_eq!(acts(&rig.at(late, Event::Connect(ConnId(1)))), [Act::Refused(ConnId(1))]);
