--- a/crates/model/examples/speed.rs
+++ b/crates/model/examples/speed.rs
@@ -1,5 +1,5 @@
-//! How many events a second one core drives through cache servers: `cargo run --release -p lapisrudder-model
-//! --example speed`. An event is a call of `handle`, an order, or a piece of work that ends inside.
+//! Measures how many events per second one core simulates with cache servers: `cargo run --release -p
+//! lapisrudder-model --example speed`. An event is a call of `handle`, an order, or a request that is begun.
 
 use std::error::Error;
 use std::time::Instant;
@@ -15,7 +15,11 @@
 fn run(servers: u64, requests: u64) -> Result<(), Box<dyn Error>> {
     let class = Class { work: Dist::LogNormal { mean_us: 1000.0, cv: 1.5 }, ..Class::default() };
     let tip = Some(OverloadThreshold { multiple: 3.0, window_us: 2_000_000 });
-    let machine = Machine { classes: vec![class], choke: ConcurrencyPenalty { at: 3.0, loss: 0.1 }, ..Machine::default() };
+    let machine = Machine {
+        classes: vec![class],
+        choke: ConcurrencyPenalty { at: 3.0, loss: 0.1 },
+        ..Machine::default()
+    };
     let warm_up = WarmUp { start: 0.2, tip, ..WarmUp::default() };
     let config = CacheConfig { machine, warm_up, memory: 20 << 20, ..CacheConfig::default() };
     let mut world = Vec::new();
@@ -26,7 +30,8 @@
     }
     let mut rng = stream(1, "speed", servers);
     let (mut now, mut events, mut answered) = (0, 0u64, 0u64);
-    // 4,000 requests a second for each server with 8 cores and 1 ms: half of its capacity; cold ones hold on.
+    // 4,000 requests per second per server, with 8 cores and 1 ms of work each: half of the capacity, below
+    // the overload threshold of cold servers.
     let gap = 250.0 / servers as f64;
     let mut at = 0.0;
     let begin = Instant::now();
@@ -60,10 +65,10 @@
         }
     }
     let took = begin.elapsed().as_secs_f64();
-    let ended: u64 = world.iter_mut().map(|s| s.books(now).begun).sum();
+    let ended: u64 = world.iter_mut().map(|s| s.stats(now).begun).sum();
     events += ended;
     println!(
-        "{servers} servers: {requests} requests, {answered} answers, {:.2} million events/s, {:.0} ns a request",
+        "{servers} servers: {requests} requests, {answered} answers, {:.2} million events/s, {:.0} ns per request",
         events as f64 / took / 1e6,
         took / requests as f64 * 1e9,
     );
--- a/crates/model/src/discovery/machine.rs
+++ b/crates/model/src/discovery/machine.rs
@@ -1,29 +1,31 @@
-//! The service: calls worked through in turn, watches that wait, outages, views and moves.
+//! The service: calls worked through one after the other, waiting watches, outages, views and moves.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
 use rand_chacha::ChaCha8Rng;
 
-use super::books::Books;
 use super::catalog::Catalog;
-use super::{Address, Ask, CallId, DiscoveryPlan, Event, How, Listing, Order, Outage, Telling, View};
+use super::notifications::NotificationTable;
+use super::{
+    Address, Ask, CallId, DiscoveryPlan, Event, Listing, Notification, NotifiedBy, Order, Outage, View,
+};
 use crate::Micros;
 use crate::clients::NodeId;
 use crate::draw::stream;
 
-/// Where a call is.
+/// Processing stage of a call.
 #[derive(Clone, Debug)]
 enum Stage {
-    /// It waits for its turn.
+    /// Waits in the queue.
     Queued,
-    /// A watch waits for something new.
+    /// A watch that waits for a change.
     Waiting,
-    /// The answer is worked out and on its way.
+    /// The answer is computed; its latency is not over.
     Answering(Listing),
-    /// The driver has been told to write the version.
+    /// The driver is writing the answer with this version.
     Writing(u64),
-    /// Discovery is silent; nothing comes of it.
+    /// Open during a silent outage: not answered, and reset when the outage ends.
     Hung,
 }
 
@@ -37,9 +39,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    /// A call's turn is over.
+    /// The work of a call is done.
     Worked(CallId),
-    /// A watch has waited long enough.
+    /// A watch has waited for its `hold`.
     HoldOver(CallId),
     /// An answer is to be written.
     Answer(CallId),
@@ -47,25 +49,25 @@
     Unavailable(CallId),
     /// A call is to be reset.
     Reset(CallId),
-    /// What the answer to a call brings counts as told.
+    /// The time limit for the answer to a call: the node counts as notified.
     Late(CallId),
-    /// The node counts as told if it has not asked since.
-    Unasked(NodeId),
-    /// The node counts as told after a new configuration.
+    /// The node counts as notified if it has not called since.
+    Inactive(NodeId),
+    /// The time limit after a new configuration: the node counts as notified.
     Reloaded(NodeId),
-    /// A lagging view may show more.
+    /// A lagging view can reach the next change.
     Visible,
-    /// The old address closes what is open.
+    /// The old address closes its open connections.
     CloseAll(Address),
 }
 
-/// Discovery. See the [module](super) for how to drive it.
+/// The discovery service. See the [module](super) for how to drive it.
 #[derive(Debug)]
 pub struct Discovery {
     plan: DiscoveryPlan,
     catalog: Catalog,
     view: View,
-    /// Nodes were last shown this version.
+    /// The version that was last visible to nodes.
     shown: u64,
     down: Option<Outage>,
     address: Address,
@@ -76,15 +78,15 @@
     timers: BinaryHeap<Reverse<(Micros, u64, Timer)>>,
     timers_made: u64,
     orders: VecDeque<Order>,
-    books: Books,
+    notifications: NotificationTable,
     draws: ChaCha8Rng,
 }
 
 impl Discovery {
-    /// Up, at one address.
+    /// Creates a service that is up at the given address.
     pub fn new(plan: DiscoveryPlan, address: Address, seed: u64) -> Self {
         Self {
-            catalog: Catalog::new(plan.rev, plan.members.clone(), plan.remember),
+            catalog: Catalog::new(plan.rev, plan.members.clone(), plan.max_changes),
             view: View::Live,
             shown: plan.rev,
             down: None,
@@ -95,15 +97,15 @@
             timers: BinaryHeap::new(),
             timers_made: 0,
             orders: VecDeque::from([Order::Listen(address)]),
-            books: Books::new(plan.limits),
+            notifications: NotificationTable::new(plan.limits),
             draws: stream(seed, "discovery", 0),
             plan,
         }
     }
 
-    /// Something happened.
+    /// Handles an event at the given time.
     pub fn handle(&mut self, now: Micros, event: Event) {
-        // Guards against a driver that comes late: what was due before comes before.
+        // Timers that were due before the event fire before it, even if the driver polls late.
         self.advance(now - 1);
         match event {
             Event::Call(id, node, address, ask) => self.call(now, id, node, address, ask),
@@ -116,14 +118,14 @@
                 if let View::Lag(lag) = self.view {
                     self.timer(now + lag, Timer::Visible);
                 }
-                self.show(now);
+                self.on_view_change(now);
             }
             Event::Down(outage) => self.go_down(now, outage),
             Event::Up => {
                 if self.down.take() == Some(Outage::Silent) {
                     self.fail_all(now, Timer::Reset);
                 }
-                self.show(now);
+                self.on_view_change(now);
             }
             Event::View(view) => {
                 self.view = view;
@@ -132,18 +134,18 @@
                     let later: Vec<Micros> = changes.filter(|at| *at > now).collect();
                     later.into_iter().for_each(|at| self.timer(at, Timer::Visible));
                 }
-                self.show(now);
+                self.on_view_change(now);
             }
             Event::Move(to) => self.move_to(now, to),
             Event::NodeStarted(node, known) => {
-                let silent = self.books.started(now, node, known);
-                silent.into_iter().for_each(|at| self.timer(at, Timer::Unasked(node)));
+                let silent = self.notifications.started(now, node, known);
+                silent.into_iter().for_each(|at| self.timer(at, Timer::Inactive(node)));
             }
             Event::NodeReloaded(node) => self.timer(now + self.plan.limits.reload, Timer::Reloaded(node)),
         }
     }
 
-    /// The next order due by now.
+    /// Returns the next order due by now.
     pub fn poll(&mut self, now: Micros) -> Option<Order> {
         self.advance(now);
         self.orders.pop_front()
@@ -157,7 +159,7 @@
         }
     }
 
-    /// When to poll again if nothing happens before; a time long past if there are orders to take.
+    /// Returns when to poll next if no event happens before, or a time in the past while orders wait.
     pub fn next(&self) -> Option<Micros> {
         if !self.orders.is_empty() {
             return Some(Micros::MIN);
@@ -165,22 +167,22 @@
         self.timers.peek().map(|timer| timer.0.0)
     }
 
-    /// Who counts as told of what since the last call of this. A `told` or `due` may lie before earlier entries'.
-    pub fn take_notifications(&mut self) -> Vec<Telling> {
-        std::mem::take(&mut self.books.tellings)
+    /// Removes and returns the recorded notifications. They are not sorted by `notified` or `due`.
+    pub fn take_notifications(&mut self) -> Vec<Notification> {
+        std::mem::take(&mut self.notifications.recorded)
     }
 
-    /// The whole list as it is, whatever is served: what a node's configuration holds at its start.
+    /// The current full list, regardless of the view, as a node's configuration holds it at its start.
     pub fn list(&self) -> Listing {
         self.catalog.full(self.catalog.rev())
     }
 
-    /// Where it answers.
+    /// The current address.
     pub fn address(&self) -> Address {
         self.address
     }
 
-    /// Calls that are open.
+    /// Number of open calls.
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
@@ -190,7 +192,7 @@
         self.timers_made += 1;
     }
 
-    /// The version that it serves now.
+    /// The version that is visible to nodes now.
     fn visible(&self, now: Micros) -> u64 {
         match self.view {
             View::Live => self.catalog.rev(),
@@ -201,7 +203,7 @@
 
     fn call(&mut self, now: Micros, id: CallId, node: NodeId, address: Address, ask: Ask) {
         let known = if let Ask::Watch { from, .. } = ask { from } else { 0 };
-        self.books.call_begins(now, node, known);
+        self.notifications.call_begins(now, node, known);
         self.calls.insert(id, Call { node, address, ask, stage: Stage::Queued });
         let latency = self.plan.latency.draw(&mut self.draws);
         if self.closed.contains(&address) {
@@ -213,7 +215,7 @@
             Some(Outage::Silent) => return self.hang(id),
             None => {}
         }
-        if self.busy_until.saturating_sub(now) > self.plan.patience {
+        if self.busy_until.saturating_sub(now) > self.plan.max_queue_wait {
             return self.timer(now + latency, Timer::Unavailable(id));
         }
         if ask == Ask::Full {
@@ -223,7 +225,7 @@
         self.timer(done, Timer::Worked(id));
     }
 
-    /// When work for that many lines, put behind what is there, is done.
+    /// Queues the work of a call or answer with the given number of entries; returns when it is done.
     fn work(&mut self, now: Micros, lines: usize) -> Micros {
         self.busy_until =
             self.busy_until.max(now) + self.plan.per_call + self.plan.per_line * lines as Micros;
@@ -259,18 +261,18 @@
                         Stage::Queued | Stage::Waiting => self.visible(now),
                         Stage::Hung => return,
                     };
-                    self.books.tell(now, call.node, &self.catalog, rev, How::Late);
+                    self.notifications.mark_notified(now, call.node, &self.catalog, rev, NotifiedBy::Late);
                 }
             }
-            Timer::Unasked(node) => {
+            Timer::Inactive(node) => {
                 let visible = self.visible(now);
-                self.books.silent_from(now, node, &self.catalog, visible);
+                self.notifications.check_silent(now, node, &self.catalog, visible);
             }
             Timer::Reloaded(node) => {
                 let visible = self.visible(now);
-                self.books.tell(now, node, &self.catalog, visible, How::Reloaded);
+                self.notifications.mark_notified(now, node, &self.catalog, visible, NotifiedBy::Reloaded);
             }
-            Timer::Visible => self.show(now),
+            Timer::Visible => self.on_view_change(now),
             Timer::CloseAll(address) if address == self.address => {}
             Timer::CloseAll(address) => {
                 self.closed.push(address);
@@ -306,15 +308,15 @@
             }
             Ask::Watch { hold, .. } => {
                 call.stage = Stage::Waiting;
-                let hold = hold.clamp(0, self.plan.longest_hold);
+                let hold = hold.clamp(0, self.plan.max_hold);
                 self.timer(now + hold, Timer::HoldOver(id));
-                self.wake(now, id);
+                self.answer_if_newer(now, id);
             }
         }
     }
 
-    /// Answers a watch that waits, if there is something new.
-    fn wake(&mut self, now: Micros, id: CallId) {
+    /// Answers a waiting watch if there are changes after its version.
+    fn answer_if_newer(&mut self, now: Micros, id: CallId) {
         let visible = self.visible(now);
         let waits = self.calls.get(&id).is_some_and(|call| matches!(call.stage, Stage::Waiting));
         if let Some(from) = self.from(id).filter(|from| waits && *from < visible) {
@@ -323,7 +325,7 @@
         }
     }
 
-    /// The answer is known; its lines are worked through in turn.
+    /// Queues the work of an answer, and schedules when it is written.
     fn answer(&mut self, now: Micros, id: CallId, listing: Listing) {
         let waited = self.from(id).is_some();
         let done = self.work(now, listing.targets.len());
@@ -337,16 +339,16 @@
         }
     }
 
-    /// More may be visible.
-    fn show(&mut self, now: Micros) {
+    /// Answers watches after the visible version may have changed.
+    fn on_view_change(&mut self, now: Micros) {
         let visible = self.visible(now);
         if visible > self.shown {
-            self.books.visible(now, &self.catalog, visible);
+            self.notifications.visible(now, &self.catalog, visible);
         }
         self.shown = visible;
         let waiting: Vec<CallId> = self.calls.keys().copied().collect();
         for id in waiting {
-            self.wake(now, id);
+            self.answer_if_newer(now, id);
         }
     }
 
@@ -354,15 +356,15 @@
         if let Some(call) = self.calls.get(&id)
             && let Stage::Writing(rev) = call.stage
         {
-            self.books.tell(now, call.node, &self.catalog, rev, How::Written);
+            self.notifications.mark_notified(now, call.node, &self.catalog, rev, NotifiedBy::Written);
             self.end_call(now, id, true);
         }
     }
 
     fn end_call(&mut self, now: Micros, id: CallId, answered: bool) -> Option<Call> {
         let call = self.calls.remove(&id)?;
-        if let Some(silent) = self.books.call_ends(now, call.node, answered) {
-            self.timer(silent, Timer::Unasked(call.node));
+        if let Some(silent) = self.notifications.call_ends(now, call.node, answered) {
+            self.timer(silent, Timer::Inactive(call.node));
         }
         Some(call)
     }
--- a/crates/model/src/discovery/machine/tests.rs
+++ b/crates/model/src/discovery/machine/tests.rs
@@ -30,8 +30,9 @@
     Event::Change(vec![member(uid, State::Draining)])
 }
 
-/// Plays events at milliseconds; each answer is written 2 ms after its order. Gives orders and tellings as lines.
-fn play(plan: DiscoveryPlan, events: &[(Micros, Event)], end: Micros) -> (Vec<String>, Vec<String>) {
+/// Runs events at times in ms; each answer is written 2 ms after its order. Returns orders and notifications
+/// as lines.
+fn run(plan: DiscoveryPlan, events: &[(Micros, Event)], end: Micros) -> (Vec<String>, Vec<String>) {
     let mut discovery = Discovery::new(plan, HOME, 1);
     let mut events: VecDeque<(Micros, Event)> =
         events.iter().map(|(ms, event)| (ms * 1000, event.clone())).collect();
@@ -55,18 +56,18 @@
             discovery.handle(now, event);
         }
     }
-    let told = discovery.take_notifications().into_iter().map(|t| {
+    let notified = discovery.take_notifications().into_iter().map(|t| {
         format!(
-            "{} {:?} {}: due {}ms, told {}ms, {:?}",
+            "{} {:?} {}: due {}ms, notified {}ms, {:?}",
             t.uid,
             t.state,
             t.rev,
             t.due / 1000,
-            t.told / 1000,
-            t.how
+            t.notified / 1000,
+            t.by
         )
     });
-    (orders, told.collect())
+    (orders, notified.collect())
 }
 
 fn line(order: &Order) -> String {
@@ -88,16 +89,17 @@
     events: Vec<(Micros, Event)>,
     end: Micros,
     orders: &'static [&'static str],
-    told: &'static [&'static str],
+    notified: &'static [&'static str],
 }
 
 fn call(id: u64, ask: Ask) -> Event {
     Event::Call(CallId(id), NODE, HOME, ask)
 }
 
-/// The books are kept change by change, also where an answer brings the whole list.
+/// Notifications are recorded change by change even if an answer holds the full list, where a change can be
+/// missing from the entries.
 #[test]
-fn a_whole_list_tells_of_each_change() {
+fn a_full_list_notifies_of_each_change() {
     let events = [
         (0, Event::NodeStarted(NODE, 10)),
         (100, drain("s1")),
@@ -105,9 +107,9 @@
         (300, Event::Change(vec![member("s1", State::Removed)])),
         (400, call(1, watch(10))),
     ];
-    let (orders, told) = play(DiscoveryPlan { remember: 1, ..plan() }, &events, 1000);
+    let (orders, notified) = run(DiscoveryPlan { max_changes: 1, ..plan() }, &events, 1000);
     assert_eq!(orders[1..], ["403ms 1: all to 13 [s2 Draining]"]);
-    let uids: Vec<&str> = told.iter().filter_map(|line| line.split(':').next()).collect();
+    let uids: Vec<&str> = notified.iter().filter_map(|line| line.split(':').next()).collect();
     assert_eq!(uids, ["s1 Draining 11", "s2 Draining 12", "s1 Removed 13"]);
 }
 
@@ -120,10 +122,10 @@
             end: 1000,
             // 1 ms of work, 0.1 ms for the line, 1 ms of latency.
             orders: &["502ms 1: changes to 11 [s1 Draining]"],
-            told: &["s1 Draining 11: due 500ms, told 504ms, Written"],
+            notified: &["s1 Draining 11: due 500ms, notified 504ms, Written"],
         },
         Case {
-            name: "the whole list, then nothing new within the wait",
+            name: "the full list, then no change within the wait",
             events: vec![
                 start.clone(),
                 (1, call(1, Ask::Full)),
@@ -131,7 +133,7 @@
             ],
             end: 1000,
             orders: &["4ms 1: all to 10 [s1 Up, s2 Up]", "313ms 2: changes to 10 []"],
-            told: &[],
+            notified: &[],
         },
         Case {
             name: "a change in the gap before the next call, which comes within 200 ms",
@@ -144,9 +146,9 @@
             ],
             end: 1000,
             orders: &["502ms 1: changes to 11 [s1 Draining]", "703ms 2: changes to 12 [s2 Draining]"],
-            told: &[
-                "s1 Draining 11: due 500ms, told 504ms, Written",
-                "s2 Draining 12: due 600ms, told 705ms, Written",
+            notified: &[
+                "s1 Draining 11: due 500ms, notified 504ms, Written",
+                "s2 Draining 12: due 600ms, notified 705ms, Written",
             ],
         },
         Case {
@@ -160,23 +162,23 @@
             ],
             end: 1000,
             orders: &["502ms 1: changes to 11 [s1 Draining]", "903ms 2: changes to 12 [s2 Draining]"],
-            told: &[
-                "s1 Draining 11: due 500ms, told 504ms, Written",
-                "s2 Draining 12: due 900ms, told 905ms, Written",
+            notified: &[
+                "s1 Draining 11: due 500ms, notified 504ms, Written",
+                "s2 Draining 12: due 900ms, notified 905ms, Written",
             ],
         },
         Case {
-            name: "a node that does not ask counts as told after 10 s, and then at once",
+            name: "a node that does not call counts as notified after 10 s, and then at once",
             events: vec![start.clone(), (500, drain("s1")), (11_000, drain("s2"))],
             end: 20_000,
             orders: &[],
-            told: &[
-                "s1 Draining 11: due 500ms, told 10000ms, Unasked",
-                "s2 Draining 12: due 11000ms, told 11000ms, Unasked",
+            notified: &[
+                "s1 Draining 11: due 500ms, notified 10000ms, Inactive",
+                "s2 Draining 12: due 11000ms, notified 11000ms, Inactive",
             ],
         },
         Case {
-            name: "down: watches end, calls fail, nothing is told while the node goes on asking",
+            name: "down: watches end, calls fail, no notification while the node keeps calling",
             events: vec![
                 start.clone(),
                 (1, call(1, watch(10))),
@@ -194,10 +196,10 @@
                 "8001ms 3: reset",
                 "12503ms 4: changes to 11 [s1 Draining]",
             ],
-            told: &["s1 Draining 11: due 12500ms, told 12505ms, Written"],
+            notified: &["s1 Draining 11: due 12500ms, notified 12505ms, Written"],
         },
         Case {
-            name: "silent: calls hang and are reset at the end",
+            name: "silent outage: calls hang and are reset at its end",
             events: vec![
                 start.clone(),
                 (1, call(1, watch(10))),
@@ -208,10 +210,10 @@
             ],
             end: 10_000,
             orders: &["9000ms 1: reset", "9000ms 2: reset"],
-            told: &[],
+            notified: &[],
         },
         Case {
-            name: "a move: the old address answers on for 1.5 s, then its watch ends; told 4 s after the reload",
+            name: "a move: the old address answers for 1.5 s, then its watch ends; notified 4 s after reload",
             events: vec![
                 start.clone(),
                 (1, call(1, watch(10))),
@@ -227,10 +229,10 @@
                 "2500ms CloseAll(Address(0))",
                 "4001ms 2: reset",
             ],
-            told: &["s1 Draining 11: due 4000ms, told 5000ms, Reloaded"],
+            notified: &["s1 Draining 11: due 4000ms, notified 5000ms, Reloaded"],
         },
         Case {
-            name: "a frozen view serves the old list and lets watches wait",
+            name: "a frozen view serves the old list, and watches wait",
             events: vec![
                 start.clone(),
                 (100, Event::View(View::Frozen(10))),
@@ -241,7 +243,7 @@
             ],
             end: 1000,
             orders: &["303ms 1: all to 10 [s1 Up, s2 Up]", "802ms 2: changes to 11 [s1 Draining]"],
-            told: &["s1 Draining 11: due 300ms, told 804ms, Written"],
+            notified: &["s1 Draining 11: due 300ms, notified 804ms, Written"],
         },
         Case {
             name: "a lagging view shows changes late; a watch from a newer version waits",
@@ -254,10 +256,10 @@
             ],
             end: 1000,
             orders: &["602ms 2: changes to 11 [s1 Draining]"],
-            told: &["s1 Draining 11: due 210ms, told 604ms, Written"],
+            notified: &["s1 Draining 11: due 210ms, notified 604ms, Written"],
         },
         Case {
-            name: "removed members are among changes and not on the whole list",
+            name: "removed members are in changes and not in the full list",
             events: vec![
                 start,
                 (100, drain("s1")),
@@ -267,50 +269,53 @@
             ],
             end: 1000,
             orders: &["303ms 1: changes to 12 [s1 Removed, s3 Up]", "403ms 2: all to 12 [s2 Up, s3 Up]"],
-            told: &[
-                "s1 Draining 11: due 300ms, told 305ms, Written",
-                "s1 Removed 12: due 300ms, told 305ms, Written",
-                "s3 Up 12: due 300ms, told 305ms, Written",
+            notified: &[
+                "s1 Draining 11: due 300ms, notified 305ms, Written",
+                "s1 Removed 12: due 300ms, notified 305ms, Written",
+                "s3 Up 12: due 300ms, notified 305ms, Written",
             ],
         },
     ]
 }
 
 #[test]
-fn watches_and_books_by_table() {
+fn calls_get_their_orders_and_notifications() {
     for case in cases() {
-        let (orders, told) = play(plan(), &case.events, case.end);
+        let (orders, notified) = run(plan(), &case.events, case.end);
         assert_eq!(orders.get(1..).unwrap_or_default(), case.orders, "{}", case.name);
-        assert_eq!(told, case.told, "{}", case.name);
+        assert_eq!(notified, case.notified, "{}", case.name);
     }
 }
 
 #[test]
-fn calls_are_worked_through_in_turn_and_turned_away_when_too_many() {
+fn calls_queue_and_get_503_when_too_many_wait() {
     let calls: Vec<(Micros, Event)> = (0..30).map(|n| (10, call(n, Ask::Full))).collect();
-    let plan = DiscoveryPlan { per_call: 100_000, per_line: 0, patience: 1_000_000, ..plan() };
-    let (orders, _) = play(plan, &calls, 60_000);
+    let plan = DiscoveryPlan { per_call: 100_000, per_line: 0, max_queue_wait: 1_000_000, ..plan() };
+    let (orders, _) = run(plan, &calls, 60_000);
     let answered: Vec<&str> =
         orders.iter().filter(|o| o.contains("all to")).filter_map(|o| o.split(' ').next()).collect();
-    // Each call is worked on for 100 ms, and its answer for as long again, behind what is in turn by then.
+    // Each call takes 100 ms of work, and its answer another 100 ms behind what is queued by then.
     assert_eq!(orders.iter().filter(|order| order.ends_with("503")).count(), 19);
     assert_eq!((answered.len(), answered.first(), answered.last()), (11, Some(&"1211ms"), Some(&"2211ms")));
 }
 
 #[test]
-fn an_answer_that_is_not_read_counts_as_told_in_time() {
+fn an_unread_answer_counts_as_notified_after_its_limit() {
     let mut discovery = Discovery::new(plan(), HOME, 1);
     discovery.handle(0, Event::NodeStarted(NODE, 10));
     discovery.handle(0, drain("s1"));
     discovery.handle(0, call(1, Ask::Full));
     while discovery.poll(20_000_000).is_some() {}
-    let told: Vec<_> =
-        discovery.take_notifications().into_iter().map(|telling| (telling.told, telling.how)).collect();
-    assert_eq!(told, [(6_000_000, How::Late)]);
+    let notified: Vec<_> = discovery
+        .take_notifications()
+        .into_iter()
+        .map(|notification| (notification.notified, notification.by))
+        .collect();
+    assert_eq!(notified, [(6_000_000, NotifiedBy::Late)]);
 }
 
 #[test]
-fn a_node_that_lacks_too_much_gets_the_whole_list() {
+fn a_node_too_far_behind_gets_the_full_list() {
     let mut catalog = Catalog::new(1, vec![member("s0", State::Up)], 3);
     for n in 1..=5 {
         catalog
@@ -326,7 +331,7 @@
 }
 
 #[test]
-fn listings_have_the_protocols_form() {
+fn listings_serialize_in_the_protocols_form() {
     let listing = Listing { rev: 43, all: false, targets: vec![member("s-5be2a07c", State::Draining)] };
     assert_eq!(
         serde_json::to_string(&listing).unwrap_or_default(),
--- a/crates/model/src/network/pipe.rs
+++ b/crates/model/src/network/pipe.rs
@@ -1,4 +1,4 @@
-//! The state of one connection: two ordered ways and what either side has done.
+//! The state of one connection: its two directions and what each side has done.
 
 use std::collections::VecDeque;
 
@@ -7,11 +7,12 @@
 use super::{ConnectOutcome, Heal, Host, Side};
 use crate::Micros;
 
-/// What travels one way of a connection, in order.
+/// Something sent in one direction of a connection.
 #[derive(Clone, Debug)]
-pub(super) enum What {
-    /// The answer to a connect.
+pub(super) enum Segment {
+    /// The answer to a connect that succeeds.
     Opened,
+    /// The answer to a connect that is refused.
     Refused,
     Data(Bytes),
     Fin,
@@ -20,57 +21,59 @@
 
 /// One direction of a connection.
 #[derive(Debug, Default)]
-pub(super) struct Way {
-    /// Under way, in order, with the time of arrival.
-    pub(super) coming: VecDeque<(Micros, What)>,
-    /// Nothing sent from now on arrives before this.
-    pub(super) last: Micros,
-    /// A wake-up for the first of them is in the heap.
+pub(super) struct Direction {
+    /// Segments in flight, in order, with their times of arrival.
+    pub(super) in_flight: VecDeque<(Micros, Segment)>,
+    /// Arrival of the last segment; no later one arrives before it.
+    pub(super) last_arrival: Micros,
+    /// The arrival of the first segment in flight is scheduled.
     pub(super) scheduled: bool,
-    /// Something was sent into a cut, which does this when it ends.
+    /// Set when something was sent into a cut: what happens when the cut ends.
     pub(super) cut: Option<Heal>,
-    /// What was sent into a cut that resumes.
-    pub(super) held: VecDeque<What>,
-    /// Bytes that take up buffers.
+    /// Segments sent into a cut with [`Heal::Resume`], to send again.
+    pub(super) held: VecDeque<Segment>,
+    /// Bytes sent and not yet read, which occupy the buffers.
     pub(super) bytes: usize,
-    /// The last write was short.
-    pub(super) wants_room: bool,
-    /// The sender has sent its end.
+    /// The last write was short; the sender waits for `Writable`.
+    pub(super) wants_writable: bool,
+    /// The sender has sent FIN or a reset.
     pub(super) ended: bool,
-    /// The end has arrived.
-    pub(super) end_came: bool,
-    /// The receiver does not read.
+    /// FIN has arrived.
+    pub(super) end_received: bool,
+    /// The receiver has paused reading.
     pub(super) paused: bool,
-    /// The receiver has closed: what arrives is answered by a reset.
+    /// The receiver has closed the connection; data that arrives is answered by a reset.
     pub(super) closed: bool,
     /// The receiver has reset the connection or got a reset.
-    pub(super) gone: bool,
+    pub(super) reset: bool,
 }
 
+/// How far a connect has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// The first packet is under way; what becomes of it is known.
+    /// The first packet is in flight; the outcome is already decided.
     Connecting(ConnectOutcome),
-    /// The server has heard of it.
+    /// The first packet has arrived at the server.
     Up,
-    /// A connect that does not come up: into a cut that does this at its end, or for another reason.
+    /// The connect is lost: in a cut, with what happens when that ends, or (`None`) for another reason.
     Lost(Option<Heal>),
 }
 
+/// A connection, from the connect until both sides have finished.
 #[derive(Debug)]
 pub(super) struct Pipe {
     pub(super) from: Host,
     pub(super) to: Host,
     pub(super) stage: Stage,
-    /// A machine has lost its memory: what is sent is answered by a reset.
-    pub(super) forgotten: bool,
-    pub(super) to_server: Way,
-    pub(super) to_client: Way,
+    /// A machine has lost its state: what is sent is answered by a reset.
+    pub(super) peer_lost_state: bool,
+    pub(super) to_server: Direction,
+    pub(super) to_client: Direction,
 }
 
 impl Pipe {
     /// The direction that ends at a side.
-    pub(super) fn way(&mut self, to: Side) -> &mut Way {
+    pub(super) fn direction(&mut self, to: Side) -> &mut Direction {
         if to == Side::Server { &mut self.to_server } else { &mut self.to_client }
     }
 
@@ -79,10 +82,12 @@
         if to == Side::Server { (self.from, self.to) } else { (self.to, self.from) }
     }
 
-    /// Both sides are done with it, and nothing is under way.
-    pub(super) fn over(&self) -> bool {
+    /// Whether both sides have finished and nothing is in flight.
+    pub(super) fn is_finished(&self) -> bool {
         let (a, b) = (&self.to_server, &self.to_client);
-        let done = |here: &Way, there: &Way| here.gone || here.closed || (here.end_came && there.ended);
-        done(a, b) && done(b, a) && a.coming.is_empty() && b.coming.is_empty()
+        let done = |here: &Direction, there: &Direction| {
+            here.reset || here.closed || (here.end_received && there.ended)
+        };
+        done(a, b) && done(b, a) && a.in_flight.is_empty() && b.in_flight.is_empty()
     }
 }
--- a/crates/model/src/network/streams.rs
+++ b/crates/model/src/network/streams.rs
@@ -7,8 +7,8 @@
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
 
-use super::pipe::{Pipe, Stage, What};
-use super::{Conn, Delivery, ConnectOutcome, Fault, FaultId, Heal, Host, Links, LinksPlan, Side, HostSet};
+use super::pipe::{Pipe, Segment, Stage};
+use super::{Conn, ConnectOutcome, Delivery, Fault, FaultId, Heal, Host, HostSet, Links, LinksPlan, Side};
 use crate::Micros;
 use crate::draw::stream;
 use crate::mix::below;
@@ -19,33 +19,33 @@
     /// Each write arrives as one read.
     #[default]
     Whole,
-    /// Pieces of this many bytes at most.
+    /// Each read has at most this many bytes.
     AtMost(usize),
-    /// Pieces of 1 to so many bytes, and at times bytes of several writes in one read.
+    /// Writes are split into pieces of 1 to this many bytes, and one read may take bytes of several writes.
     Random(usize),
 }
 
-/// How the network behaves.
+/// Settings of the network.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NetworkPlan {
     /// Hosts and delays.
     pub links: LinksPlan,
     /// How streams are cut into reads.
     pub split: Split,
-    /// Bytes that one direction of a connection holds, from the write to the read: both ends' buffers.
+    /// Capacity in bytes of one direction of a connection, from write to read: the buffers of both ends.
     pub buffer: usize,
-    /// Writes are taken only in part, drawn, even where there is room.
+    /// Whether writes are accepted only in part, by a random draw, even if the buffers have space.
     pub short_writes: bool,
-    /// Bytes a second that each host sends.
+    /// Bytes per second that each host can send; `None`: no limit.
     pub bandwidth: Option<u64>,
 }
 
-/// What is due in the heap.
+/// A scheduled arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     /// The first packet of a connect arrives at the server.
     Connect(Conn),
-    /// The first thing under way to that side arrives.
+    /// The first segment in flight to that side arrives.
     Arrival(Conn, Side),
 }
 
@@ -58,14 +58,14 @@
     due: BinaryHeap<Reverse<(Micros, u64, Due)>>,
     sequence: u64,
     made: u64,
-    /// When each host has sent what it has to send.
-    free: FxHashMap<Host, Micros>,
+    /// When each host has finished sending, under a bandwidth limit.
+    idle_at: FxHashMap<Host, Micros>,
     ready: VecDeque<Delivery>,
     draws: ChaCha8Rng,
 }
 
 impl Network {
-    /// No connections, no faults.
+    /// Creates a network without connections and faults.
     pub fn new(plan: NetworkPlan, seed: u64) -> Self {
         Self {
             links: Links::new(plan.links.clone(), seed),
@@ -74,34 +74,35 @@
             due: BinaryHeap::new(),
             sequence: 0,
             made: 0,
-            free: FxHashMap::default(),
+            idle_at: FxHashMap::default(),
             ready: VecDeque::new(),
             draws: stream(seed, "network", 0),
         }
     }
 
-    /// The links, to ask.
+    /// The links between hosts.
     pub fn links(&self) -> &Links {
         &self.links
     }
 
-    /// One more host.
+    /// Adds a host to a zone.
     pub fn add_host(&mut self, zone: u16) -> Host {
         self.links.add_host(zone)
     }
 
-    /// Connections in any state.
+    /// Number of connections in any state.
     pub fn connections(&self) -> usize {
         self.pipes.len()
     }
 
-    /// Begins a connection. `Opened`, `Refused` or `Reset` is delivered to the client, or nothing ever.
+    /// Starts a connect. `Opened`, `Refused` or `Reset` is delivered to the client, or nothing if the connect
+    /// is lost.
     pub fn connect(&mut self, now: Micros, from: Host, to: Host) -> Conn {
         let conn = Conn(self.made);
         self.made += 1;
         let stage = Stage::Lost(None);
         let (to_server, to_client) = Default::default();
-        self.pipes.insert(conn, Pipe { from, to, stage, forgotten: false, to_server, to_client });
+        self.pipes.insert(conn, Pipe { from, to, stage, peer_lost_state: false, to_server, to_client });
         self.begin_connect(now, conn);
         conn
     }
@@ -109,30 +110,31 @@
     fn begin_connect(&mut self, now: Micros, conn: Conn) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         let (from, to) = (pipe.from, pipe.to);
-        let fate = self.links.connect(conn.0, from, to);
-        if fate == ConnectOutcome::Never {
+        let outcome = self.links.connect(conn.0, from, to);
+        if outcome == ConnectOutcome::Never {
             pipe.stage = Stage::Lost(self.links.cut(from, to).or_else(|| self.links.cut(to, from)));
             return;
         }
-        pipe.stage = Stage::Connecting(fate);
+        pipe.stage = Stage::Connecting(outcome);
         let at = now + self.links.delay(from, to, &mut self.draws);
         self.push(at, Due::Connect(conn));
     }
 
-    /// Writes bytes at one end: how many were taken. If fewer than given, `Writable` follows when there is room.
+    /// Writes bytes at one end and returns how many were accepted. If not all were, `Writable` follows when
+    /// the buffers have space.
     pub fn send(&mut self, now: Micros, conn: Conn, side: Side, bytes: &[u8]) -> usize {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return 0 };
-        let (gone, to) = (pipe.way(side).gone, side.other());
-        let way = pipe.way(to);
-        if way.ended || gone || bytes.is_empty() {
+        let (gone, to) = (pipe.direction(side).reset, side.other());
+        let direction = pipe.direction(to);
+        if direction.ended || gone || bytes.is_empty() {
             return 0;
         }
-        let mut taken = bytes.len().min(self.plan.buffer.max(1).saturating_sub(way.bytes));
+        let mut taken = bytes.len().min(self.plan.buffer.max(1).saturating_sub(direction.bytes));
         if self.plan.short_writes && taken > 1 {
             taken = below(&mut self.draws, taken as u64) as usize + 1;
         }
-        way.wants_room = taken < bytes.len();
-        way.bytes += taken;
+        direction.wants_writable = taken < bytes.len();
+        direction.bytes += taken;
         let mut rest = Bytes::copy_from_slice(bytes.get(..taken).unwrap_or_default());
         while !rest.is_empty() {
             let most = match self.plan.split {
@@ -141,36 +143,43 @@
                 Split::Random(most) => below(&mut self.draws, most.max(1) as u64) as usize + 1,
             };
             let piece = rest.split_to(most.min(rest.len()));
-            self.transmit(now, conn, to, What::Data(piece));
+            self.transmit(now, conn, to, Segment::Data(piece));
         }
         taken
     }
 
-    /// Sends the end at one side, behind what it sent. It still reads.
+    /// Shuts down the sending direction of one side (FIN after its data). That side can still read.
     pub fn shut(&mut self, now: Micros, conn: Conn, side: Side) {
-        let Some(way) = self.pipes.get_mut(&conn).map(|pipe| pipe.way(side.other())) else { return };
-        if !std::mem::replace(&mut way.ended, true) {
-            self.transmit(now, conn, side.other(), What::Fin);
+        let Some(direction) = self.pipes.get_mut(&conn).map(|pipe| pipe.direction(side.other())) else {
+            return;
+        };
+        if !std::mem::replace(&mut direction.ended, true) {
+            self.transmit(now, conn, side.other(), Segment::Fin);
         }
     }
 
-    /// Closes one side for good. As with sockets, bytes that are there unread, or come later, are answered by a
-    /// reset; else the other side gets the end behind what was sent. A connect not yet up is given up.
+    /// Closes one side completely. As with sockets, unread bytes and bytes that arrive later are answered by
+    /// a reset; otherwise the other side gets FIN after the data. A connect that is not established is
+    /// abandoned.
     pub fn close(&mut self, now: Micros, conn: Conn, side: Side) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         if pipe.stage != Stage::Up {
             self.pipes.remove(&conn);
             return;
         }
-        let way = pipe.way(side);
-        way.closed = true;
-        way.paused = false;
-        if way.coming.front().is_some_and(|(at, what)| *at <= now && matches!(what, What::Data(_))) {
+        let direction = pipe.direction(side);
+        direction.closed = true;
+        direction.paused = false;
+        if direction
+            .in_flight
+            .front()
+            .is_some_and(|(at, segment)| *at <= now && matches!(segment, Segment::Data(_)))
+        {
             self.abort(now, conn, side);
         } else {
             self.shut(now, conn, side);
             self.schedule(conn, side);
-            self.forget_if_over(conn);
+            self.remove_if_finished(conn);
         }
     }
 
@@ -181,31 +190,33 @@
             self.pipes.remove(&conn);
             return;
         }
-        let way = pipe.way(side);
-        if std::mem::replace(&mut way.gone, true) {
+        let direction = pipe.direction(side);
+        if std::mem::replace(&mut direction.reset, true) {
             return;
         }
-        way.coming.clear();
-        way.closed = true;
-        pipe.way(side.other()).ended = true;
-        self.transmit(now, conn, side.other(), What::Reset);
-        self.forget_if_over(conn);
+        direction.in_flight.clear();
+        direction.closed = true;
+        pipe.direction(side.other()).ended = true;
+        self.transmit(now, conn, side.other(), Segment::Reset);
+        self.remove_if_finished(conn);
     }
 
-    fn forget_if_over(&mut self, conn: Conn) {
-        if self.pipes.get(&conn).is_some_and(Pipe::over) {
+    fn remove_if_finished(&mut self, conn: Conn) {
+        if self.pipes.get(&conn).is_some_and(Pipe::is_finished) {
             self.pipes.remove(&conn);
         }
     }
 
-    /// One side stops or resumes reading. What is sent to it stays in the buffers, and so does news of an end.
+    /// One side stops or resumes reading. Data sent to it stays in the buffers meanwhile, and so do FIN and
+    /// resets.
     pub fn pause(&mut self, conn: Conn, side: Side, paused: bool) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
-        pipe.way(side).paused = paused;
+        pipe.direction(side).paused = paused;
         self.schedule(conn, side);
     }
 
-    /// The process on a host dies: its connections are reset. Switch [`Fault::Refuse`] on as well, until it is back.
+    /// The process on a host dies and its connections are reset. The caller switches [`Fault::Refuse`] on as
+    /// well until the process is back.
     pub fn kill(&mut self, now: Micros, host: Host) {
         for conn in self.sorted(|_, pipe| pipe.from == host || pipe.to == host) {
             let Some(pipe) = self.pipes.get(&conn) else { continue };
@@ -214,16 +225,17 @@
         }
     }
 
-    /// Resets the open connections between two ends: each side gets one.
+    /// Resets the open connections between two sets of hosts; both sides receive a reset.
     pub fn reset_between(&mut self, now: Micros, a: HostSet, b: HostSet) {
         let up = self.sorted(|links, pipe| {
             let (from, to) = (pipe.from, pipe.to);
-            let meet = (links.of(a, from) && links.of(b, to)) || (links.of(a, to) && links.of(b, from));
+            let meet = (links.matches(a, from) && links.matches(b, to))
+                || (links.matches(a, to) && links.matches(b, from));
             meet && pipe.stage == Stage::Up
         });
         for conn in up {
-            self.transmit(now, conn, Side::Server, What::Reset);
-            self.transmit(now, conn, Side::Client, What::Reset);
+            self.transmit(now, conn, Side::Server, Segment::Reset);
+            self.transmit(now, conn, Side::Client, Segment::Reset);
         }
     }
 
@@ -232,7 +244,7 @@
         self.links.begin(from, to, both, fault)
     }
 
-    /// Switches a fault off. Where a cut ends, connections go on as its [`Heal`] says.
+    /// Switches a fault off. After a cut, connections continue as its [`Heal`] says.
     pub fn end(&mut self, now: Micros, id: FaultId) {
         let Some(ended) = self.links.take(id) else { return };
         let Fault::Cut(heal) = ended.fault else { return };
@@ -250,29 +262,29 @@
             Stage::Lost(Some(Heal::Resume)) => return self.begin_connect(now, conn),
             Stage::Lost(Some(Heal::Reset)) => {
                 pipe.stage = Stage::Up;
-                pipe.way(Side::Server).gone = true;
-                return self.transmit(now, conn, Side::Client, What::Reset);
+                pipe.direction(Side::Server).reset = true;
+                return self.transmit(now, conn, Side::Client, Segment::Reset);
             }
             Stage::Up => {}
             _ => return,
         }
-        pipe.forgotten |= ended == Heal::Reset;
+        pipe.peer_lost_state |= ended == Heal::Reset;
         for to in [Side::Server, Side::Client] {
             let Some(pipe) = self.pipes.get_mut(&conn) else { return };
             let (a, b) = pipe.hosts(to);
-            let way = pipe.way(to);
+            let direction = pipe.direction(to);
             if !self.links.passes(a, b) {
                 continue;
             }
-            match way.cut {
+            match direction.cut {
                 Some(Heal::Resume) => {
-                    way.cut = None;
-                    for what in std::mem::take(&mut way.held) {
-                        self.transmit(now, conn, to, what);
+                    direction.cut = None;
+                    for segment in std::mem::take(&mut direction.held) {
+                        self.transmit(now, conn, to, segment);
                     }
                 }
                 Some(Heal::Reset) => {
-                    way.cut = None;
+                    direction.cut = None;
                     self.answer_by_reset(now, conn, to);
                 }
                 Some(Heal::Stay) | None => {}
@@ -280,17 +292,17 @@
         }
     }
 
-    /// What was sent to a side met a machine that knows nothing of it.
+    /// Answers what was sent to a side by a reset, because that machine has lost its state.
     fn answer_by_reset(&mut self, now: Micros, conn: Conn, to: Side) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
-        pipe.forgotten = false;
-        pipe.way(to).gone = true;
+        pipe.peer_lost_state = false;
+        pipe.direction(to).reset = true;
         let (a, b) = pipe.hosts(to);
         let back = now + self.links.delay(a, b, &mut self.draws);
-        self.transmit(back, conn, to.other(), What::Reset);
+        self.transmit(back, conn, to.other(), Segment::Reset);
     }
 
-    /// The next thing that arrives by now.
+    /// Returns the next delivery by the given time.
     pub fn poll(&mut self, now: Micros) -> Option<Delivery> {
         loop {
             if let Some(ready) = self.ready.pop_front() {
@@ -302,13 +314,13 @@
             }
             self.due.pop();
             match due {
-                Due::Connect(conn) => self.connecting(at, conn),
+                Due::Connect(conn) => self.on_connect_packet(at, conn),
                 Due::Arrival(conn, side) => self.arrive(at, now, conn, side),
             }
         }
     }
 
-    /// When the next thing arrives; a time long past if something has.
+    /// Returns when the next arrival is due, or a time in the past if a delivery is ready.
     pub fn next(&self) -> Option<Micros> {
         if !self.ready.is_empty() {
             return Some(Micros::MIN);
@@ -316,7 +328,8 @@
         self.due.peek().map(|due| due.0.0)
     }
 
-    /// Connections in order, as tables are never walked in theirs.
+    /// Matching connections sorted by number, since the iteration order of a hash table must not affect a
+    /// run.
     fn sorted(&self, keep: impl Fn(&Links, &Pipe) -> bool) -> Vec<Conn> {
         let kept = self.pipes.iter().filter(|(_, pipe)| keep(&self.links, pipe));
         let mut found: Vec<Conn> = kept.map(|(conn, _)| *conn).collect();
@@ -329,111 +342,111 @@
         self.sequence += 1;
     }
 
-    /// The first packet of a connect arrives.
-    fn connecting(&mut self, at: Micros, conn: Conn) {
+    /// Handles the arrival of the first packet of a connect.
+    fn on_connect_packet(&mut self, at: Micros, conn: Conn) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
-        let Stage::Connecting(fate) = pipe.stage else { return };
+        let Stage::Connecting(outcome) = pipe.stage else { return };
         let (from, to) = (pipe.from, pipe.to);
         if let Some(heal) = self.links.cut(to, from) {
             pipe.stage = Stage::Lost(Some(heal));
             return;
         }
         pipe.stage = Stage::Up;
-        let answer = match fate {
-            ConnectOutcome::Refused | ConnectOutcome::Never => What::Refused,
-            ConnectOutcome::Reset => What::Reset,
-            ConnectOutcome::Opens => What::Opened,
+        let answer = match outcome {
+            ConnectOutcome::Refused | ConnectOutcome::Never => Segment::Refused,
+            ConnectOutcome::Reset => Segment::Reset,
+            ConnectOutcome::Opens => Segment::Opened,
         };
-        if fate == ConnectOutcome::Opens {
+        if outcome == ConnectOutcome::Opens {
             self.ready.push_back(Delivery::Accepted { conn, from, to });
         } else {
-            pipe.way(Side::Server).gone = true;
+            pipe.direction(Side::Server).reset = true;
         }
         self.transmit(at, conn, Side::Client, answer);
     }
 
-    /// Sends something towards a side, behind what is under way.
-    fn transmit(&mut self, now: Micros, conn: Conn, to: Side, what: What) {
+    /// Sends a segment towards a side, after those in flight.
+    fn transmit(&mut self, now: Micros, conn: Conn, to: Side, segment: Segment) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
         let (a, b) = pipe.hosts(to);
-        let forgotten = pipe.forgotten;
-        let way = pipe.way(to);
-        if let Some(heal) = way.cut.or_else(|| self.links.cut(a, b)) {
-            way.cut = Some(heal);
+        let peer_lost_state = pipe.peer_lost_state;
+        let direction = pipe.direction(to);
+        if let Some(heal) = direction.cut.or_else(|| self.links.cut(a, b)) {
+            direction.cut = Some(heal);
             if heal == Heal::Resume {
-                way.held.push_back(what);
+                direction.held.push_back(segment);
             }
             return;
         }
-        if forgotten {
+        if peer_lost_state {
             return self.answer_by_reset(now, conn, to);
         }
         let mut depart = now;
-        if let (Some(rate), What::Data(bytes)) = (self.plan.bandwidth, &what) {
-            let free = self.free.entry(a).or_insert(now);
+        if let (Some(rate), Segment::Data(bytes)) = (self.plan.bandwidth, &segment) {
+            let free = self.idle_at.entry(a).or_insert(now);
             depart = depart.max(*free);
             *free = depart + (bytes.len() as u64 * 1_000_000 / rate.max(1)) as Micros;
             depart = *free;
         }
-        let at = (depart + self.links.delay(a, b, &mut self.draws)).max(way.last);
-        way.last = at;
-        way.coming.push_back((at, what));
+        let at = (depart + self.links.delay(a, b, &mut self.draws)).max(direction.last_arrival);
+        direction.last_arrival = at;
+        direction.in_flight.push_back((at, segment));
         self.schedule(conn, to);
     }
 
-    /// Wakes up for what arrives next at a side, unless that is arranged or the side does not read.
+    /// Schedules the next arrival at a side, unless one is scheduled or the side does not read.
     fn schedule(&mut self, conn: Conn, to: Side) {
-        let Some(way) = self.pipes.get_mut(&conn).map(|pipe| pipe.way(to)) else { return };
-        if way.scheduled || way.paused {
+        let Some(direction) = self.pipes.get_mut(&conn).map(|pipe| pipe.direction(to)) else { return };
+        if direction.scheduled || direction.paused {
             return;
         }
-        if let Some(at) = way.coming.front().map(|first| first.0) {
-            way.scheduled = true;
+        if let Some(at) = direction.in_flight.front().map(|first| first.0) {
+            direction.scheduled = true;
             self.push(at, Due::Arrival(conn, to));
         }
     }
 
     fn arrive(&mut self, at: Micros, now: Micros, conn: Conn, to: Side) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
-        let way = pipe.way(to);
-        way.scheduled = false;
-        if way.paused {
+        let direction = pipe.direction(to);
+        direction.scheduled = false;
+        if direction.paused {
             return;
         }
-        let Some((_, what)) = way.coming.pop_front() else { return };
-        match what {
-            What::Opened => self.ready.push_back(Delivery::Opened(conn)),
-            What::Refused => {
+        let Some((_, segment)) = direction.in_flight.pop_front() else { return };
+        match segment {
+            Segment::Opened => self.ready.push_back(Delivery::Opened(conn)),
+            Segment::Refused => {
                 self.pipes.remove(&conn);
                 self.ready.push_back(Delivery::Refused(conn));
             }
-            // It met a machine that knows nothing of the connection, and was answered by a reset.
-            What::Data(_) if way.gone => {}
-            What::Data(bytes) => self.data(at, now, conn, to, bytes),
-            What::Fin => {
-                way.end_came = true;
-                if !way.closed {
+            // The receiver no longer knows the connection and has answered by a reset.
+            Segment::Data(_) if direction.reset => {}
+            Segment::Data(bytes) => self.data(at, now, conn, to, bytes),
+            Segment::Fin => {
+                direction.end_received = true;
+                if !direction.closed {
                     self.ready.push_back(Delivery::End(conn, to));
                 }
             }
-            What::Reset => {
-                way.coming.clear();
-                if !std::mem::replace(&mut way.gone, true) && !way.closed {
+            Segment::Reset => {
+                direction.in_flight.clear();
+                if !std::mem::replace(&mut direction.reset, true) && !direction.closed {
                     self.ready.push_back(Delivery::Reset(conn, to));
                 }
             }
         }
-        self.forget_if_over(conn);
+        self.remove_if_finished(conn);
         self.schedule(conn, to);
     }
 
     fn data(&mut self, at: Micros, now: Micros, conn: Conn, to: Side, first: Bytes) {
         let Some(pipe) = self.pipes.get_mut(&conn) else { return };
-        let way = pipe.way(to);
+        let direction = pipe.direction(to);
         let mut bytes = first;
         if let Split::Random(_) = self.plan.split {
             // A read may take in several writes.
-            while let Some((next, What::Data(more))) = way.coming.front()
+            while let Some((next, Segment::Data(more))) = direction.in_flight.front()
                 && *next <= now
                 && below(&mut self.draws, 2) == 0
             {
@@ -441,14 +454,14 @@
                 both.extend_from_slice(&bytes);
                 both.extend_from_slice(more);
                 bytes = both.freeze();
-                way.coming.pop_front();
+                direction.in_flight.pop_front();
             }
         }
-        way.bytes = way.bytes.saturating_sub(bytes.len());
-        if way.closed {
+        direction.bytes = direction.bytes.saturating_sub(bytes.len());
+        if direction.closed {
             return self.abort(at, conn, to);
         }
-        let room = way.bytes <= self.plan.buffer / 2 && std::mem::take(&mut way.wants_room);
+        let room = direction.bytes <= self.plan.buffer / 2 && std::mem::take(&mut direction.wants_writable);
         self.ready.push_back(Delivery::Data(conn, to, bytes));
         if room {
             self.ready.push_back(Delivery::Writable(conn, to.other()));
--- a/crates/model/src/origin.rs
+++ b/crates/model/src/origin.rs
@@ -1,25 +1,25 @@
-//! The origin behind the caches: it holds every object, and it is slow.
+//! Model of the origin behind the caches, which holds every object and is slow.
 //!
-//! It is a [`Server`] as a cache server is: cores, slots, a queue, less efficient when crowded, and by its settings
-//! work that goes on when nobody waits. Beyond that it holds the versions of objects, carries out writes, and stops
-//! for a while when it is overdriven. Every object exists; its size is a function of seed and key until a write
-//! brings another.
+//! It is a [`Server`] like a cache server: cores, slots, a queue, less efficiency under high concurrency and,
+//! depending on the settings, work that continues after its client has gone. In addition it holds the
+//! versions of objects, carries out writes, and stops for a while under overload. Every object exists; its
+//! size is a function of seed and key until a write sets another.
 
 use crate::Micros;
 use crate::server::host::Overload;
 use crate::server::records::{Ledger, Records};
 use crate::server::time::Nanos;
-use crate::server::warmth::Warmth;
+use crate::server::warm_up::WarmUpState;
 use crate::server::{
-    Act, Answer, ServerStats, ConfigError, Event, Found, Keeper, Kind, Note, OriginConfig, Outbox, Request, Server,
-    Sizes, WarmUp,
+    Act, Answer, ConfigError, Event, Found, Kind, Note, OriginConfig, Outbox, Request, Server, ServerStats,
+    Sizes, Storage, WarmUp,
 };
 use crate::value::{Key, MIN_SIZE, ValueSpec, Maker, Uid, mix, unit};
 
 /// The origin.
 pub type Origin = Server<Contents>;
 
-/// The objects that there are.
+/// Storage of the origin.
 #[derive(Debug, Clone)]
 pub struct Contents {
     records: Records,
@@ -30,24 +30,24 @@
 }
 
 impl Sizes {
-    /// Bytes of an object that was never written: a function of seed and key alone.
+    /// Size in bytes of an object that was never written.
     pub fn of(&self, seed: u64, key: Key) -> u32 {
         let hash = mix(key.0 ^ mix(seed));
-        // Box and Muller 1958; the logarithm's argument is in (0, 1].
+        // Box-Muller transform (1958); the argument of the logarithm is in (0, 1].
         let radius = (-2.0 * libm::log(1.0 - unit(hash))).sqrt();
         let normal = radius * libm::cos(std::f64::consts::TAU * unit(mix(hash ^ 1)));
         let size = self.median * libm::exp(self.sigma * normal);
-        // A float beyond the range saturates.
+        // The cast saturates.
         (size as u32).clamp(self.least, self.most).max(MIN_SIZE)
     }
 }
 
 impl Server<Contents> {
-    /// An origin that is up and has run for long. Sizes of objects come from the seed, other draws from the seed and
-    /// its id.
+    /// Creates an origin that is up and at full capacity. Sizes of objects derive from the seed, other draws
+    /// from the seed and the id.
     pub fn new(config: &OriginConfig, uid: Uid, seed: u64, now: Micros) -> Result<Self, ConfigError> {
         config.check()?;
-        let keeper = Contents {
+        let storage = Contents {
             records: Records::new(&config.machine.classes),
             sizes: config.sizes,
             seed,
@@ -56,15 +56,15 @@
         };
         let overload = match &config.overdriven {
             Some(over) => Overload::stops(over)?,
-            None => Overload::Bears,
+            None => Overload::Unlimited,
         };
-        let warmth = (Warmth::warm(&WarmUp::default(), config.machine.capacity()), true);
-        Server::join(&config.machine, (uid, seed), now, keeper, warmth, overload)
+        let warm_up = (WarmUpState::warm(&WarmUp::default(), config.machine.capacity()), true);
+        Server::with_storage(&config.machine, (uid, seed), now, storage, warm_up, overload)
     }
 
-    /// Version and size of an object as it is now.
+    /// Current version and size of an object.
     pub fn object(&self, key: Key) -> (u64, u32) {
-        self.keeper.object(key)
+        self.storage.object(key)
     }
 }
 
@@ -76,21 +76,21 @@
         }
     }
 
-    fn sized(&self, work: f64, size: u32) -> Nanos {
+    fn add_size_cost(&self, work: f64, size: u32) -> Nanos {
         (work + self.per_byte * f64::from(size)) as Nanos
     }
 }
 
-impl Keeper for Contents {
+impl Storage for Contents {
     fn begin(&mut self, _: Nanos, request: &Request, work: Nanos) -> (Nanos, Found) {
         match request.kind {
             Kind::Read => {
                 let (version, size) = self.object(request.key);
-                (self.sized(work as f64, size), Found::Copy { version, size })
+                (self.add_size_cost(work as f64, size), Found::Copy { version, size })
             }
-            // A copy brought here is taken as a write: the origin keeps nothing else.
+            // A stored copy is treated as a write, since the origin keeps no copies.
             Kind::Write | Kind::Store { .. } => {
-                (self.sized(work as f64 * self.write_share, request.size), Found::Change)
+                (self.add_size_cost(work as f64 * self.write_share, request.size), Found::Change)
             }
         }
     }
@@ -111,14 +111,14 @@
             Found::Change | Found::Missing { .. } => {
                 let (effect, receipt) = self.records.write(now, request, maker);
                 if let Some(effect) = effect {
-                    out.tell_effect(now, effect);
+                    out.report_effect(now, effect);
                 }
                 (Answer::Receipt(receipt), None)
             }
         }
     }
 
-    fn tell(&mut self, now: Nanos, event: &Event, _: bool, out: &mut Outbox) {
+    fn notify(&mut self, now: Nanos, event: &Event, _: bool, out: &mut Outbox) {
         match *event {
             Event::Change(key) => {
                 let version = self.records.change(key);
@@ -131,11 +131,11 @@
 
     fn flush(&mut self, _: f64, _: u64) {}
 
-    /// Contents, versions and receipts last.
+    /// Objects, versions and receipts are durable.
     fn restart(&mut self) {}
 
-    fn book(&self, books: &mut ServerStats) {
-        (books.effects, books.repeats) = (self.records.ledger().effects(), self.records.ledger().repeats());
+    fn fill_stats(&self, stats: &mut ServerStats) {
+        (stats.effects, stats.repeats) = (self.records.ledger().effects(), self.records.ledger().repeats());
     }
 
     fn ledger(&self) -> &Ledger {
--- a/crates/model/src/server/table.rs
+++ b/crates/model/src/server/table.rs
@@ -1,64 +1,68 @@
-//! The connection table, and the requests on each connection in their order.
+//! The connection table, with the requests of each connection in order of arrival.
 //!
-//! All lists go through two slabs, so that nothing is allocated for a request, and each step is O(1).
+//! All lists are linked through two slabs, so that a request needs no allocation and each step is O(1).
 
 use rustc_hash::FxHashMap;
 use slab::Slab;
 
-use super::keeper::Found;
 use super::message::{Answer, BusyReason, ConnId, Note, Request};
+use super::storage::Found;
 use super::time::Nanos;
 
-/// No place in a slab.
+/// Index that stands for no entry of a slab.
 pub(crate) const NONE: u32 = u32::MAX;
 
-/// How far a request has come.
+/// Processing stage of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Stage {
-    /// Behind others on its connection, or its connection is not ready.
+    /// Not read yet: the connection is not ready or has reached its limit of open requests.
     Unread,
-    /// It came in a pause.
+    /// Became readable during a pause of the process.
     Inbox,
-    /// In the waiting room.
+    /// In the waiting queue.
     Waiting,
-    /// It has a slot.
+    /// Has a slot; holds what it found in the storage.
     InWork(Found),
-    /// Being turned away takes work too.
+    /// Is being rejected, which takes work on the cores.
     Refusing(BusyReason),
-    /// Its answer waits for those before it.
+    /// Done; its answer waits for those of earlier requests on the connection.
     Done(Answer, Option<Note>),
 }
 
-/// A request that was taken and has not ended.
+/// A request that was received and has not ended.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Call {
     pub(crate) request: Request,
     pub(crate) arrived: Nanos,
-    /// Its work as a hit or a read.
+    /// Its work as drawn, before storage costs.
     pub(crate) work: Nanos,
-    /// Its connection, or [`NONE`] when nobody waits any more.
+    /// Index of its connection, or [`NONE`] after that was closed.
     pub(crate) conn: u32,
     pub(crate) stage: Stage,
+    /// Next request on the connection.
     next: u32,
-    line: (u32, u32),
+    /// Previous and next request in a [`RequestQueue`].
+    queue_links: (u32, u32),
 }
 
 /// A connection.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Conn {
     pub(crate) id: ConnId,
+    /// First and last open request.
     head: u32,
     tail: u32,
+    /// First unread request.
     unread: u32,
-    /// Requests that were begun and not answered.
+    /// Requests that were read and not answered.
     begun: u32,
-    /// Its handshake is over.
+    /// Its handshake is finished, including the round trips.
     pub(crate) ready: bool,
-    /// What went out on it last leaves it of no further use.
+    /// The last answer was missing or corrupt, so that no further answer is sent.
     pub(crate) stuck: bool,
     pub(crate) idle_since: Nanos,
-    /// A timer looks at it.
-    pub(crate) armed: bool,
+    /// A timer for the idle check is set.
+    pub(crate) idle_check_scheduled: bool,
 }
 
 impl Conn {
@@ -67,15 +71,15 @@
     }
 }
 
-/// A first-come-first-served line of requests.
+/// A first-come, first-served queue of requests.
 #[derive(Debug, Clone)]
-pub(crate) struct Line {
+pub(crate) struct RequestQueue {
     front: u32,
     back: u32,
     len: u32,
 }
 
-impl Line {
+impl RequestQueue {
     pub(crate) fn new() -> Self {
         Self { front: NONE, back: NONE, len: 0 }
     }
@@ -86,10 +90,10 @@
 
     pub(crate) fn push(&mut self, calls: &mut Slab<Call>, at: u32) {
         let was = std::mem::replace(&mut self.back, at);
-        calls[at as usize].line = (was, NONE);
+        calls[at as usize].queue_links = (was, NONE);
         match was {
             NONE => self.front = at,
-            was => calls[was as usize].line.1 = at,
+            was => calls[was as usize].queue_links.1 = at,
         }
         self.len += 1;
     }
@@ -103,20 +107,20 @@
     }
 
     pub(crate) fn remove(&mut self, calls: &mut Slab<Call>, at: u32) {
-        let (before, after) = calls[at as usize].line;
+        let (before, after) = calls[at as usize].queue_links;
         match before {
             NONE => self.front = after,
-            before => calls[before as usize].line.1 = after,
+            before => calls[before as usize].queue_links.1 = after,
         }
         match after {
             NONE => self.back = before,
-            after => calls[after as usize].line.0 = before,
+            after => calls[after as usize].queue_links.0 = before,
         }
         self.len -= 1;
     }
 }
 
-/// Connections and calls.
+/// All connections and open requests.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Table {
     pub(crate) calls: Slab<Call>,
@@ -125,7 +129,7 @@
 }
 
 impl Table {
-    /// Takes a connection, or says that the number is in use.
+    /// Adds a connection and returns its index, or `None` if the number is in use.
     pub(crate) fn open(&mut self, now: Nanos, id: ConnId, ready: bool) -> Option<u32> {
         if self.by_id.contains_key(&id) {
             return None;
@@ -139,7 +143,7 @@
             ready,
             stuck: false,
             idle_since: now,
-            armed: false,
+            idle_check_scheduled: false,
         };
         let at = self.conns.insert(conn) as u32;
         self.by_id.insert(id, at);
@@ -150,18 +154,18 @@
         self.by_id.get(&id).copied()
     }
 
-    /// Adds a request behind those on the connection.
+    /// Appends a request to its connection.
     pub(crate) fn push(&mut self, conn: u32, now: Nanos, request: Request, work: Nanos) -> u32 {
         let stage = Stage::Unread;
-        let call = Call { request, arrived: now, work, conn, stage, next: NONE, line: (NONE, NONE) };
+        let call = Call { request, arrived: now, work, conn, stage, next: NONE, queue_links: (NONE, NONE) };
         let at = self.calls.insert(call) as u32;
-        let lane = &mut self.conns[conn as usize];
-        let was = std::mem::replace(&mut lane.tail, at);
+        let entry = &mut self.conns[conn as usize];
+        let was = std::mem::replace(&mut entry.tail, at);
         if was == NONE {
-            lane.head = at;
+            entry.head = at;
         }
-        if lane.unread == NONE {
-            lane.unread = at;
+        if entry.unread == NONE {
+            entry.unread = at;
         }
         if was != NONE {
             self.calls[was as usize].next = at;
@@ -169,50 +173,50 @@
         at
     }
 
-    /// The next request that may be begun on a connection, which counts as begun from here on.
+    /// Reads the next request of a connection, if one is unread and the limit allows it.
     pub(crate) fn begin(&mut self, conn: u32, at_once: u32) -> Option<u32> {
-        let lane = &mut self.conns[conn as usize];
-        if !lane.ready || lane.begun >= at_once || lane.unread == NONE {
+        let entry = &mut self.conns[conn as usize];
+        if !entry.ready || entry.begun >= at_once || entry.unread == NONE {
             return None;
         }
-        let at = lane.unread;
-        lane.begun += 1;
-        lane.unread = self.calls[at as usize].next;
+        let at = entry.unread;
+        entry.begun += 1;
+        entry.unread = self.calls[at as usize].next;
         Some(at)
     }
 
-    /// The first request of a connection, if it is done and its answer may go out; it ends here.
+    /// Removes and returns the first request of a connection, if it is done and its answer can be sent.
     pub(crate) fn take_done(&mut self, conn: u32) -> Option<(Call, Answer, Option<Note>)> {
-        let lane = self.conns.get_mut(conn as usize)?;
-        if lane.stuck || lane.head == NONE {
+        let entry = self.conns.get_mut(conn as usize)?;
+        if entry.stuck || entry.head == NONE {
             return None;
         }
-        let at = lane.head;
+        let at = entry.head;
         let call = self.calls[at as usize];
         let Stage::Done(answer, note) = call.stage else { return None };
-        lane.head = call.next;
-        lane.begun -= 1;
-        if lane.head == NONE {
-            lane.tail = NONE;
+        entry.head = call.next;
+        entry.begun -= 1;
+        if entry.head == NONE {
+            entry.tail = NONE;
         }
         self.calls.remove(at as usize);
         Some((call, answer, note))
     }
 
-    /// Takes a connection away. Its requests follow from the given place on, by [`Self::next`]; they hang on no
-    /// connection any more.
+    /// Removes a connection. Returns its number and the index of its first request; the caller visits the
+    /// requests by [`Self::next`] and detaches each.
     pub(crate) fn close(&mut self, conn: u32) -> (ConnId, u32) {
-        let lane = self.conns.remove(conn as usize);
-        self.by_id.remove(&lane.id);
-        (lane.id, lane.head)
+        let entry = self.conns.remove(conn as usize);
+        self.by_id.remove(&entry.id);
+        (entry.id, entry.head)
     }
 
-    /// The request behind one, on what was its connection.
+    /// The next request on the same connection, which may be removed already.
     pub(crate) fn next(&self, at: u32) -> u32 {
         self.calls[at as usize].next
     }
 
-    /// Forgets all; the numbers of the connections there were, in the order of their places.
+    /// Removes everything. Returns the numbers of the connections in the order of their indices.
     pub(crate) fn clear(&mut self) -> Vec<ConnId> {
         let ids = self.conns.iter().map(|(_, conn)| conn.id).collect();
         *self = Self::default();
--- a/crates/model/tests/servers/histories.rs
+++ b/crates/model/tests/servers/histories.rs
@@ -1,5 +1,5 @@
-//! Random histories: no request is lost, answers keep their order, books add up, a slot is never free while somebody
-//! waits, and neither a second run nor a late caller changes anything.
+//! Random histories: no request is lost, answers keep their order, the counters add up, no slot is free while
+//! a request waits, and neither a second run nor a caller that polls late changes the result.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,7 +11,8 @@
 
 use super::harness::*;
 
-/// What the other side knows of its connections: the requests without an answer, and whether nothing more can come.
+/// The clients' view: for each open connection the unanswered requests, and whether no further answer can
+/// come.
 #[derive(Default)]
 struct Sent {
     open: BTreeMap<u64, (VecDeque<u64>, bool)>,
@@ -20,7 +21,7 @@
 
 impl Sent {
     /// Checks an order against what was sent.
-    fn see(&mut self, now: i64, order: Order) {
+    fn check(&mut self, now: i64, order: Order) {
         assert!(
             order.at <= now && self.orders.last().is_none_or(|last| last.at <= order.at),
             "{order:?} at {now}"
@@ -28,7 +29,7 @@
         match order.act {
             Act::Answer(answered) => {
                 let (waiting, stuck) = self.open.get_mut(&answered.conn.0).expect("an open connection");
-                assert!(!*stuck, "{order:?} behind what ended the use of its connection");
+                assert!(!*stuck, "{order:?} after a missing or corrupt answer on its connection");
                 assert_eq!(waiting.pop_front(), Some(answered.request.0), "out of order, or twice");
                 *stuck = answered.answer == Answer::Nothing || answered.noise.is_some_and(Noise::spoils);
             }
@@ -50,20 +51,25 @@
     Connect,
     Hangup(usize),
     Ask { conn: usize, key: u64, work: f64, left_us: Option<i64>, keyed: Option<u64> },
-    Told(Event),
+    Notify(Event),
     Pause(i64),
     Fault(Fault),
 }
 
-/// Plays the steps, and lets the server come to rest. `lazy`: orders are taken only when something happens.
-fn play<K: Keeper>(server: Server<K>, machine: &Machine, steps: &[Step], lazy: bool) -> (Vec<Order>, ServerStats) {
+/// Runs the steps, then lets the server finish. `lazy`: orders are polled only when an event happens.
+fn run_steps<K: Storage>(
+    server: Server<K>,
+    machine: &Machine,
+    steps: &[Step],
+    lazy: bool,
+) -> (Vec<Order>, ServerStats) {
     let mut rig = Rig { server, now: 0 };
     let (mut sent, mut now) = (Sent::default(), 0);
     for (id, step) in steps.iter().enumerate() {
         let id = id as u64;
         if lazy && !matches!(step, Step::Wait(_)) {
             rig.now = now;
-            rig.drain().into_iter().for_each(|order| sent.see(now, order));
+            rig.drain().into_iter().for_each(|order| sent.check(now, order));
         }
         let conns: Vec<u64> = sent.open.keys().copied().collect();
         let pick = |at: usize| conns.get(at % conns.len().max(1)).copied();
@@ -71,7 +77,7 @@
             Step::Wait(gap) => {
                 now += gap;
                 if !lazy {
-                    rig.run_to(now).into_iter().for_each(|order| sent.see(now, order));
+                    rig.run_to(now).into_iter().for_each(|order| sent.check(now, order));
                 }
                 continue;
             }
@@ -86,7 +92,7 @@
                 let keyed = keyed.map(IdempotencyKey);
                 Event::Request(Request { kind, keyed, left_us, size: 100, ..read(conn, id, key, work) })
             }
-            Step::Told(event) => event,
+            Step::Notify(event) => event,
             Step::Pause(length) => Event::Fault(Fault::Pause { until: now + length }),
             Step::Fault(fault) => Event::Fault(fault),
         };
@@ -101,21 +107,24 @@
         }
         rig.server.handle(now, event);
         rig.now = now;
-        rig.drain().into_iter().for_each(|order| sent.see(now, order));
-        let books = rig.server.books(now);
-        assert!(books.in_work <= machine.slots && books.waiting <= machine.waiting_room);
-        assert!(books.connections <= machine.connections.cap);
+        rig.drain().into_iter().for_each(|order| sent.check(now, order));
+        let stats = rig.server.stats(now);
+        assert!(stats.in_work <= machine.slots && stats.waiting <= machine.waiting_room);
+        assert!(stats.connections <= machine.connections.cap);
         let paused = rig.server.paused_until().is_some();
-        assert!(paused || books.waiting == 0 || books.in_work == machine.slots, "a free slot, and one waits");
-        let ended = books.answered + books.unheard + books.dropped + books.lost;
-        assert_eq!(books.requests, ended + u64::from(books.held), "{books:?}");
+        assert!(
+            paused || stats.waiting == 0 || stats.in_work == machine.slots,
+            "a slot is free while a request waits"
+        );
+        let ended = stats.answered + stats.client_gone + stats.dropped + stats.lost;
+        assert_eq!(stats.requests, ended + u64::from(stats.held), "{stats:?}");
     }
     rig.server.handle(now, Event::Fault(Fault::Slow(1.0)));
-    rig.run_to(now + 3_000_000).into_iter().for_each(|order| sent.see(i64::MAX, order));
+    rig.run_to(now + 3_000_000).into_iter().for_each(|order| sent.check(i64::MAX, order));
     for (conn, (waiting, stuck)) in &sent.open {
         assert!(*stuck || waiting.is_empty(), "{waiting:?} on {conn} without an answer");
     }
-    (sent.orders, rig.server.books(rig.now))
+    (sent.orders, rig.server.stats(rig.now))
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -124,7 +133,7 @@
     let ask = (0..9usize, 0..6u64, 0.0..150.0, left, keyed);
     let ask = ask.prop_map(|(conn, key, work, left_us, keyed)| Step::Ask { conn, key, work, left_us, keyed });
     let fill = (0..6u64, 0..3u64).prop_map(|(k, version)| Event::Fill { key: Key(k), version, size: 100 });
-    let told = prop_oneof![
+    let notify = prop_oneof![
         4 => fill,
         1 => (0..6u64, 0..3u64).prop_map(|(k, version)| Event::Invalidate { key: Key(k), version }),
         1 => (0..6u64).prop_map(|k| Event::Change(Key(k))),
@@ -147,7 +156,7 @@
         8 => Just(Step::Connect),
         2 => (0..9usize).prop_map(Step::Hangup),
         30 => ask,
-        3 => told.prop_map(Step::Told),
+        3 => notify.prop_map(Step::Notify),
         1 => (0..400i64).prop_map(Step::Pause),
         1 => fault.prop_map(Step::Fault),
     ];
@@ -206,24 +215,24 @@
     })]
 
     #[test]
-    fn cache_servers_lose_nothing(machine in machine(), steps in steps(), carry_out: bool, cold: bool) {
+    fn cache_servers_lose_no_request(machine in machine(), steps in steps(), carry_out: bool, cold: bool) {
         let tip = Some(OverloadThreshold { multiple: 3.0, window_us: 500 });
         let warm_up = WarmUp { start: 0.2, full_after_us: 5000, full_after_work_us: Some(2000.0), tip };
         let writes = if carry_out { Writes::CarryOut } else { Writes::Miss };
         let config = CacheConfig { machine, warm_up, memory: 500, writes, ..CacheConfig::default() };
         let server = CacheServer::new(&config, Uid(1), 7, !cold, 0).unwrap();
-        let first = play(server.clone(), &config.machine, &steps, false);
-        prop_assert_eq!(&first, &play(server.clone(), &config.machine, &steps, false), "a second run");
-        prop_assert_eq!(&first.0, &play(server, &config.machine, &steps, true).0, "a late caller");
+        let first = run_steps(server.clone(), &config.machine, &steps, false);
+        prop_assert_eq!(&first, &run_steps(server.clone(), &config.machine, &steps, false), "a second run");
+        prop_assert_eq!(&first.0, &run_steps(server, &config.machine, &steps, true).0, "a late caller");
     }
 
     #[test]
-    fn origins_lose_nothing(machine in machine(), steps in steps(), resets: bool) {
+    fn origins_lose_no_request(machine in machine(), steps in steps(), resets: bool) {
         let tip = OverloadThreshold { multiple: 2.0, window_us: 500 };
         let overdriven = Some(OverloadOutage { tip, down: Dist::Exp(300.0), resets, most: 3 });
         let config = OriginConfig { machine, overdriven, ..OriginConfig::default() };
         let server = Origin::new(&config, Uid(1), 7, 0).unwrap();
-        let first = play(server.clone(), &config.machine, &steps, false);
-        prop_assert_eq!(&first.0, &play(server, &config.machine, &steps, true).0, "a late caller");
+        let first = run_steps(server.clone(), &config.machine, &steps, false);
+        prop_assert_eq!(&first.0, &run_steps(server, &config.machine, &steps, true).0, "a late caller");
     }
 }
--- a/crates/model/tests/world.rs
+++ b/crates/model/tests/world.rs
@@ -1,4 +1,5 @@
-//! Clients and network together on a virtual clock, with nodes that answer everything: the shape of a driver.
+//! Clients and network together on a virtual clock, with nodes that answer every request; an example of a
+//! driver.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,16 +11,16 @@
 };
 use lapisrudder_model::mix::Spread;
 use lapisrudder_model::network::{
-    Conn, Delay, Delivery, ConnectOutcome, Fault, FaultId, Heal, Host, LinksPlan, Network, NetworkPlan, Side, Split,
-    HostSet,
+    Conn, ConnectOutcome, Delay, Delivery, Fault, FaultId, Heal, Host, HostSet, LinksPlan, Network,
+    NetworkPlan, Side, Split,
 };
 use lapisrudder_model::profile::Profile;
 
 const S: Micros = 1_000_000;
 const CLIENTS: Host = Host(0);
 
-/// What the world does at a time of its own.
-enum Do {
+/// A scheduled action of the test world.
+enum Action {
     /// A node writes these bytes.
     Answer(Conn, Vec<u8>),
     Begin(HostSet, Fault),
@@ -30,12 +31,12 @@
 struct World {
     clients: Clients,
     net: Network,
-    /// Names of the clients' connections on the network and back.
+    /// Network connection of each client connection, and the reverse.
     conns: HashMap<ConnId, Conn>,
     names: HashMap<Conn, ConnId>,
-    /// Bytes that came and are not whole yet, by connection and side.
-    came: HashMap<(Conn, Side), Vec<u8>>,
-    agenda: BTreeMap<(Micros, u64), Do>,
+    /// Received bytes of incomplete lines, by connection and side.
+    received: HashMap<(Conn, Side), Vec<u8>>,
+    agenda: BTreeMap<(Micros, u64), Action>,
     made: u64,
     faults: Vec<FaultId>,
     stories: Vec<RequestRecord>,
@@ -59,7 +60,7 @@
         net: Network::new(net, seed),
         conns: HashMap::new(),
         names: HashMap::new(),
-        came: HashMap::new(),
+        received: HashMap::new(),
         agenda: BTreeMap::new(),
         made: 0,
         faults: Vec::new(),
@@ -68,7 +69,7 @@
 }
 
 impl World {
-    fn plan(&mut self, at: Micros, what: Do) {
+    fn plan(&mut self, at: Micros, what: Action) {
         self.made += 1;
         self.agenda.insert((at, self.made), what);
     }
@@ -111,13 +112,13 @@
             Delivery::Opened(conn) => self.clients.handle(now, Event::Opened(self.names[&conn])),
             Delivery::Refused(conn) => over(self, conn, |name| Event::OpenFailed(name, ConnectFailure::Refused)),
             Delivery::Data(conn, side, bytes) => {
-                let mut came = self.came.remove(&(conn, side)).unwrap_or_default();
-                came.extend_from_slice(&bytes);
-                while let Some(end) = came.windows(2).position(|pair| pair == b"\r\n") {
-                    let line: Vec<u8> = came.drain(..end + 2).collect();
+                let mut received = self.received.remove(&(conn, side)).unwrap_or_default();
+                received.extend_from_slice(&bytes);
+                while let Some(end) = received.windows(2).position(|pair| pair == b"\r\n") {
+                    let line: Vec<u8> = received.drain(..end + 2).collect();
                     self.line(now, conn, side, &String::from_utf8(line).unwrap());
                 }
-                self.came.insert((conn, side), came);
+                self.received.insert((conn, side), received);
             }
             Delivery::End(conn, Side::Client) | Delivery::Reset(conn, Side::Client) => {
                 over(self, conn, Event::Closed);
@@ -127,39 +128,41 @@
         }
     }
 
-    /// A whole line: a node answers it 5 ms later with a line that holds the id, a client takes that as its answer.
+    /// Handles a complete line: a node answers 5 ms later with a line that holds the id, which a client takes
+    /// as the answer.
     fn line(&mut self, now: Micros, conn: Conn, side: Side, line: &str) {
         let id = line.split(' ').find_map(|word| word.strip_prefix('O')).unwrap().trim_end();
         if side == Side::Server {
-            self.plan(now + 5000, Do::Answer(conn, format!("HD O{id}\r\n").into_bytes()));
+            self.plan(now + 5000, Action::Answer(conn, format!("HD O{id}\r\n").into_bytes()));
         } else {
             let id = RequestId(u64::from_str_radix(id, 16).unwrap());
             self.clients.handle(now, Event::Answered(self.names[&conn], Some(id), Reply::Served));
         }
     }
 
-    fn act(&mut self, now: Micros, what: Do) {
+    fn act(&mut self, now: Micros, what: Action) {
         match what {
-            Do::Answer(conn, bytes) => {
+            Action::Answer(conn, bytes) => {
                 self.net.send(now, conn, Side::Server, &bytes);
             }
-            Do::Begin(to, fault) => {
+            Action::Begin(to, fault) => {
                 let id = self.net.begin(HostSet::Any, to, true, fault);
                 self.faults.push(id);
             }
-            Do::End => self.faults.drain(..).for_each(|id| self.net.end(now, id)),
-            Do::Kill(host) => self.net.kill(now, host),
+            Action::End => self.faults.drain(..).for_each(|id| self.net.end(now, id)),
+            Action::Kill(host) => self.net.kill(now, host),
         }
     }
 
-    /// Plays to the end: the stories and their digest.
-    fn play(mut self) -> (Vec<RequestRecord>, Digest, usize) {
+    /// Runs to the end. Returns the stories of all requests, their digest, and the number of connections that
+    /// no client holds.
+    fn run(mut self) -> (Vec<RequestRecord>, Digest, usize) {
         let node = |n| HostSet::Host(Host(n));
-        self.plan(2 * S, Do::Begin(node(1), Fault::Cut(Heal::Stay)));
-        self.plan(4 * S, Do::End);
-        self.plan(6 * S, Do::Kill(Host(2)));
-        self.plan(6 * S, Do::Begin(node(2), Fault::Refuse));
-        self.plan(7 * S, Do::End);
+        self.plan(2 * S, Action::Begin(node(1), Fault::Cut(Heal::Stay)));
+        self.plan(4 * S, Action::End);
+        self.plan(6 * S, Action::Kill(Host(2)));
+        self.plan(6 * S, Action::Begin(node(2), Fault::Refuse));
+        self.plan(7 * S, Action::End);
         self.clients.begin(S / 10);
         let mut now = 0;
         while now < 20 * S {
@@ -188,18 +191,18 @@
 }
 
 #[test]
-fn a_day_is_the_same_each_time_and_only_faults_hurt() {
+fn runs_repeat_exactly_and_only_faults_cause_retries() {
     for split in [Split::Whole, Split::Random(20)] {
-        let (stories, digest, left) = world(split, 3).play();
-        assert_eq!(digest, world(split, 3).play().1);
-        assert_ne!(digest, world(split, 4).play().1);
-        // In a cut, either end may be left with a connection of which the other heard nothing more.
+        let (stories, digest, left) = world(split, 3).run();
+        assert_eq!(digest, world(split, 3).run().1);
+        assert_ne!(digest, world(split, 4).run().1);
+        // After a cut, an end can keep a connection that the other end has closed.
         assert!(left <= 250, "{left} connections that no client holds");
         let mut tally = Tally::default();
         stories.iter().for_each(|story| tally.add(story));
-        // 400 a second for 10 s, within 4 deviations.
+        // 400 requests per second for 10 s, within four standard deviations.
         assert!(tally.requests.abs_diff(4000) < 253 && tally.goodput() > 0.9, "{tally:?}");
-        // A request that meets no fault takes one try; those of the cut and of the killed node more, or fail.
+        // A request without a fault takes one try; those in the cut or at the killed node take more, or fail.
         let hurt = |story: &&RequestRecord| story.tries.len() > 1 || story.end != End::Served;
         let seconds: Vec<Micros> = stories.iter().filter(hurt).map(|story| story.due / S).collect();
         let in_second = |n| seconds.iter().filter(|second| **second == n).count();
@@ -211,7 +214,7 @@
 
 #[test]
 fn a_node_is_used_again_once_it_answers() {
-    let (stories, ..) = world(Split::Whole, 5).play();
+    let (stories, ..) = world(Split::Whole, 5).run();
     let by = |node, from: Micros, to: Micros| {
         let first =
             |story: &&RequestRecord| (from..to).contains(&story.due) && story.tries[0].node == Some(NodeId(node));
