--- a/crates/lab/src/check/alive.rs
+++ b/crates/lab/src/check/alive.rs
@@ -1,5 +1,5 @@
-//! **Alive.** A node's process ends only when the lab killed it or told it to stop; SIGHUP is no reason. Each process
-//! is ready within `ready_within_s` of its start, unless it was killed or told to stop before.
+//! **Alive.** A node's process ends only when the lab killed it or told it to stop; SIGHUP is no reason. Each
+//! process is ready within `ready_within_s` of its start, unless it was killed or told to stop before.
 
 use super::context::Context;
 use super::{Rule, Violation};
--- a/crates/lab/src/check/attempts.rs
+++ b/crates/lab/src/check/attempts.rs
@@ -1,5 +1,5 @@
-//! **Attempts.** No more attempts for a request than the settings allow, counted by last bytes; and no second copy
-//! while one is out on an open connection, where the settings forbid that.
+//! **Attempts.** No more attempts for a request than the settings allow, counted by last bytes; and no second
+//! copy while one is out on an open connection, where the settings forbid that.
 
 use super::context::{Attempt, Context};
 use super::{Rule, Violation};
@@ -12,14 +12,14 @@
         let attempts = cx.attempts_since_crossed(t.id);
         if let Some(extra) = attempts.get(most) {
             let text = format!("{} attempts; {most} are allowed", attempts.len());
-            out.push(cx.broken(Rule::Attempts, extra.last_byte, t, text));
+            out.push(cx.violation(Rule::Attempts, extra.last_byte, t, text));
         }
         if !cx.rules.second_copies
             && let Some(second) = second_copy(cx, t, &attempts)
         {
             let server = cx.ledger.names.server(second.server);
             let text = format!("a second copy went to {server} while one was out");
-            out.push(cx.broken(Rule::Attempts, second.first_byte, t, text));
+            out.push(cx.violation(Rule::Attempts, second.first_byte, t, text));
         }
     }
 }
--- a/crates/lab/src/check/cold.rs
+++ b/crates/lab/src/check/cold.rs
@@ -1,12 +1,13 @@
-//! **Cold servers.** A cold server that is sent more than a multiple of its present capacity for `fall_s` topples. So
-//! the work sent to it, by all nodes together, in any window of that length since its start must stay under
+//! **Cold servers.** A cold server that is sent more than a multiple of its present capacity for `fall_s`
+//! topples. So the work sent to it, by all nodes together, in any window of that length since its start must
+//! stay under
 //!
 //! `tip_multiple * (integral of its capacity over the window) * (1 + tip_slack) + largest single work`
 //!
-//! A window that the server's fall cuts short counts with the capacity until then. The two last terms are the slack for
-//! chance. All work that reaches the server counts, also what it rejects; work
-//! is that of the request on a standard core, with its share of the handshake. The rule is broken only if two thirds
-//! of that work came from nodes that knew of the start (were told, or count as told). A rule that only shows across
+//! A window that the server's fall cuts short counts with the capacity until then. The two last terms are the
+//! slack for chance. All work that reaches the server counts, also what it rejects; work is that of the
+//! request on a standard core, with its share of the handshake. The rule is broken only if two thirds of that
+//! work came from nodes that knew of the start (were told, or count as told). A rule that only shows across
 //! nodes: each may have stayed far below.
 
 use super::context::Context;
@@ -33,7 +34,8 @@
     warm: bool,
     /// It toppled.
     fell: bool,
-    /// Times and capacities from then on (work in microseconds a second), in order of time; the first at `from`.
+    /// Times and capacities from then on (work in microseconds a second), in order of time; the first at
+    /// `from`.
     capacity: Vec<(Micros, f64)>,
     arrivals: Vec<Arrival>,
 }
@@ -155,7 +157,8 @@
     worst.map(|w| w.1).or_else(|| cut_short(cx, spell, length, largest, informed))
 }
 
-/// The window that ends with the fall of a server: it takes no more work then, so that a flood shows in no whole window.
+/// The window that ends with the fall of a server: it takes no more work then, so that a flood shows in no
+/// whole window.
 fn cut_short(
     cx: &Context<'_>,
     spell: &Spell,
--- a/crates/lab/src/check/crossing.rs
+++ b/crates/lab/src/check/crossing.rs
@@ -1,5 +1,5 @@
-//! **Crossings.** A node may close a connection between requests. A request that this close crosses is sent once
-//! more on a new connection, which costs the client time but is no loss, as long as
+//! **Crossings.** A node may close a connection between requests. A request that this close crosses is sent
+//! once more on a new connection, which costs the client time but is no loss, as long as
 //!
 //! - the node had not read it: nothing of it reached a server before the client saw the close;
 //! - it is not the end of a process that the lab killed outright;
@@ -13,13 +13,14 @@
     for t in cx.tries() {
         let crossed = cx.index.client(t.id).filter(|r| matches!(r.event, ClientEvent::Crossed { .. }));
         for (number, r) in crossed.enumerate() {
-            // The try's own node is the one that it went to at last. The end may be seen some time after the kill.
+            // The try's own node is the one that it went to at last. The end may be seen some time after the
+            // kill.
             let node = r.event.conn().and_then(|conn| opened_to(cx, conn)).unwrap_or(t.node);
             if cx.killed(node, r.at - 1_000_000, r.at) {
                 continue;
             }
             if number > 0 {
-                out.push(cx.broken(
+                out.push(cx.violation(
                     Rule::Crossing,
                     r.at,
                     t,
@@ -32,7 +33,7 @@
             if let Some(s) = sent_on {
                 let server = cx.ledger.names.server(s.event.server());
                 let text = format!("the node closed on it as if unread, having sent it on to {server}");
-                out.push(cx.broken(Rule::Crossing, r.at, t, text));
+                out.push(cx.violation(Rule::Crossing, r.at, t, text));
             }
         }
     }
--- a/crates/lab/src/check/drains.rs
+++ b/crates/lab/src/check/drains.rs
@@ -1,14 +1,15 @@
-//! **Drains.** A node sends nothing new to a server later than the grace (and the slack for sockets) after it was
-//! told that the server drains or has gone. The time of a send is that of its first byte at the server.
+//! **Drains.** A node sends nothing new to a server later than the grace (and the slack for sockets) after it
+//! was told that the server drains or has gone. The time of a send is that of its first byte at the server.
 //!
-//! A node is told once discovery has written the entry to it, and counts as told `told_within_s` after discovery's
-//! list changed, whether or not anything arrived; where a call of the node was held open then, not before
-//! `told_after_hold_s` after its wait is over. A process that was started later counts from its start. The time ends when
-//! discovery lists the server as up again.
+//! A node is told once discovery has written the entry to it, and counts as told `told_within_s` after
+//! discovery's list changed, whether or not anything arrived; where a call of the node was held open then,
+//! not before `told_after_hold_s` after its wait is over. A process that was started later counts from its
+//! start. The time ends when discovery lists the server as up again.
 //!
-//! The same holds where operators have taken the server out, at the node that they told: it is told by its yes, or 1 s
-//! after the call, whatever discovery says meanwhile and whatever process takes its place. The time ends with the call
-//! back, or when the node's process is killed: a process that starts from nothing knows of no call.
+//! The same holds where operators have taken the server out, at the node that they told: it is told by its
+//! yes, or 1 s after the call, whatever discovery says meanwhile and whatever process takes its place. The
+//! time ends with the call back, or when the node's process is killed: a process that starts from nothing
+//! knows of no call.
 
 use super::context::Context;
 use super::{Rule, Violation};
--- a/crates/lab/src/check/effects.rs
+++ b/crates/lab/src/check/effects.rs
@@ -1,14 +1,14 @@
 //! **Effects.** What must not run twice does not, and a refusal is the truth.
 //!
-//! An attempt has provably never run when its server answered `busy` (or a miss), and when its last byte never came.
-//! Every other attempt may have run.
+//! An attempt has provably never run when its server answered `busy` (or a miss), and when its last byte
+//! never came. Every other attempt may have run.
 //!
 //! - `unsafe`: a further attempt may begin only when each earlier one has provably never run.
-//! - `keyed`: once an attempt may have run, further ones go to servers of the same group, and their last byte comes
-//!   within the window from that attempt's first byte (and the slack for sockets). It counts on though the node learns later
-//!   that it never ran, for as long as one that was sent meanwhile may have run.
-//! - A client may be told `busy`, whoever worded it, only where nothing may have run; for `keyed` classes whose group
-//!   is all servers always.
+//! - `keyed`: once an attempt may have run, further ones go to servers of the same group, and their last byte
+//!   comes within the window from that attempt's first byte (and the slack for sockets). It counts on though
+//!   the node learns later that it never ran, for as long as one that was sent meanwhile may have run.
+//! - A client may be told `busy`, whoever worded it, only where nothing may have run; for `keyed` classes
+//!   whose group is all servers always.
 //! - Whatever the attempts looked like, no request takes effect twice.
 
 use super::context::{Attempt, Context};
@@ -59,7 +59,7 @@
         };
         out.push(Violation {
             server: Some(later.server),
-            ..cx.broken(Rule::Effects, later.first_byte, t, text)
+            ..cx.violation(Rule::Effects, later.first_byte, t, text)
         });
     }
 }
@@ -82,7 +82,7 @@
     if let Some(a) = attempts.iter().find(ran) {
         let server = cx.ledger.names.server(a.server);
         let text = format!("refused, though an attempt at {server} may have run");
-        out.push(Violation { server: Some(a.server), ..cx.broken(Rule::Effects, at, t, text) });
+        out.push(Violation { server: Some(a.server), ..cx.violation(Rule::Effects, at, t, text) });
     }
 }
 
@@ -92,6 +92,6 @@
     if let Some(second) = effects.skip(1).last() {
         let server = second.event.server();
         let text = format!("took effect once more at {}", cx.ledger.names.server(server));
-        out.push(Violation { server: Some(server), ..cx.broken(Rule::Effects, second.at, t, text) });
+        out.push(Violation { server: Some(server), ..cx.violation(Rule::Effects, second.at, t, text) });
     }
 }
--- a/crates/lab/src/check/genuine.rs
+++ b/crates/lab/src/check/genuine.rs
@@ -1,9 +1,11 @@
-//! **Genuine answers.** A client may be served only what a server or the origin made for this request, byte by byte:
-//! for each value or receipt there is an answer of that kind with that id and that digest, unspoilt, written before.
-//! Besides, the bytes must say of themselves that they were made for this key and this request.
+//! **Genuine answers.** A client may be served only what a server or the origin made for this request, byte
+//! by byte: for each value or receipt there is an answer of that kind with that id and that digest, unspoilt,
+//! written before. Besides, the bytes must say of themselves that they were made for this key and this
+//! request.
 //!
-//! A bad client may not be served as though its request had run. Where it used the id of another client's request,
-//! that holds only while that one was open, from when the bad client had written all until it was served.
+//! A bad client may not be served as though its request had run. Where it used the id of another client's
+//! request, that holds only while that one was open, from when the bad client had written all until it was
+//! served.
 
 use super::context::Context;
 use super::{Rule, Violation};
@@ -33,7 +35,7 @@
                     }
                 }
             };
-            out.push(cx.broken(Rule::Genuine, r.at, t, text));
+            out.push(cx.violation(Rule::Genuine, r.at, t, text));
         }
     }
 }
--- a/crates/lab/src/check/history.rs
+++ b/crates/lab/src/check/history.rs
@@ -1,23 +1,25 @@
-//! Histories: a ledger as text, with the world that it is of, so that what was seen once can be judged again.
+//! Histories: a ledger as text together with its experiment, so that a recorded run can be checked again.
 //!
-//! A history is JSON lines. The first says that it is one, in which form, and has the experiment as its TOML file:
+//! A history is JSON lines. The first line has the version of the format and the text of the experiment's
+//! TOML file:
 //!
 //! ```json
 //! {"side":"history","form":1,"experiment":"question = \"...\"\n..."}
 //! ```
 //!
-//! Then come the lines of the ledger as [`write_jsonl`](crate::ledger::write_jsonl) has them: `names` first, then each
-//! `try`, then what clients, servers, discovery, nodes' processes, operators and the lab wrote. The last line counts
-//! all before it:
+//! Then come the lines of the ledger as [`write_jsonl`](crate::ledger::write_jsonl) writes them: `names`
+//! first, then each `try`, then the records of clients, servers, discovery, nodes' processes, operators and
+//! the lab. The last line has the number of lines before it:
 //!
 //! ```json
 //! {"side":"end","lines":812}
 //! ```
 //!
-//! Nothing in it is a node's own word: no log, no state.
+//! Nothing in a history comes from a node itself: neither its log nor its state.
 //!
-//! What is empty, cut short, or names what there is not is no history: [`read_history`] tells the line. It never gives a
-//! part of one, which would break fewer rules than the whole.
+//! [`read_history`] refuses text that is empty, truncated, or refers to an unknown node, server, class, try
+//! or call, and names the line. It never returns part of a history, which could show fewer violations than
+//! the complete one.
 
 use crate::Micros;
 use crate::experiment::ExperimentFile;
@@ -29,95 +31,95 @@
 use std::collections::BTreeSet;
 use std::io::{self, BufRead, Write};
 
-/// The form that is written, and the only one that is read.
+/// The version of the format that is written, and the only one that is read.
 const FORM: u32 = 1;
-/// Times beyond this, before or after the start of the load, are none: 115 days.
-const FARTHEST: Micros = 10_000_000_000_000;
+/// A time further than this (115 days) from the start of the load, before or after, is refused as invalid.
+const MAX_TIME: Micros = 10_000_000_000_000;
 
-/// What both ends of a run wrote down, and what the run was to be.
+/// What clients, servers and the lab recorded of a run, and the experiment that was run.
 #[derive(Clone, Debug)]
 pub struct History {
     /// The experiment, with its rules.
     pub file: ExperimentFile,
-    /// The books.
+    /// The records of the run.
     pub ledger: Ledger,
 }
 
-/// Why lines are no history.
+/// Why text cannot be read as a history.
 #[derive(Debug, thiserror::Error)]
 pub enum HistoryError {
-    /// There is nothing.
-    #[error("line 1: there is no history: the file is empty")]
+    /// The file is empty, or begins with the line that ends a history.
+    #[error("line 1: not a history: the file is empty")]
     Empty,
     /// The file cannot be read.
     #[error("line {line}: cannot be read: {source}")]
     Io {
-        /// From 1.
+        /// Number of the line, from 1.
         line: usize,
-        /// Why.
+        /// The underlying error.
         source: io::Error,
     },
-    /// The first line does not say that it is a history.
-    #[error("line 1: not the first line of a history: {source}")]
-    Head {
-        /// Why.
+    /// The first line is not the header of a history.
+    #[error("line 1: not the header of a history: {source}")]
+    Header {
+        /// The underlying error.
         source: serde_json::Error,
     },
-    /// Another form.
-    #[error("line 1: form {form} is not known, only {FORM}")]
-    Form {
-        /// What stands there.
+    /// The version of the format is not supported.
+    #[error("line 1: format version {form} is not supported, only {FORM}")]
+    UnsupportedVersion {
+        /// The version that the file names.
         form: u32,
     },
-    /// Its experiment is none.
+    /// The experiment in the header is invalid.
     #[error("line 1: {what}")]
     Experiment {
-        /// What is wrong.
+        /// What is wrong with the experiment.
         what: String,
     },
-    /// A line is no record.
+    /// A line cannot be parsed as a record.
     #[error("line {line}: {source}")]
     Record {
-        /// From 1.
+        /// Number of the line, from 1.
         line: usize,
-        /// Why.
+        /// The underlying error.
         source: serde_json::Error,
     },
-    /// A record names what there is not, or cannot be.
+    /// A record refers to something unknown, repeats an id, or has an impossible time.
     #[error("line {line}: {what}")]
-    Stranger {
-        /// From 1.
+    InvalidRecord {
+        /// Number of the line, from 1.
         line: usize,
-        /// What.
+        /// What is wrong with the record.
         what: String,
     },
-    /// There is no last line.
-    #[error("line {line}: the history is cut off here: its last line is missing")]
-    Cut {
-        /// The first line that there is not.
+    /// The line that ends a history is missing.
+    #[error("line {line}: the history is truncated here: its end line is missing")]
+    Truncated {
+        /// Number of the first missing line, from 1.
         line: usize,
     },
-    /// Lines are missing, or there are more.
-    #[error("line {line}: {told} lines were written before this one, and here are {there}")]
+    /// There are fewer or more lines than the last line says.
+    #[error("line {line}: {expected} lines were written before this one, but {found} are here")]
     Count {
-        /// The last line.
+        /// Number of the last line, from 1.
         line: usize,
-        /// What it says.
-        told: usize,
-        /// What there is.
-        there: usize,
+        /// The number of lines that the last line states.
+        expected: usize,
+        /// The number of lines before it.
+        found: usize,
     },
-    /// Something stands behind the last line.
-    #[error("line {line}: stands behind the end of the history")]
-    Behind {
-        /// From 1.
+    /// Text follows the line that ends the history.
+    #[error("line {line}: text after the end of the history")]
+    TrailingText {
+        /// Number of the line, from 1.
         line: usize,
     },
 }
 
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "side", rename_all = "kebab-case", deny_unknown_fields)]
-enum Mark {
+enum Frame {
     History { form: u32, experiment: String },
     End { lines: usize },
 }
@@ -125,33 +127,33 @@
 /// Writes a history.
 ///
 /// # Errors
-/// As the writer's.
+/// Those of the writer.
 pub fn write_history(history: &History, mut to: impl Write) -> io::Result<()> {
     let mut lines = Vec::new();
-    let head = Mark::History { form: FORM, experiment: history.file.text.clone() };
+    let head = Frame::History { form: FORM, experiment: history.file.text.clone() };
     serde_json::to_writer(&mut lines, &head)?;
     lines.push(b'\n');
     write_jsonl(&history.ledger, &mut lines)?;
     let count = lines.iter().filter(|b| **b == b'\n').count();
-    serde_json::to_writer(&mut lines, &Mark::End { lines: count })?;
+    serde_json::to_writer(&mut lines, &Frame::End { lines: count })?;
     lines.push(b'\n');
     to.write_all(&lines)
 }
 
-/// Reads a history; its ledger is sorted.
+/// Reads a history and sorts its ledger.
 ///
 /// # Errors
-/// The first line that is wrong.
+/// Names the first line that is wrong.
 pub fn read_history(from: impl BufRead) -> Result<History, HistoryError> {
     let mut lines = (1..).zip(from.lines());
     let (_, first) = lines.next().ok_or(HistoryError::Empty)?;
     let first = first.map_err(|source| HistoryError::Io { line: 1, source })?;
-    let (form, text) = match serde_json::from_str(&first).map_err(|source| HistoryError::Head { source })? {
-        Mark::History { form, experiment } => (form, experiment),
-        Mark::End { .. } => return Err(HistoryError::Empty),
+    let (form, text) = match serde_json::from_str(&first).map_err(|source| HistoryError::Header { source })? {
+        Frame::History { form, experiment } => (form, experiment),
+        Frame::End { .. } => return Err(HistoryError::Empty),
     };
     if form != FORM {
-        return Err(HistoryError::Form { form });
+        return Err(HistoryError::UnsupportedVersion { form });
     }
     let file = ExperimentFile::parse("history", &text)
         .map_err(|e| HistoryError::Experiment { what: e.to_string() })?;
@@ -159,27 +161,27 @@
     while let Some((line, read)) = lines.next() {
         last = line;
         let read = read.map_err(|source| HistoryError::Io { line, source })?;
-        if let Ok(Mark::End { lines: told }) = serde_json::from_str(&read) {
-            if told != line - 1 {
-                return Err(HistoryError::Count { line, told, there: line - 1 });
+        if let Ok(Frame::End { lines: expected }) = serde_json::from_str(&read) {
+            if expected != line - 1 {
+                return Err(HistoryError::Count { line, expected, found: line - 1 });
             }
             if let Some((line, _)) = lines.next() {
-                return Err(HistoryError::Behind { line });
+                return Err(HistoryError::TrailingText { line });
             }
             if ledger.tries.is_empty() {
-                return Err(HistoryError::Stranger { line, what: "nothing was asked for".into() });
+                return Err(HistoryError::InvalidRecord { line, what: "the history has no request".into() });
             }
             ledger.sort();
             return Ok(History { file, ledger });
         }
         let record = Line::parse(&read).map_err(|source| HistoryError::Record { line, source })?;
-        known.check(&record, &ledger.names).map_err(|what| HistoryError::Stranger { line, what })?;
+        known.check(&record, &ledger.names).map_err(|what| HistoryError::InvalidRecord { line, what })?;
         record.put(&mut ledger);
     }
-    Err(HistoryError::Cut { line: last + 1 })
+    Err(HistoryError::Truncated { line: last + 1 })
 }
 
-/// What records may name, besides the parties.
+/// The ids of tries and calls that the lines read so far have introduced.
 #[derive(Default)]
 struct Known {
     tries: BTreeSet<ReqId>,
@@ -187,13 +189,13 @@
 }
 
 impl Known {
-    /// Looks at a line before it is taken.
+    /// Checks a line before it is added to the ledger, and remembers the id that it introduces.
     fn check(&mut self, line: &Line<'_>, names: &Names) -> Result<(), String> {
         let node = |node: NodeNo| {
-            holds(names.nodes.get(node.index()).is_some(), || format!("there is no node {}", node.0))
+            ensure(names.nodes.get(node.index()).is_some(), || format!("there is no node {}", node.0))
         };
         let server = |server: ServerNo| {
-            holds(names.servers.get(server.index()).is_some(), || format!("there is no server {}", server.0))
+            ensure(names.servers.get(server.index()).is_some(), || format!("there is no server {}", server.0))
         };
         let at = match line {
             Line::Names(_) => return Ok(()),
@@ -205,19 +207,19 @@
             Line::Operator(r) => r.at,
             Line::Lab(r) => r.at,
         };
-        holds(at.abs() <= FARTHEST, || format!("{at} us is no time of a run"))?;
+        ensure(at.abs() <= MAX_TIME, || format!("{at} us is out of range for a time"))?;
         match line {
             Line::Names(_) | Line::Lab(_) => Ok(()),
             Line::Try(t) => {
                 node(t.node)?;
                 let class = names.classes.get(t.class.index());
-                holds(class.is_some(), || format!("there is no class {}", t.class.0))?;
-                let own = t.id != ReqId::NONE && self.tries.insert(t.id);
-                holds(own, || format!("{} is no id of its own", t.id))
+                ensure(class.is_some(), || format!("there is no class {}", t.class.0))?;
+                let unique = t.id != ReqId::NONE && self.tries.insert(t.id);
+                ensure(unique, || format!("{} is not a unique id", t.id))
             }
             Line::Client(r) => {
                 if let Some(req) = r.event.req() {
-                    holds(self.tries.contains(&req), || format!("there is no try {req}"))?;
+                    ensure(self.tries.contains(&req), || format!("there is no try {req}"))?;
                 }
                 match r.event {
                     ClientEvent::Opened { node: n, .. } | ClientEvent::ConnectFailed { node: n } => node(n),
@@ -240,16 +242,16 @@
             Line::Operator(r) => match r.event {
                 OperatorEvent::Called { call, node: n, .. } => {
                     node(n)?;
-                    holds(self.calls.insert(call), || format!("call {call} was made before"))
+                    ensure(self.calls.insert(call), || format!("call id {call} is used twice"))
                 }
                 OperatorEvent::Answered { call, .. } => {
-                    holds(self.calls.contains(&call), || format!("there is no call {call}"))
+                    ensure(self.calls.contains(&call), || format!("there is no call {call}"))
                 }
             },
         }
     }
 }
 
-fn holds(fits: bool, what: impl FnOnce() -> String) -> Result<(), String> {
-    if fits { Ok(()) } else { Err(what()) }
+fn ensure(valid: bool, what: impl FnOnce() -> String) -> Result<(), String> {
+    if valid { Ok(()) } else { Err(what()) }
 }
--- a/crates/lab/src/check/in_time.rs
+++ b/crates/lab/src/check/in_time.rs
@@ -1,15 +1,18 @@
-//! **In time.** A taken request has its final answer no later than the client's patience, the slack for answers and
-//! the slack for sockets after the request's last byte was written. The time of an answer is that of its last byte.
+//! **In time.** A taken request has its final answer no later than the client's patience, the slack for
+//! answers and the slack for sockets after the request's last byte was written. The time of an answer is that
+//! of its last byte.
 //!
-//! - Answers on a connection come in the order of its requests; time spent behind the answer before does not count:
-//!   a ready answer may come within the slack after that.
-//! - A client that leaves early, or closes before that time, holds the node to nothing. So that a late answer can be
-//!   seen, the load generator keeps a connection open until the slack is over.
-//! - A request with no answer at all when its time is up breaks the rule where `silence_breaks`; else it has failed.
+//! - Answers on a connection come in the order of its requests; time spent behind the answer before does not
+//!   count: a ready answer may come within the slack after that.
+//! - A client that leaves early, or closes before that time, holds the node to nothing. So that a late answer
+//!   can be seen, the load generator keeps a connection open until the slack is over.
+//! - A request with no answer at all when its time is up breaks the rule where `silence_breaks`; else it has
+//!   failed.
 //! - Slow readers and faults of the network before clients excuse what comes late.
-//! - A hold-up of the node's process excuses nothing, but for a request whose time, slack included, is shorter than the longest
-//!   that a node has to bear: it may be answered within the slack after the hold-up that it fell into. Of those with less than
-//!   [`LITTLE`], which leave a node little of their time for a reserve, one in [`BORNE`] of the node's requests may be late by one.
+//! - A hold-up of the node's process excuses nothing, but for a request whose time, slack included, is
+//!   shorter than the longest that a node has to bear: it may be answered within the slack after the hold-up
+//!   that it fell into. Of those with less than [`LITTLE`], which leave a node little of their time for a
+//!   reserve, one in [`BORNE`] of the node's requests may be late by one.
 
 use super::context::Context;
 use super::{Rule, Violation};
@@ -38,7 +41,7 @@
                 if at > bound && !cx.excused_by_client(t, sent, at) && !borne.bears(cx, t, sent, own) =>
             {
                 let over = (at - bound) as f64 / 1e3;
-                out.push(cx.broken(
+                out.push(cx.violation(
                     Rule::InTime,
                     at,
                     t,
@@ -49,7 +52,7 @@
                 if seen > bound && cx.rules.silence_breaks && !cx.excused_by_client(t, sent, bound) =>
             {
                 let waited = (seen - sent) as f64 / 1e3;
-                out.push(cx.broken(
+                out.push(cx.violation(
                     Rule::InTime,
                     bound,
                     t,
@@ -69,7 +72,7 @@
     /// Whether one more is borne.
     fn bears(&mut self, cx: &Context<'_>, t: &Try, sent: Micros, own: Micros) -> bool {
         let little = own - sent >= millis(LONGEST_HOLD_UP_MS) && Micros::from(t.patience_us) < LITTLE;
-        if !little || cx.held_up_until(t.node, sent, own).is_none() {
+        if !little || cx.stalled_until(t.node, sent, own).is_none() {
             return false;
         }
         let late = self.0.entry(t.node).or_default();
@@ -78,12 +81,13 @@
     }
 }
 
-/// When the hold-up ended that a request with little time fell into; long ago if it has time enough, or fell into none.
+/// When the hold-up ended that a request with little time fell into; long ago if it has time enough, or fell
+/// into none.
 fn short_in_a_hold_up(cx: &Context<'_>, t: &Try, sent: Micros, own: Micros) -> Micros {
     if own - sent >= millis(LONGEST_HOLD_UP_MS) {
         return Micros::MIN / 2;
     }
-    cx.held_up_until(t.node, sent, own).unwrap_or(Micros::MIN / 2)
+    cx.stalled_until(t.node, sent, own).unwrap_or(Micros::MIN / 2)
 }
 
 enum End {
@@ -91,7 +95,8 @@
     Answered(Micros),
     /// No answer came while the client listened, until then.
     Open(Micros),
-    /// The node is not held to anything here: the client left early, an answer was begun, or another rule's matter.
+    /// The node is not held to anything here: the client left early, an answer was begun, or another rule's
+    /// matter.
     Other,
 }
 
--- a/crates/lab/src/check/late_lab.rs
+++ b/crates/lab/src/check/late_lab.rs
@@ -1,6 +1,6 @@
 //! Whether the lab itself was the slow part. A run in which it was is void: it says nothing about the node.
 
-use super::context::hold_ups;
+use super::context::stalls;
 use crate::experiment::{Experiment, LONGEST_HOLD_UP_MS};
 use crate::ledger::{LabEvent, Ledger};
 use crate::{Micros, millis};
@@ -69,8 +69,8 @@
     (seen, why)
 }
 
-/// The longest time from a process being stopped to its going on. A lab that is late holds a node up for longer than it has to
-/// bear.
+/// The longest time from a process being stopped to its going on. A lab that is late holds a node up for
+/// longer than it has to bear.
 fn longest_hold_up(ledger: &Ledger) -> Micros {
-    hold_ups(ledger).map(|held| held.until - held.from).max().unwrap_or(0)
+    stalls(ledger).map(|stall| stall.until - stall.from).max().unwrap_or(0)
 }
--- a/crates/lab/src/check/left.rs
+++ b/crates/lab/src/check/left.rs
@@ -1,11 +1,13 @@
-//! **Clients that left.** Once a client has closed its connection, nothing is sent on any more for a request that was open on
-//! it: no first attempt, no further one, no copy. None at all later than [`NOTICED`] after the close, and no more than
-//! [`BORNE`] later than [`SEEN`] (each with the slack for sockets). The time of a send is that of its first byte at the server.
-//! What a cut network kept back, and delivered when it ended, may have been sent before.
-//! A client that only stops waiting, and keeps its connection, cannot be seen to leave.
+//! **Clients that left.** Once a client has closed its connection, nothing is sent on any more for a request
+//! that was open on it: no first attempt, no further one, no copy. None at all later than [`NOTICED`] after
+//! the close, and no more than [`BORNE`] later than [`SEEN`] (each with the slack for sockets). The time of a
+//! send is that of its first byte at the server. What a cut network kept back, and delivered when it ended,
+//! may have been sent before. A client that only stops waiting, and keeps its connection, cannot be seen to
+//! leave.
 //!
-//! Nor does any attempt begin once the client has its final answer, later than the slack for sockets. What a server that stood still
-//! or was away reads late, and what a slow or cut network brings late, may have been sent before.
+//! Nor does any attempt begin once the client has its final answer, later than the slack for sockets. What a
+//! server that stood still or was away reads late, and what a slow or cut network brings late, may have been
+//! sent before.
 
 use super::context::Context;
 use super::{Rule, Violation};
@@ -29,7 +31,7 @@
             let Some(t) = cx.index.find(req).filter(|t| !t.flags.bad && !t.flags.borrowed) else { continue };
             let begun = |e: &ServerEvent| matches!(e, ServerEvent::FirstByte { .. });
             let sends = cx.index.server(req).filter(|s| s.at > r.at + seen && begun(&s.event));
-            let sends = sends.filter(|s| !cx.kept_back_since(r.at + seen, s.at));
+            let sends = sends.filter(|s| !cx.delayed_by_cut(r.at + seen, s.at));
             late.extend(sends.map(|s| (s.at, s.event.server(), s.at - r.at, t)));
         }
     }
@@ -38,7 +40,7 @@
         if after > noticed || n >= BORNE {
             let (server, after) = (cx.ledger.names.server(server), after as f64 / 1e3);
             let text = format!("sent on to {server} {after:.0} ms after its client had left");
-            out.push(cx.broken(Rule::Left, at, t, text));
+            out.push(cx.violation(Rule::Left, at, t, text));
         }
     }
 }
@@ -58,7 +60,7 @@
         let Some(s) = late.find(|s| !cx.slow_to_servers(r.at - ON_ITS_WAY, s.at)) else { continue };
         let (server, after) = (cx.ledger.names.server(s.event.server()), (s.at - r.at) as f64 / 1e3);
         let text = format!("an attempt began at {server} {after:.1} ms after the client had its answer");
-        out.push(cx.broken(Rule::Left, s.at, t, text));
+        out.push(cx.violation(Rule::Left, s.at, t, text));
     }
 }
 
--- a/crates/lab/src/check/limits.rs
+++ b/crates/lab/src/check/limits.rs
@@ -1,5 +1,5 @@
-//! **Limits.** A node's descriptors and memory, as sampled, stay within what it was given; and it never holds more
-//! connections to servers than it may have descriptors.
+//! **Limits.** A node's descriptors and memory, as sampled, stay within what it was given; and it never holds
+//! more connections to servers than it may have descriptors.
 
 use super::context::Context;
 use super::{Rule, Violation};
--- a/crates/lab/src/check/lost.rs
+++ b/crates/lab/src/check/lost.rs
@@ -1,11 +1,12 @@
-//! **Lost requests.** A node has taken a request once its last byte is written to a connection that the node's
-//! machine accepted. It loses the request if it ends that connection with no whole answer before the request's time
-//! is up. Not lost are:
+//! **Lost requests.** A node has taken a request once its last byte is written to a connection that the
+//! node's machine accepted. It loses the request if it ends that connection with no whole answer before the
+//! request's time is up. Not lost are:
 //!
 //! - what its client had left, and what had an answer begun that the client can tell is not whole;
 //! - the first request on a connection when nothing was sent on for it;
 //! - what a close between requests crossed: that is the rule of [`super::crossing`];
-//! - what a node held that the lab killed outright. Being told to stop excuses nothing: it has time to finish.
+//! - what a node held that the lab killed outright. Being told to stop excuses nothing: it has time to
+//!   finish.
 
 use super::context::{Context, OnConnection};
 use super::{Rule, Violation};
@@ -35,7 +36,7 @@
             let how = if by == Closer::Reset { "reset" } else { "closed" };
             let waited = (r.at - sent) as f64 / 1e3;
             let text = format!("the node {how} the connection {waited:.1} ms after it had taken the request");
-            out.push(cx.broken(Rule::Lost, r.at, t, text));
+            out.push(cx.violation(Rule::Lost, r.at, t, text));
         }
     }
 }
--- a/crates/lab/src/check/management.rs
+++ b/crates/lab/src/check/management.rs
@@ -1,6 +1,7 @@
-//! **Management.** Each whole call on a node's second address gets one line, within `management_within_s` (and the slack
-//! for sockets): `ok` where it can be done, `fail` for an id that was never listed. A drained node is not ready, and 4 s after the call it
-//! holds no client's connection that is idle, or that had a request in the last 2 s.
+//! **Management.** Each whole call on a node's second address gets one line, within `management_within_s`
+//! (and the slack for sockets): `ok` where it can be done, `fail` for an id that was never listed. A drained
+//! node is not ready, and 4 s after the call it holds no client's connection that is idle, or that had a
+//! request in the last 2 s.
 //!
 //! Nothing is owed by a process that was killed or told to stop before the answer was due.
 
@@ -85,8 +86,8 @@
     }
 }
 
-/// Clients' connections to a node that are idle then, or had a request in the last 2 s. Bad clients do not hear that it drains: theirs
-/// count if they were there before.
+/// Clients' connections to a node that are idle then, or had a request in the last 2 s. Bad clients do not
+/// hear that it drains: theirs count if they were there before.
 fn held(cx: &Context<'_>, node: NodeNo, called: Micros, at: Micros) -> Vec<ConnNo> {
     let mut open: BTreeMap<ConnNo, Option<Micros>> = BTreeMap::new();
     for r in cx.ledger.clients.records().iter().take_while(|r| r.at <= at) {
@@ -109,6 +110,7 @@
 /// The node's process was killed or told to stop between two times, or was on its way out already.
 fn stops(cx: &Context<'_>, node: NodeNo, from: Micros, until: Micros) -> bool {
     let started = cx.process_start(node, from).unwrap_or(Micros::MIN);
-    let told = |e: &NodeEvent| matches!(e, NodeEvent::Signalled { node: n, signal: Signal::Term | Signal::Kill } if *n == node);
-    cx.ledger.nodes.records().iter().any(|r| (started..=until).contains(&r.at) && told(&r.event))
+    let stop = |e: &NodeEvent| matches!(e, NodeEvent::Signalled { node: n, signal: Signal::Term | Signal::Kill }
+        if *n == node);
+    cx.ledger.nodes.records().iter().any(|r| (started..=until).contains(&r.at) && stop(&r.event))
 }
--- a/crates/lab/src/check/mod.rs
+++ b/crates/lab/src/check/mod.rs
@@ -1,7 +1,9 @@
-//! The rules that a node must keep, checked over the ledgers of both ends after a run.
+//! The rules that a node must keep, checked after a run over the ledger, which clients and servers both
+//! write.
 //!
-//! One module a rule, with the rule in its words. A [`Violation`] names the rule, when and where it was broken, and
-//! tells the whole story of its request. [`lateness`] says whether the lab itself was too slow for the run to count.
+//! Each rule has a module whose documentation states it. A [`Violation`] names the rule, the time, the node
+//! and the server; [`Violation::report`] adds the recorded events of its request. [`lateness`] says whether
+//! the lab itself was too slow for the run to count.
 
 mod alive;
 mod attempts;
@@ -25,9 +27,9 @@
 pub use late_lab::{Lateness, lateness};
 
 #[cfg(test)]
-mod day;
+mod boundaries;
 #[cfg(test)]
-mod edges;
+mod sample_run;
 
 use crate::Micros;
 use crate::experiment::Experiment;
@@ -36,40 +38,40 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A rule.
+/// A rule that a node must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
     /// At most one final answer for each request.
     OneAnswer,
-    /// The answer in time.
+    /// Each request is answered within the client's timeout.
     InTime,
-    /// No connection ended with a taken request open.
+    /// The node closes no connection while a request that it has accepted is unanswered.
     Lost,
-    /// Nothing served that no server made for the request.
+    /// Every value or receipt served was produced by a server for that request.
     Genuine,
-    /// No effect repeated, no refusal where something may have run.
+    /// No effect is repeated, and no request is refused while one of its attempts may have run.
     Effects,
-    /// Not more attempts than allowed.
+    /// No more attempts for a request than the settings allow.
     Attempts,
-    /// Nothing new to a server that drains or has gone.
+    /// No new attempt is sent to a server that drains or was removed.
     Drains,
-    /// No cold server pushed over, by all nodes together.
+    /// All nodes together do not overload a server whose cache is cold.
     Cold,
-    /// Descriptors and memory within their limits.
+    /// Descriptors and memory stay within their limits.
     Limits,
-    /// No node ends by itself, and each comes up.
+    /// No node's process exits unless told to, and each becomes ready in time.
     Alive,
-    /// A close between requests takes none with it.
+    /// A close of an idle connection loses no request that was on its way to the node.
     Crossing,
-    /// Nothing sent on for a client that has left.
+    /// No attempt is sent for a client that has closed its connection.
     Left,
-    /// Operators' calls are answered, rightly and in time.
+    /// Operators' calls get the right answer in time.
     Management,
 }
 
 impl Rule {
-    /// All of them.
+    /// All rules.
     pub const ALL: [Rule; 13] = [
         Rule::OneAnswer,
         Rule::InTime,
@@ -86,7 +88,7 @@
         Rule::Management,
     ];
 
-    /// As results and reports name it.
+    /// The name that results and reports use.
     pub fn name(self) -> &'static str {
         match self {
             Rule::OneAnswer => "one-answer",
@@ -130,37 +132,38 @@
     }
 }
 
-/// A broken rule.
+/// One breach of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Violation {
-    /// Which.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// When (microseconds from the start of the load).
+    /// When it was broken (microseconds from the start of the load).
     pub at: Micros,
-    /// The request.
+    /// The request that the breach concerns, if it concerns one.
     pub req: Option<ReqId>,
-    /// The node.
+    /// The node that broke the rule, if known.
     pub node: Option<NodeNo>,
-    /// The server.
+    /// The server that was affected, if any.
     pub server: Option<ServerNo>,
-    /// How, in a line.
+    /// What happened, in one line.
     pub text: String,
 }
 
 impl Violation {
-    /// A paragraph: the rule, what happened, and the story of the request.
-    pub fn tell(&self, index: &Index<'_>) -> String {
+    /// The rule, what happened, and the recorded events of the request, as several lines of text.
+    pub fn report(&self, index: &Index<'_>) -> String {
         let head = format!("rule {} broken at {:.3} s: {}\n", self.rule, self.at as f64 / 1e6, self.text);
         self.req.map_or(head.clone(), |req| head + &story(index, req))
     }
 }
 
-/// All violations, in order of time. The ledger must be sorted.
+/// All violations, ordered by time. The ledger must be sorted.
 pub fn check(index: &Index<'_>, experiment: &Experiment) -> Vec<Violation> {
     check_rules(index, experiment, &Rule::ALL)
 }
 
-/// Violations of some rules only. For the simple policies, which answer for no rule but what they serve.
+/// Violations of the given rules only. The simple policies that are run for comparison are not held to every
+/// rule.
 pub fn check_rules(index: &Index<'_>, experiment: &Experiment, rules: &[Rule]) -> Vec<Violation> {
     let cx = Context::new(index, experiment);
     let mut out = Vec::new();
@@ -171,7 +174,7 @@
     out
 }
 
-/// A ledger that is sorted first: for callers that hold no index.
+/// Sorts the ledger and returns all violations in it, for callers that hold no index.
 pub fn check_ledger(ledger: &mut Ledger, experiment: &Experiment) -> Vec<Violation> {
     ledger.sort();
     check(&Index::of(ledger), experiment)
--- a/crates/lab/src/check/one_answer.rs
+++ b/crates/lab/src/check/one_answer.rs
@@ -1,5 +1,6 @@
-//! **One answer.** A request gets at most one final answer, and nothing comes on a connection on which nothing is
-//! waited for. Answers to what the client has stopped waiting for do not count: the node cannot know.
+//! **One answer.** A request gets at most one final answer, and nothing comes on a connection on which
+//! nothing is waited for. Answers to what the client has stopped waiting for do not count: the node cannot
+//! know.
 
 use super::context::Context;
 use super::{Rule, Violation};
@@ -10,7 +11,7 @@
     for t in cx.tries() {
         let answers = cx.index.client(t.id).filter(|r| matches!(r.event, ClientEvent::Answered { .. }));
         for (number, second) in answers.enumerate().skip(1) {
-            out.push(cx.broken(Rule::OneAnswer, second.at, t, format!("answer number {}", number + 1)));
+            out.push(cx.violation(Rule::OneAnswer, second.at, t, format!("answer number {}", number + 1)));
         }
     }
     let mut bad = FxHashSet::default();
--- a/crates/lab/src/check/day.rs
+++ b/crates/lab/src/check/sample_run.rs
@@ -1,4 +1,5 @@
-//! A day of a small node, as both ends would write it down: honest, or wrong in just one way. Checks are tested on it.
+//! A generated ledger of a run with three nodes, either without violations or with exactly one defect, on
+//! which the checks are tested.
 
 use super::{Rule, Violation, check_ledger};
 use crate::Micros;
@@ -12,69 +13,69 @@
 pub(super) const MS: Micros = 1000;
 pub(super) const S: Micros = 1_000_000;
 
-/// In which way the node is wrong.
+/// What the nodes of the run do wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Wrong {
-    Nothing,
+enum Defect {
+    NoDefect,
     AnswersTwice,
     AnswersLate,
-    AnswersBehindTooLate,
-    SaysNothing,
+    AnswersLateBehindAnother,
+    NeverAnswers,
     LosesRequest,
-    LosesAtStop,
-    ServesAnothersBytes,
-    ServesFromNowhere,
-    ServesBeforeMade,
-    PassesOnSpoilt,
-    GarblesBytes,
+    LosesRequestAtStop,
+    ServesValueOfOtherRequest,
+    ServesUnknownValue,
+    ServesBeforeProduced,
+    ServesCorruptResponse,
+    CorruptsBytes,
     ServesBadClient,
-    ServesStolenId,
-    RepeatsBooking,
+    ServesBorrowedId,
+    RepeatsUnsafeWrite,
     RefusesAfterRun,
     RepeatsPastWindow,
-    TriesTooOften,
+    TooManyAttempts,
     SendsToDraining,
-    SendsToGoneUntold,
-    SendsToGoneUntoldAfterHold,
-    FloodsCold,
-    HoldsDescriptors,
-    HoldsMemory,
+    SendsToRemovedUnnotified,
+    SendsToRemovedUnnotifiedAfterHold,
+    OverloadsColdServer,
+    ExceedsDescriptors,
+    ExceedsMemory,
     Crashes,
     CrashesOnHup,
     NeverReady,
-    ClosesOnTaken,
+    ClosesOnAcceptedRequest,
     ClosesTwice,
-    SendsOnForOneWhoLeft,
-    TriesAgainForOneWhoLeft,
+    SendsForDepartedClient,
+    RetriesForDepartedClient,
 }
 
-pub(super) struct Day {
-    wrong: Wrong,
+pub(super) struct SampleRun {
+    defect: Defect,
     pub(super) ledger: Ledger,
     conn: u32,
     req: u64,
 }
 
-/// The world that the day is of.
+/// The experiment that the run belongs to.
 pub(super) const TEXT: &str = "question = 'q'\nduration_s = 20\n[[class]]\nname = 'read'\naim_ms = 100\ndeadline_ms = 400\n\
     [[class]]\nname = 'put'\nwrite = true\neffect = 'keyed'\nwindow_s = 2\n\
     [[class]]\nname = 'pay'\nwrite = true\neffect = 'unsafe'\n[[load]]\nrate = { steady = { per_s = 100 } }\n";
 
 pub(super) fn experiment() -> Experiment {
-    ExperimentFile::parse("day", TEXT).unwrap().experiment
+    ExperimentFile::parse("run", TEXT).unwrap().experiment
 }
 
-impl Day {
-    /// A day on which nothing is wrong.
-    pub(super) fn honest_day() -> Day {
-        Day::of(Wrong::Nothing)
+impl SampleRun {
+    /// A run that breaks no rule.
+    pub(super) fn without_defect() -> SampleRun {
+        SampleRun::new(Defect::NoDefect)
     }
 
-    fn play(wrong: Wrong) -> (Ledger, Experiment) {
-        (Day::of(wrong).ledger, experiment())
+    fn ledger_with(defect: Defect) -> (Ledger, Experiment) {
+        (SampleRun::new(defect).ledger, experiment())
     }
 
-    fn of(wrong: Wrong) -> Day {
+    fn new(defect: Defect) -> SampleRun {
         let server = |n: u16| ServerInfo {
             name: if n == ORIGIN { "origin".into() } else { format!("s{n}") },
             kind: "cache".into(),
@@ -88,30 +89,33 @@
             classes: vec!["read".into(), "put".into(), "pay".into()],
             ..Names::default()
         };
-        let mut day = Day { wrong, ledger: Ledger { names, ..Ledger::default() }, conn: 0, req: 0 };
-        day.fleet();
-        day.nodes();
+        let mut run = SampleRun { defect, ledger: Ledger { names, ..Ledger::default() }, conn: 0, req: 0 };
+        run.record_servers();
+        run.record_nodes();
         for n in 0..2000 {
-            day.request(n, n as Micros * 10 * MS);
+            run.record_request(n, n as Micros * 10 * MS);
         }
-        day
+        run
     }
 
-    /// A server drains and goes, another starts cold.
-    fn fleet(&mut self) {
+    /// One server drains and is removed; another starts with a cold cache.
+    fn record_servers(&mut self) {
         use Listed::*;
         let (drained, cold) = (ServerNo(DRAINED), ServerNo(COLD));
-        let told = [(drained, Draining, 4), (cold, Up, 6), (drained, Removed, 8)];
-        let says_nothing = matches!(self.wrong, Wrong::SendsToGoneUntold | Wrong::SendsToGoneUntoldAfterHold);
-        if self.wrong == Wrong::SendsToGoneUntoldAfterHold {
+        let changes = [(drained, Draining, 4), (cold, Up, 6), (drained, Removed, 8)];
+        let never_notified = matches!(
+            self.defect,
+            Defect::SendsToRemovedUnnotified | Defect::SendsToRemovedUnnotifiedAfterHold
+        );
+        if self.defect == Defect::SendsToRemovedUnnotifiedAfterHold {
             self.ledger.discovery.push(4 * S, DiscoveryEvent::Called { node: NodeNo(0), hold_ms: 10_000 });
-            // Before that, it may.
+            // While the call is held open, the node is not yet expected to know, and may send.
             self.read(15 * S - 100 * MS, 0, DRAINED, 4000);
         }
-        for (rev, (server, state, at)) in (1..).zip(told) {
+        for (rev, (server, state, at)) in (1..).zip(changes) {
             let at = at * S + S / 2;
             self.ledger.discovery.push(at, DiscoveryEvent::Changed { server, state, rev });
-            for node in (0..3).filter(|_| !(says_nothing && server == drained)) {
+            for node in (0..3).filter(|_| !(never_notified && server == drained)) {
                 let at = at + (1 + Micros::from(node)) * 100 * MS;
                 self.ledger
                     .discovery
@@ -132,18 +136,19 @@
         self.ledger.servers.push(at, ServerEvent::State { server, state });
     }
 
-    /// Node 2 is killed at 10 s and back at 11 s; node 1 is told to read its file at 12 s, and to stop at 15 s.
-    fn nodes(&mut self) {
+    /// Node 2 is killed at 10 s and started again at 11 s; node 1 gets SIGHUP at 12 s and SIGTERM at 15 s.
+    fn record_nodes(&mut self) {
         let nodes = &mut self.ledger.nodes;
         for n in 0..3 {
             let node = NodeNo(n);
             nodes.push(-2 * S, NodeEvent::Started { node, pid: 100 });
-            if !(self.wrong == Wrong::NeverReady && n == 0) {
+            if !(self.defect == Defect::NeverReady && n == 0) {
                 nodes.push(-S, NodeEvent::Ready { node });
             }
             for s in 0..20 {
-                let fds = if self.wrong == Wrong::HoldsDescriptors && s > 10 { 1500 } else { 200 };
-                let rss_kib = if self.wrong == Wrong::HoldsMemory && s > 10 { 200 * 1024 } else { 40 * 1024 };
+                let fds = if self.defect == Defect::ExceedsDescriptors && s > 10 { 1500 } else { 200 };
+                let rss_kib =
+                    if self.defect == Defect::ExceedsMemory && s > 10 { 200 * 1024 } else { 40 * 1024 };
                 nodes.push(s * S, NodeEvent::Sampled { node, cpu_us: s as u64 * 50_000, rss_kib, fds });
             }
         }
@@ -153,12 +158,12 @@
         nodes.push(11 * S, NodeEvent::Started { node: n2, pid: 101 });
         nodes.push(11 * S + 200 * MS, NodeEvent::Ready { node: n2 });
         nodes.push(12 * S, NodeEvent::Signalled { node: n1, signal: Signal::Hup });
-        if self.wrong == Wrong::CrashesOnHup {
+        if self.defect == Defect::CrashesOnHup {
             nodes.push(12 * S + 10 * MS, NodeEvent::Ended { node: n1, status: Some(101) });
             nodes.push(12 * S + 20 * MS, NodeEvent::Started { node: n1, pid: 102 });
             nodes.push(12 * S + 30 * MS, NodeEvent::Ready { node: n1 });
         }
-        if self.wrong == Wrong::Crashes {
+        if self.defect == Defect::Crashes {
             nodes.push(19 * S + 900 * MS, NodeEvent::Ended { node: n0, status: Some(101) });
         }
         nodes.push(15 * S, NodeEvent::Signalled { node: n1, signal: Signal::Term });
@@ -167,31 +172,35 @@
         nodes.push(16 * S + 300 * MS, NodeEvent::Ready { node: n1 });
     }
 
-    /// The n-th request of the day. Most are reads that hit; some take the other ways there are.
-    fn request(&mut self, n: usize, at: Micros) {
+    /// The n-th request of the run. Most are cache hits; the others cover the remaining outcomes.
+    fn record_request(&mut self, n: usize, at: Micros) {
         let node = n as u16 % 3;
         let cold_known = (7 * S..18 * S).contains(&at);
         let home = if cold_known && n.is_multiple_of(5) { COLD } else { (n % 2) as u16 };
-        // Wrong once, in the middle of the day.
-        let wrong = if n == 1300 { self.wrong } else { Wrong::Nothing };
-        if self.wrong == Wrong::FloodsCold && (7 * S..9 * S).contains(&at) {
+        // The defect shows once, in the middle of the run.
+        let defect = if n == 1300 { self.defect } else { Defect::NoDefect };
+        if self.defect == Defect::OverloadsColdServer && (7 * S..9 * S).contains(&at) {
             for _ in 0..10 {
                 self.read(at, node, COLD, 6000);
             }
         }
-        match wrong {
-            Wrong::Nothing => self.honest(n, at, node, home),
-            Wrong::FloodsCold | Wrong::HoldsDescriptors | Wrong::HoldsMemory | Wrong::Crashes => {}
-            Wrong::CrashesOnHup | Wrong::NeverReady => {}
-            Wrong::AnswersTwice => {
+        match defect {
+            Defect::NoDefect => self.correct_request(n, at, node, home),
+            Defect::OverloadsColdServer
+            | Defect::ExceedsDescriptors
+            | Defect::ExceedsMemory
+            | Defect::Crashes => {}
+            Defect::CrashesOnHup | Defect::NeverReady => {}
+            Defect::AnswersTwice => {
                 let (req, conn, digest) = self.read(at, node, home, 4000);
                 self.answered(req, conn, at + 30 * MS, Answer::Value, digest);
             }
-            Wrong::AnswersLate | Wrong::AnswersBehindTooLate => {
+            Defect::AnswersLate | Defect::AnswersLateBehindAnother => {
                 let (req, conn) = self.sent(at, node, 0);
-                let before = wrong == Wrong::AnswersBehindTooLate;
+                let before = defect == Defect::AnswersLateBehindAnother;
                 if before {
-                    // An answer to an earlier request on the connection came at 450 ms; this one had 70 ms from there.
+                    // The answer to an earlier request on the connection ended at 450 ms; this one was due 70
+                    // ms after that.
                     let earlier = ReqId(self.req - 1);
                     self.ledger.clients.push(at - MS, ClientEvent::Sent { req: earlier, conn });
                     self.ledger.clients.push(at + 450 * MS, ClientEvent::Broken { req: earlier, conn });
@@ -201,35 +210,35 @@
                 self.answered(req, conn, at + late * MS, Answer::Value, digest);
                 self.closed(conn, at + 600 * MS, Closer::Us);
             }
-            Wrong::SaysNothing => {
+            Defect::NeverAnswers => {
                 let (req, conn) = self.sent(at, node, 0);
                 self.ledger.clients.push(at + 400 * MS, ClientEvent::GivenUp { req, early: false });
                 self.closed(conn, at + 600 * MS, Closer::Us);
             }
-            Wrong::LosesRequest => {
+            Defect::LosesRequest => {
                 let (req, conn) = self.sent(at, node, 0);
                 self.attempt(req, node, home, at + MS, 4000, None);
                 self.closed(conn, at + 50 * MS, Closer::Them);
             }
-            Wrong::LosesAtStop => {
+            Defect::LosesRequestAtStop => {
                 let (req, conn) = self.sent(16 * S - 20 * MS, 1, 0);
                 self.attempt(req, 1, home, 16 * S - 19 * MS, 4000, None);
                 self.closed(conn, 16 * S, Closer::Reset);
             }
-            Wrong::ServesAnothersBytes => {
+            Defect::ServesValueOfOtherRequest => {
                 let (_, _, other) = self.read(at - MS, node, home, 4000);
                 self.served(at, node, home, |_, digest| (other, digest, 5));
             }
-            Wrong::ServesFromNowhere => self.served(at, node, home, |_, digest| (digest ^ 1, digest, 5)),
-            Wrong::ServesBeforeMade => self.served(at, node, home, |_, digest| (digest, digest, 1)),
-            Wrong::PassesOnSpoilt => {
+            Defect::ServesUnknownValue => self.served(at, node, home, |_, digest| (digest ^ 1, digest, 5)),
+            Defect::ServesBeforeProduced => self.served(at, node, home, |_, digest| (digest, digest, 1)),
+            Defect::ServesCorruptResponse => {
                 let (req, conn) = self.sent(at, node, 0);
                 let (_, digest) = self.attempt(req, node, home, at + MS, 4000, None);
                 self.server_answers(req, home, at + 5 * MS, Answer::Value, true);
                 self.answered(req, conn, at + 6 * MS, Answer::Value, digest);
                 self.closed(conn, at + 10 * MS, Closer::Us);
             }
-            Wrong::GarblesBytes => {
+            Defect::CorruptsBytes => {
                 let (req, conn) = self.sent(at, node, 0);
                 let (_, digest) = self.attempt(req, node, home, at + MS, 4000, Some(Answer::Value));
                 let answer = Answer::Value;
@@ -237,18 +246,18 @@
                 self.ledger.clients.push(at + 10 * MS, event);
                 self.closed(conn, at + 11 * MS, Closer::Us);
             }
-            Wrong::ServesBadClient => self.bad_client(at, node, ReqId::NONE, true),
-            Wrong::ServesStolenId => {
+            Defect::ServesBadClient => self.bad_client(at, node, ReqId::NONE, true),
+            Defect::ServesBorrowedId => {
                 let (req, conn) = self.sent(at, node, 0);
                 self.bad_client(at + MS, node, req, true);
                 let (_, digest) = self.attempt(req, node, home, at + MS, 4000, Some(Answer::Value));
                 self.answered(req, conn, at + 100 * MS, Answer::Value, digest);
                 self.closed(conn, at + 110 * MS, Closer::Us);
             }
-            Wrong::RepeatsBooking | Wrong::RefusesAfterRun => {
+            Defect::RepeatsUnsafeWrite | Defect::RefusesAfterRun => {
                 let (req, conn) = self.sent(at, node, 2);
                 self.attempt(req, node, ORIGIN, at + MS, 4000, None);
-                if wrong == Wrong::RepeatsBooking {
+                if defect == Defect::RepeatsUnsafeWrite {
                     let (_, digest) =
                         self.attempt(req, node, ORIGIN, at + 40 * MS, 4000, Some(Answer::Receipt));
                     self.answered(req, conn, at + 60 * MS, Answer::Receipt, digest);
@@ -257,25 +266,26 @@
                 }
                 self.closed(conn, at + 70 * MS, Closer::Us);
             }
-            Wrong::RepeatsPastWindow => {
+            Defect::RepeatsPastWindow => {
                 let (req, conn) = self.sent(at, node, 1);
                 self.attempt(req, node, ORIGIN, at + MS, 4000, None);
                 self.attempt(req, node, ORIGIN, at + 2100 * MS, 4000, Some(Answer::Receipt));
-                // It waits no longer, and keeps its connection.
+                // The client stops waiting and keeps its connection.
                 self.ledger.clients.push(at + 100 * MS, ClientEvent::GivenUp { req, early: true });
                 self.closed(conn, at + 2500 * MS, Closer::Us);
             }
-            // The client leaves after 20 ms; 0.3 s are allowed at the most, and what sockets add.
-            Wrong::SendsOnForOneWhoLeft | Wrong::TriesAgainForOneWhoLeft => {
+            // The client closes its connection after 20 ms; the node may send for at most 0.3 s after that,
+            // plus the slack for sockets.
+            Defect::SendsForDepartedClient | Defect::RetriesForDepartedClient => {
                 let (req, conn) = self.sent(at, node, 0);
-                if wrong == Wrong::TriesAgainForOneWhoLeft {
+                if defect == Defect::RetriesForDepartedClient {
                     self.attempt(req, node, home, at + MS, 4000, None);
                 }
                 self.ledger.clients.push(at + 20 * MS, ClientEvent::GivenUp { req, early: true });
                 self.closed(conn, at + 20 * MS, Closer::Us);
                 self.attempt(req, node, 1, at + 380 * MS, 4000, Some(Answer::Value));
             }
-            Wrong::TriesTooOften => {
+            Defect::TooManyAttempts => {
                 let (req, conn) = self.sent(at, node, 0);
                 for (nth, server) in [0, 1, 0, 1].into_iter().enumerate() {
                     self.attempt(
@@ -290,26 +300,27 @@
                 self.answered(req, conn, at + 50 * MS, Answer::Busy, 0);
                 self.closed(conn, at + 60 * MS, Closer::Us);
             }
-            // Told at 4.6 to 4.8 s; 0.55 s are allowed. Counted as told at 10.5 s where nothing was said.
-            Wrong::SendsToDraining => drop(self.read(4 * S + 1500 * MS, 0, DRAINED, 4000)),
-            Wrong::SendsToGoneUntold => drop(self.read(11 * S + 100 * MS, 0, DRAINED, 4000)),
-            // Its call is open until 14 s, and it counts as told at 16 s.
-            Wrong::SendsToGoneUntoldAfterHold => drop(self.read(16 * S + 600 * MS, 0, DRAINED, 4000)),
-            Wrong::ClosesOnTaken | Wrong::ClosesTwice => {
+            // The nodes are notified from 4.6 to 4.8 s and may send for 0.55 s after that. A node that gets
+            // no notification is expected to know at 10.5 s.
+            Defect::SendsToDraining => drop(self.read(4 * S + 1500 * MS, 0, DRAINED, 4000)),
+            Defect::SendsToRemovedUnnotified => drop(self.read(11 * S + 100 * MS, 0, DRAINED, 4000)),
+            // The node's call is held open until 14 s, and the node is expected to know at 16 s.
+            Defect::SendsToRemovedUnnotifiedAfterHold => drop(self.read(16 * S + 600 * MS, 0, DRAINED, 4000)),
+            Defect::ClosesOnAcceptedRequest | Defect::ClosesTwice => {
                 self.crossed(
                     at,
                     node,
                     home,
-                    wrong == Wrong::ClosesOnTaken,
-                    1 + usize::from(wrong == Wrong::ClosesTwice),
+                    defect == Defect::ClosesOnAcceptedRequest,
+                    1 + usize::from(defect == Defect::ClosesTwice),
                 );
             }
         }
     }
 
-    fn honest(&mut self, n: usize, at: Micros, node: u16, home: u16) {
+    fn correct_request(&mut self, n: usize, at: Micros, node: u16, home: u16) {
         match n % 50 {
-            // Reads that miss, and go to the origin.
+            // Cache misses that go to the origin.
             1 | 11 => {
                 let (req, conn) = self.sent(at, node, 0);
                 self.attempt(req, node, home, at + MS, 4000, Some(Answer::Miss));
@@ -317,7 +328,8 @@
                 self.answered(req, conn, at + 40 * MS, Answer::Value, digest);
                 self.closed(conn, at + 50 * MS, Closer::Us);
             }
-            // A write that may have run and is repeated in its window; a booking that was turned away and then taken.
+            // A keyed write that may have run and is repeated within its window; an unsafe write that was
+            // refused and then accepted.
             2 | 12 => {
                 let class = if n % 50 == 2 { 1 } else { 2 };
                 let (req, conn) = self.sent(at, node, class);
@@ -327,7 +339,8 @@
                 self.answered(req, conn, at + 60 * MS, Answer::Receipt, digest);
                 self.closed(conn, at + 70 * MS, Closer::Us);
             }
-            // Refused, by the node's own words and by a server's; a booking too, where nothing can have run.
+            // A read that the node itself refuses, and an unsafe write that a server refused, so that it
+            // cannot have run.
             3 | 13 => {
                 let (req, conn) = self.sent(at, node, if n % 50 == 3 { 0 } else { 2 });
                 if n % 50 == 13 {
@@ -336,14 +349,16 @@
                 self.answered(req, conn, at + 12 * MS, Answer::Busy, 0);
                 self.closed(conn, at + 20 * MS, Closer::Us);
             }
-            // A booking that may have run, failed at its last moment; nothing comes from its server in time.
+            // An unsafe write that may have run: its server does not answer, and the node fails it at the
+            // last moment.
             4 => {
                 let (req, conn) = self.sent(at, node, 2);
                 self.attempt(req, node, ORIGIN, at + MS, 4000, None);
                 self.answered(req, conn, at + 460 * MS, Answer::Failed, 0);
                 self.closed(conn, at + 470 * MS, Closer::Us);
             }
-            // The client leaves; the answer comes after. A request that waited is sent on before that is seen.
+            // The client closes its connection before the answer. In the second case the request waited in
+            // the node, which sends it before it has seen the close.
             5 | 16 => {
                 let (req, conn) = self.sent(at, node, 0);
                 let after = if n % 50 == 5 { MS } else { 160 * MS };
@@ -351,7 +366,7 @@
                 self.ledger.clients.push(at + 20 * MS, ClientEvent::GivenUp { req, early: true });
                 self.closed(conn, at + 20 * MS, Closer::Us);
             }
-            // An answer that breaks off in a way that the client can tell.
+            // An answer that breaks off, which the client detects.
             6 => {
                 let (req, conn) = self.sent(at, node, 0);
                 self.attempt(req, node, home, at + MS, 4000, None);
@@ -359,7 +374,7 @@
                 self.closed(conn, at + 20 * MS, Closer::Them);
             }
             7 => self.crossed(at, node, home, false, 1),
-            // A quick answer behind a slow one, which holds it back past its own time.
+            // A fast answer that has to wait for a slow one ahead of it until its own time limit is over.
             8 => {
                 let (slow, conn) = self.sent(at, node, 0);
                 let quick = self.try_due(at + 300 * MS, node, 0);
@@ -369,7 +384,8 @@
                 self.answered(quick, conn, at + 520 * MS, Answer::Value, digest);
                 self.closed(conn, at + 600 * MS, Closer::Us);
             }
-            // The first on a connection that the node closes with nothing sent on; and one as node 2 is killed.
+            // The first request on a connection that the node closes without an attempt; and a request that
+            // is open when node 2 is killed.
             9 => {
                 let (_, conn) = self.sent(at, node, 0);
                 self.closed(conn, at + 20 * MS, Closer::Them);
@@ -377,13 +393,13 @@
                 self.attempt(req, 2, 0, 10 * S - 4 * MS, 4000, None);
                 self.closed(conn, 10 * S + MS, Closer::Reset);
             }
-            // Bad clients get errors; one that uses the id of a request that is over is a client like any other.
+            // Misbehaving clients get errors; one that uses the id of a finished request may be served.
             14 => self.bad_client(at, node, ReqId::NONE, false),
             15 => {
                 let (over, ..) = self.read(at, node, home, 4000);
                 self.bad_client(at + 50 * MS, node, over, true);
             }
-            // In its grace, a node still sends to what drains.
+            // Within the grace period a node may still send to a draining server.
             10 => drop(self.read(4 * S + 1100 * MS, 0, DRAINED, 4000)),
             _ => drop(self.read(at, node, home, 4000)),
         }
@@ -423,7 +439,8 @@
         conn
     }
 
-    /// A bad client, with what may be another's id; served, or given an error and more bytes behind it.
+    /// A misbehaving client, which may use another request's id. It is served, or gets an error and more
+    /// bytes after it.
     fn bad_client(&mut self, at: Micros, node: u16, borrowed: ReqId, served: bool) {
         self.conn += 1;
         let conn = ConnNo(self.conn);
@@ -448,7 +465,7 @@
         self.ledger.clients.push(at, event);
     }
 
-    /// A whole attempt on a connection of its own, and the digest of its answer.
+    /// A complete attempt on a connection of its own. Returns the connection and the digest of the answer.
     pub(super) fn attempt(
         &mut self,
         req: ReqId,
@@ -472,7 +489,7 @@
         (conn, digest_of(req, server))
     }
 
-    /// A whole attempt without an answer, whose connection the node closes then.
+    /// A complete attempt without an answer, whose connection the node closes at `closed`.
     pub(super) fn unanswered(&mut self, req: ReqId, node: u16, server: u16, at: Micros, closed: Micros) {
         self.conn += 1;
         let (server, conn) = (ServerNo(server), ConnNo(self.conn));
@@ -483,7 +500,7 @@
         servers.push(closed, ServerEvent::Closed { server, conn, by: Closer::Them });
     }
 
-    /// On the connection of the last attempt.
+    /// The server answers on the connection of the last attempt.
     pub(super) fn server_answers(
         &mut self,
         req: ReqId,
@@ -500,7 +517,7 @@
         }
     }
 
-    /// A read that hits.
+    /// A cache hit. Returns the request, its connection and the digest of the value.
     pub(super) fn read(&mut self, at: Micros, node: u16, server: u16, work_us: u32) -> (ReqId, ConnNo, u64) {
         let (req, conn) = self.sent(at, node, 0);
         let (_, digest) = self.attempt(req, node, server, at + MS, work_us, Some(Answer::Value));
@@ -509,7 +526,7 @@
         (req, conn, digest)
     }
 
-    /// A read that hits, served with another digest or at another moment.
+    /// A cache hit that is served with the digest and the delay (ms) that `with` returns.
     fn served(&mut self, at: Micros, node: u16, home: u16, with: impl Fn(ReqId, u64) -> (u64, u64, Micros)) {
         let (req, conn) = self.sent(at, node, 0);
         let (_, made) = self.attempt(req, node, home, at + MS, 4000, Some(Answer::Value));
@@ -518,12 +535,13 @@
         self.closed(conn, at + 40 * MS, Closer::Us);
     }
 
-    /// A close between requests crosses a request `times` times; `taken`: it had been sent on.
-    fn crossed(&mut self, at: Micros, node: u16, home: u16, taken: bool, times: usize) {
+    /// The node closes an idle connection as a request is on its way to it, `times` times. With `accepted`,
+    /// the node had sent an attempt for that request before.
+    fn crossed(&mut self, at: Micros, node: u16, home: u16, accepted: bool, times: usize) {
         let (req, mut conn) = self.sent(at, node, 0);
         let mut now = at;
         for _ in 0..times {
-            if taken {
+            if accepted {
                 self.attempt(req, node, home, now + MS, 4000, None);
             }
             now += 5 * MS;
@@ -548,57 +566,59 @@
 }
 
 #[test]
-fn each_wrong_node_breaks_just_its_rule_and_an_honest_one_none() {
-    use Wrong::*;
+fn each_defect_breaks_only_its_own_rule_and_a_correct_run_none() {
+    use Defect::*;
     let cases = [
         (AnswersTwice, Rule::OneAnswer),
         (AnswersLate, Rule::InTime),
-        (AnswersBehindTooLate, Rule::InTime),
-        (SaysNothing, Rule::InTime),
+        (AnswersLateBehindAnother, Rule::InTime),
+        (NeverAnswers, Rule::InTime),
         (LosesRequest, Rule::Lost),
-        (LosesAtStop, Rule::Lost),
-        (ServesAnothersBytes, Rule::Genuine),
-        (ServesFromNowhere, Rule::Genuine),
-        (ServesBeforeMade, Rule::Genuine),
-        (PassesOnSpoilt, Rule::Genuine),
-        (GarblesBytes, Rule::Genuine),
+        (LosesRequestAtStop, Rule::Lost),
+        (ServesValueOfOtherRequest, Rule::Genuine),
+        (ServesUnknownValue, Rule::Genuine),
+        (ServesBeforeProduced, Rule::Genuine),
+        (ServesCorruptResponse, Rule::Genuine),
+        (CorruptsBytes, Rule::Genuine),
         (ServesBadClient, Rule::Genuine),
-        (ServesStolenId, Rule::Genuine),
-        (RepeatsBooking, Rule::Effects),
+        (ServesBorrowedId, Rule::Genuine),
+        (RepeatsUnsafeWrite, Rule::Effects),
         (RefusesAfterRun, Rule::Effects),
         (RepeatsPastWindow, Rule::Effects),
-        (TriesTooOften, Rule::Attempts),
+        (TooManyAttempts, Rule::Attempts),
         (SendsToDraining, Rule::Drains),
-        (SendsToGoneUntold, Rule::Drains),
-        (SendsToGoneUntoldAfterHold, Rule::Drains),
-        (FloodsCold, Rule::Cold),
-        (HoldsDescriptors, Rule::Limits),
-        (HoldsMemory, Rule::Limits),
+        (SendsToRemovedUnnotified, Rule::Drains),
+        (SendsToRemovedUnnotifiedAfterHold, Rule::Drains),
+        (OverloadsColdServer, Rule::Cold),
+        (ExceedsDescriptors, Rule::Limits),
+        (ExceedsMemory, Rule::Limits),
         (Crashes, Rule::Alive),
         (CrashesOnHup, Rule::Alive),
         (NeverReady, Rule::Alive),
-        (ClosesOnTaken, Rule::Crossing),
+        (ClosesOnAcceptedRequest, Rule::Crossing),
         (ClosesTwice, Rule::Crossing),
-        (SendsOnForOneWhoLeft, Rule::Left),
-        (TriesAgainForOneWhoLeft, Rule::Left),
+        (SendsForDepartedClient, Rule::Left),
+        (RetriesForDepartedClient, Rule::Left),
     ];
-    let mut wrong = Vec::new();
-    for (how, rule) in [(Nothing, None)].into_iter().chain(cases.map(|(how, rule)| (how, Some(rule)))) {
-        let (mut ledger, e) = Day::play(how);
+    let mut failures = Vec::new();
+    for (defect, rule) in
+        [(NoDefect, None)].into_iter().chain(cases.map(|(defect, rule)| (defect, Some(rule))))
+    {
+        let (mut ledger, e) = SampleRun::ledger_with(defect);
         let found = check_ledger(&mut ledger, &e);
         if rules(&found) != rule.into_iter().collect() {
-            let first = found.first().map(|v| v.tell(&Index::of(&ledger))).unwrap_or_default();
-            wrong.push(format!("{how:?}: wanted {rule:?}, found {:?}\n{first}", rules(&found)));
+            let first = found.first().map(|v| v.report(&Index::of(&ledger))).unwrap_or_default();
+            failures.push(format!("{defect:?}: expected {rule:?}, found {:?}\n{first}", rules(&found)));
         }
     }
-    assert!(wrong.is_empty(), "\n{}", wrong.join("\n"));
+    assert!(failures.is_empty(), "\n{}", failures.join("\n"));
 }
 
 #[test]
-fn a_story_has_both_ends_in_order() {
-    let (mut ledger, e) = Day::play(Wrong::RepeatsBooking);
+fn a_report_lists_client_and_server_events_in_order() {
+    let (mut ledger, e) = SampleRun::ledger_with(Defect::RepeatsUnsafeWrite);
     let found = check_ledger(&mut ledger, &e);
-    let text = found.first().map(|v| v.tell(&Index::of(&ledger))).unwrap_or_default();
+    let text = found.first().map(|v| v.report(&Index::of(&ledger))).unwrap_or_default();
     let parts = [
         "rule effects broken at 13.040 s",
         "class pay",
@@ -617,8 +637,8 @@
 }
 
 #[test]
-fn a_ledger_comes_back_from_json_lines() {
-    let (ledger, _) = Day::play(Wrong::Nothing);
+fn a_ledger_survives_a_round_trip_through_json_lines() {
+    let (ledger, _) = SampleRun::ledger_with(Defect::NoDefect);
     let mut text = Vec::new();
     write_jsonl(&ledger, &mut text).unwrap();
     assert_eq!(read_jsonl(&text[..]).unwrap(), ledger);
--- a/crates/lab/src/sim/run.rs
+++ b/crates/lab/src/sim/run.rs
@@ -63,7 +63,7 @@
         let told = |v: &crate::check::Violation| Failure {
             rule: v.rule.name().to_owned(),
             at: v.at,
-            text: v.tell(&index),
+            text: v.report(&index),
         };
         failures.extend(found.iter().take(MOST).map(told));
         failures.extend(not_back(day, &played));
--- a/crates/lab/src/stats/result.rs
+++ b/crates/lab/src/stats/result.rs
@@ -151,7 +151,7 @@
             arm: *arm,
             figures: m.figures(),
             broken,
-            stories: found.iter().take(STORIES).map(|v| v.tell(index)).collect(),
+            stories: found.iter().take(STORIES).map(|v| v.report(index)).collect(),
             lateness,
             void,
             rows: m.rows(),
