--- a/crates/lab/src/check/cold.rs
+++ b/crates/lab/src/check/cold.rs
@@ -1,14 +1,16 @@
-//! **Cold servers.** A cold server that is sent more than a multiple of its present capacity for `fall_s`
-//! topples. So the work sent to it, by all nodes together, in any window of that length since its start must
-//! stay under
+//! **Cold servers.** A cold server that is sent more than a multiple of its present capacity for `fall_s` is
+//! overloaded and stops. So the work sent to it by all nodes together, in any window of that length since its
+//! start, must stay under
 //!
 //! `tip_multiple * (integral of its capacity over the window) * (1 + tip_slack) + largest single work`
 //!
-//! A window that the server's fall cuts short counts with the capacity until then. The two last terms are the
-//! slack for chance. All work that reaches the server counts, also what it rejects; work is that of the
-//! request on a standard core, with its share of the handshake. The rule is broken only if two thirds of that
-//! work came from nodes that knew of the start (were told, or count as told). A rule that only shows across
-//! nodes: each may have stayed far below.
+//! The last two parts are the slack for chance. A window that the server's overload cuts short counts with
+//! the capacity up to then. All work that reaches the server counts, also what it rejects; the work of a
+//! request is what it costs on a standard core, with its share of the handshake.
+//!
+//! The rule is broken only if two thirds of that work came from nodes that knew of the start: that discovery
+//! had notified, or that are expected to know by then. The rule can be broken by several nodes together while
+//! each of them stays far below the limit.
 
 use super::context::Context;
 use super::{Rule, Violation};
@@ -17,38 +19,42 @@
 use std::collections::BTreeMap;
 
 pub(super) fn check(cx: &Context<'_>, out: &mut Vec<Violation>) {
-    for spell in spells(cx) {
-        let known = known_from(cx, &spell);
-        if let Some(worst) = worst_window(cx, &spell, &known) {
+    for period in cold_periods(cx) {
+        let known = known_from(cx, &period);
+        if let Some(worst) = worst_window(cx, &period, &known) {
             out.push(worst);
         }
     }
 }
 
-/// From a cold start until the server is warm, gone, or must be warm.
-struct Spell {
+/// The time from a server's cold start until it is warm, has stopped, or must be warm.
+struct ColdPeriod {
     server: ServerNo,
     from: Micros,
     until: Micros,
-    /// It got warm, or must have; else it went before it was.
+    /// The server became warm, or must have by `until`; otherwise it stopped before that.
     warm: bool,
-    /// It toppled.
-    fell: bool,
-    /// Times and capacities from then on (work in microseconds a second), in order of time; the first at
-    /// `from`.
+    /// The server was overloaded and stopped.
+    overloaded: bool,
+    /// The server's capacity from `from` on, in microseconds of work per second, each with the time from
+    /// which it holds; ordered by time.
     capacity: Vec<(Micros, f64)>,
+    /// The requests that reached the server.
     arrivals: Vec<Arrival>,
 }
 
+/// A request that reached the server complete.
 #[derive(Clone, Copy)]
 struct Arrival {
     at: Micros,
+    /// Microseconds of work on a standard core.
     work: f64,
     node: Option<NodeNo>,
 }
 
-fn spells(cx: &Context<'_>) -> Vec<Spell> {
-    let mut open: BTreeMap<ServerNo, Spell> = BTreeMap::new();
+/// All cold starts in the run, each with the server's capacity and the work that reached it meanwhile.
+fn cold_periods(cx: &Context<'_>) -> Vec<ColdPeriod> {
+    let mut open: BTreeMap<ServerNo, ColdPeriod> = BTreeMap::new();
     let mut done = Vec::new();
     let longest = seconds(cx.rules.cold_s);
     for r in cx.ledger.servers.records() {
@@ -56,66 +62,72 @@
         match r.event {
             ServerEvent::State { state: ServerState::Cold, .. } => {
                 done.extend(open.remove(&server));
-                let spell = Spell {
+                let period = ColdPeriod {
                     server,
                     from: r.at,
                     until: r.at + longest,
                     warm: true,
-                    fell: false,
+                    overloaded: false,
                     capacity: vec![],
                     arrivals: vec![],
                 };
-                open.insert(server, spell);
+                open.insert(server, period);
             }
             ServerEvent::State {
                 state: ServerState::Warm | ServerState::Gone | ServerState::Fallen, ..
             } => {
-                if let Some(mut spell) = open.remove(&server) {
-                    spell.until = spell.until.min(r.at);
-                    spell.warm = matches!(r.event, ServerEvent::State { state: ServerState::Warm, .. });
-                    spell.fell = matches!(r.event, ServerEvent::State { state: ServerState::Fallen, .. });
-                    done.push(spell);
+                if let Some(mut period) = open.remove(&server) {
+                    period.until = period.until.min(r.at);
+                    period.warm = matches!(r.event, ServerEvent::State { state: ServerState::Warm, .. });
+                    period.overloaded =
+                        matches!(r.event, ServerEvent::State { state: ServerState::Fallen, .. });
+                    done.push(period);
                 }
             }
             _ => {}
         }
-        let Some(spell) = open.get_mut(&server).filter(|s| r.at <= s.until) else { continue };
+        let Some(period) = open.get_mut(&server).filter(|s| r.at <= s.until) else { continue };
         match r.event {
-            ServerEvent::Capacity { per_s, .. } => spell.capacity.push((r.at, f64::from(per_s))),
+            ServerEvent::Capacity { per_s, .. } => period.capacity.push((r.at, f64::from(per_s))),
             ServerEvent::LastByte { conn, work_us, .. } => {
                 let node = cx.index.server_conn(server, conn).map(|c| c.node);
-                spell.arrivals.push(Arrival { at: r.at, work: f64::from(work_us), node });
+                period.arrivals.push(Arrival { at: r.at, work: f64::from(work_us), node });
             }
             _ => {}
         }
     }
     done.extend(open.into_values());
-    for spell in &mut done {
-        let full = cx.ledger.names.servers.get(spell.server.index()).map_or(0.0, |s| s.capacity);
-        if spell.capacity.is_empty() {
-            // Never slower than evenly from the least share to the full.
-            spell.capacity = vec![(spell.from, full * cx.rules.start_capacity), (spell.from + longest, full)];
+    for period in &mut done {
+        let full = cx.ledger.names.servers.get(period.server.index()).map_or(0.0, |s| s.capacity);
+        if period.capacity.is_empty() {
+            // Without recorded capacities: at least a linear rise from the minimum share to the full
+            // capacity.
+            period.capacity =
+                vec![(period.from, full * cx.rules.start_capacity), (period.from + longest, full)];
         }
-        // Guards against a server that toppled being reckoned as warm from then on, which would hide why.
-        let last = spell.capacity.last().map_or(full, |last| last.1);
-        spell.capacity.push((spell.until, if spell.warm { full } else { last }));
+        // An overloaded server keeps its last capacity from here on. Counted as warm, it would have a limit
+        // so high that the overload would not show.
+        let last = period.capacity.last().map_or(full, |last| last.1);
+        period.capacity.push((period.until, if period.warm { full } else { last }));
     }
     done.sort_by_key(|s| (s.from, s.server));
     done
 }
 
-/// When each node knew of the start: told that the server is up since, or counted as told.
-fn known_from(cx: &Context<'_>, spell: &Spell) -> BTreeMap<NodeNo, Micros> {
+/// When each node knew of the start: when discovery notified it that the server is up, or when it is expected
+/// to know.
+fn known_from(cx: &Context<'_>, period: &ColdPeriod) -> BTreeMap<NodeNo, Micros> {
     let mut known = BTreeMap::new();
     let mut listed = None;
-    for r in cx.ledger.discovery.records().iter().filter(|r| r.at >= spell.from) {
+    for r in cx.ledger.discovery.records().iter().filter(|r| r.at >= period.from) {
         match r.event {
-            DiscoveryEvent::Changed { server, state: Listed::Up, .. } if server == spell.server => {
+            DiscoveryEvent::Changed { server, state: Listed::Up, .. } if server == period.server => {
                 listed = listed.or(Some(r.at));
             }
-            // Guards against news from before the start: discovery has to have listed it anew.
+            // A notification counts only once discovery lists the new start: before that it is about the
+            // previous one.
             DiscoveryEvent::Told { node, server, state: Listed::Up, .. }
-                if server == spell.server && listed.is_some() =>
+                if server == period.server && listed.is_some() =>
             {
                 known.entry(node).or_insert(r.at);
             }
@@ -123,60 +135,65 @@
         }
     }
     if let Some(listed) = listed {
-        let deemed = listed + seconds(cx.rules.told_within_s);
+        let expected = listed + seconds(cx.rules.told_within_s);
         for node in (0..cx.ledger.names.nodes.len()).filter_map(|n| u16::try_from(n).ok()) {
-            let at = known.entry(NodeNo(node)).or_insert(deemed);
-            *at = (*at).min(deemed);
+            let at = known.entry(NodeNo(node)).or_insert(expected);
+            *at = (*at).min(expected);
         }
     }
     known
 }
 
-fn worst_window(cx: &Context<'_>, spell: &Spell, known: &BTreeMap<NodeNo, Micros>) -> Option<Violation> {
+/// The window of `fall_s` that exceeds its limit by the largest factor, if one does.
+fn worst_window(
+    cx: &Context<'_>,
+    period: &ColdPeriod,
+    known: &BTreeMap<NodeNo, Micros>,
+) -> Option<Violation> {
     let length = seconds(cx.rules.fall_s);
-    let largest = spell.arrivals.iter().map(|a| a.work).fold(0.0, f64::max);
+    let largest = period.arrivals.iter().map(|a| a.work).fold(0.0, f64::max);
     let informed = |a: &Arrival| a.node.and_then(|n| known.get(&n)).is_some_and(|from| *from <= a.at);
     let (mut sum, mut by_informed, mut end) = (0.0, 0.0, 0);
     let mut worst: Option<(f64, Violation)> = None;
-    for (begin, first) in spell.arrivals.iter().enumerate() {
-        while let Some(next) = spell.arrivals.get(end).filter(|a| a.at < first.at + length) {
+    for (begin, first) in period.arrivals.iter().enumerate() {
+        while let Some(next) = period.arrivals.get(end).filter(|a| a.at < first.at + length) {
             sum += next.work;
             by_informed += if informed(next) { next.work } else { 0.0 };
             end += 1;
         }
-        let capacity = integral(&spell.capacity, first.at, first.at + length);
+        let capacity = integral(&period.capacity, first.at, first.at + length);
         let bound = cx.rules.tip_multiple * capacity * (1.0 + cx.rules.tip_slack) + largest;
-        let times = sum / bound;
-        if sum > bound && by_informed >= sum * 2.0 / 3.0 && worst.as_ref().is_none_or(|w| times > w.0) {
-            let window = spell.arrivals.get(begin..end).unwrap_or_default();
-            worst = Some((times, violation(cx, spell, window, sum, bound)));
+        let excess = sum / bound;
+        if sum > bound && by_informed >= sum * 2.0 / 3.0 && worst.as_ref().is_none_or(|w| excess > w.0) {
+            let window = period.arrivals.get(begin..end).unwrap_or_default();
+            worst = Some((excess, violation(cx, period, window, sum, bound)));
         }
         sum -= first.work;
         by_informed -= if informed(first) { first.work } else { 0.0 };
     }
-    worst.map(|w| w.1).or_else(|| cut_short(cx, spell, length, largest, informed))
+    worst.map(|w| w.1).or_else(|| window_before_overload(cx, period, length, largest, informed))
 }
 
-/// The window that ends with the fall of a server: it takes no more work then, so that a flood shows in no
-/// whole window.
-fn cut_short(
+/// Checks the window that ends as an overloaded server stops. The server gets no more work then, so an
+/// overload may exceed the limit in no window of full length.
+fn window_before_overload(
     cx: &Context<'_>,
-    spell: &Spell,
+    period: &ColdPeriod,
     length: Micros,
     largest: f64,
     informed: impl Fn(&Arrival) -> bool,
 ) -> Option<Violation> {
-    let from = spell.from.max(spell.until - length);
-    let first = spell.arrivals.partition_point(|a| a.at < from);
-    let window = spell.arrivals.get(first..).filter(|_| spell.fell)?;
+    let from = period.from.max(period.until - length);
+    let first = period.arrivals.partition_point(|a| a.at < from);
+    let window = period.arrivals.get(first..).filter(|_| period.overloaded)?;
     let sum: f64 = window.iter().map(|a| a.work).sum();
     let by_informed: f64 = window.iter().filter(|a| informed(a)).map(|a| a.work).sum();
-    let capacity = integral(&spell.capacity, from, spell.until);
+    let capacity = integral(&period.capacity, from, period.until);
     let bound = cx.rules.tip_multiple * capacity * (1.0 + cx.rules.tip_slack) + largest;
-    (sum > bound && by_informed >= sum * 2.0 / 3.0).then(|| violation(cx, spell, window, sum, bound))
+    (sum > bound && by_informed >= sum * 2.0 / 3.0).then(|| violation(cx, period, window, sum, bound))
 }
 
-fn violation(cx: &Context<'_>, spell: &Spell, window: &[Arrival], sum: f64, bound: f64) -> Violation {
+fn violation(cx: &Context<'_>, period: &ColdPeriod, window: &[Arrival], sum: f64, bound: f64) -> Violation {
     let mut by_node: BTreeMap<Option<NodeNo>, f64> = BTreeMap::new();
     for a in window {
         *by_node.entry(a.node).or_default() += a.work;
@@ -187,20 +204,21 @@
             format!("{} {:.0}%", node.map_or("?", |n| cx.ledger.names.node(n)), work / sum * 100.0)
         })
         .collect();
-    let at = window.first().map_or(spell.from, |a| a.at);
+    let at = window.first().map_or(period.from, |a| a.at);
     let text = format!(
         "{} was sent {:.2} s of work within {} s, {:.1} s after its cold start; at most {:.2} s: {}",
-        cx.ledger.names.server(spell.server),
+        cx.ledger.names.server(period.server),
         sum / 1e6,
         cx.rules.fall_s,
-        (at - spell.from) as f64 / 1e6,
+        (at - period.from) as f64 / 1e6,
         bound / 1e6,
         shares.join(", "),
     );
-    Violation { rule: Rule::Cold, at, req: None, node: None, server: Some(spell.server), text }
+    Violation { rule: Rule::Cold, at, req: None, node: None, server: Some(period.server), text }
 }
 
-/// The integral of a curve between two times, in work: straight lines between its points, level outside.
+/// The integral of a capacity curve between two times, in microseconds of work. The curve is linear between
+/// its points and constant outside.
 fn integral(curve: &[(Micros, f64)], from: Micros, until: Micros) -> f64 {
     let at = |t: Micros| {
         let next = curve.partition_point(|p| p.0 <= t);
@@ -225,7 +243,7 @@
     use super::*;
 
     #[test]
-    fn the_integral_of_a_capacity_follows_its_lines() {
+    fn the_integral_is_linear_between_points_and_constant_outside() {
         let curve = [(0, 1e6), (2_000_000, 3e6)];
         let cases = [
             (0, 2_000_000, 4e6),
--- a/crates/lab/src/check/context.rs
+++ b/crates/lab/src/check/context.rs
@@ -129,8 +129,10 @@
             let first = records.partition_point(|r| r.at < from);
             let mut records =
                 records.get(first..).unwrap_or_default().iter().take_while(move |r| r.at <= until);
-            let is = move |e: &NodeEvent| matches!(e, NodeEvent::Signalled { node: n, signal: s }
-                if *n == node && *s == signal);
+            let is = move |e: &NodeEvent| {
+                matches!(e, NodeEvent::Signalled { node: n, signal: s }
+                if *n == node && *s == signal)
+            };
             records.find(|r| is(&r.event)).map(|r| r.at)
         };
         let Some(kill) = sent(Signal::Kill, from, until) else { return false };
--- a/crates/lab/src/check/effects.rs
+++ b/crates/lab/src/check/effects.rs
@@ -1,15 +1,16 @@
-//! **Effects.** What must not run twice does not, and a refusal is the truth.
+//! **Effects.** A request with effects runs at most once where it must, and `busy` means that it did not run.
 //!
-//! An attempt has provably never run when its server answered `busy` (or a miss), and when its last byte
-//! never came. Every other attempt may have run.
+//! An attempt provably never ran if its server answered `busy` (or a miss), or if its last byte never reached
+//! the server. Every other attempt may have run.
 //!
-//! - `unsafe`: a further attempt may begin only when each earlier one has provably never run.
-//! - `keyed`: once an attempt may have run, further ones go to servers of the same group, and their last byte
-//!   comes within the window from that attempt's first byte (and the slack for sockets). It counts on though
-//!   the node learns later that it never ran, for as long as one that was sent meanwhile may have run.
-//! - A client may be told `busy`, whoever worded it, only where nothing may have run; for `keyed` classes
-//!   whose group is all servers always.
-//! - Whatever the attempts looked like, no request takes effect twice.
+//! - `unsafe`: another attempt may begin only when each earlier one provably never ran.
+//! - `keyed`: once an attempt may have run, later ones go to servers of the same group, and their last byte
+//!   comes within the window from that attempt's first byte (and the slack for sockets). The window still
+//!   counts from an attempt of which the node learns later that it never ran, as long as one that was sent
+//!   meanwhile may have run.
+//! - A client may get `busy`, whether the node or a server worded it, only where nothing may have run; for
+//!   `keyed` classes whose group is all servers it may always.
+//! - Whatever the attempts were, no request takes effect twice.
 
 use super::context::{Attempt, Context};
 use super::{Rule, Violation};
@@ -30,6 +31,7 @@
     }
 }
 
+/// Checks that attempts after one that may have run are allowed.
 fn repeats(cx: &Context<'_>, t: &Try, class: &Class, attempts: &[Attempt], out: &mut Vec<Violation>) {
     let window = seconds(class.window_s) + cx.slack();
     for (at, later) in attempts.iter().enumerate() {
@@ -38,7 +40,7 @@
         if !before.iter().any(|a| maybe_ran(a, later.first_byte)) {
             continue;
         }
-        // What was sent behind it, this one included.
+        // Whether the attempt may still have run when one of those after it began, up to the one under check.
         let repeated = |(n, a): &(usize, &Attempt)| {
             attempts.get(n + 1..=at).unwrap_or_default().iter().any(|next| maybe_ran(a, next.first_byte))
         };
@@ -47,12 +49,14 @@
         let text = match class.effect {
             Effect::Unsafe => format!("sent to {to} while an attempt at {from} may have run"),
             _ if !same_group(cx, class, earlier, later) => {
-                format!("sent to {to}, which does not know repeats of what may have run at {from}")
+                format!(
+                    "sent to {to}, which cannot detect a repeat of an attempt that may have run at {from}"
+                )
             }
             _ if later.last_byte - earlier.first_byte > window => {
                 let after = (later.last_byte - earlier.first_byte) as f64 / 1e6;
                 format!(
-                    "sent to {to} {after:.2} s after an attempt at {from} that may have run: past the window"
+                    "sent to {to} {after:.2} s after an attempt at {from} that may have run: outside the window"
                 )
             }
             _ => continue,
@@ -64,11 +68,13 @@
     }
 }
 
+/// Whether the servers of two attempts share the records by which they detect repeats.
 fn same_group(cx: &Context<'_>, class: &Class, a: &Attempt, b: &Attempt) -> bool {
     let zone = |a: &Attempt| cx.ledger.names.servers.get(a.server.index()).map(|s| s.zone);
     class.group == Group::All || a.server == b.server || zone(a) == zone(b)
 }
 
+/// Checks that the client gets `busy` only where nothing may have run.
 fn refusals(cx: &Context<'_>, t: &Try, class: &Class, attempts: &[Attempt], out: &mut Vec<Violation>) {
     if class.effect == Effect::Keyed && class.group == Group::All {
         return;
@@ -86,12 +92,13 @@
     }
 }
 
+/// Checks that no request took effect twice.
 fn twice(cx: &Context<'_>, t: &Try, out: &mut Vec<Violation>) {
     let effects =
         cx.index.server(t.id).filter(|r| matches!(r.event, ServerEvent::Effect { repeat: false, .. }));
     if let Some(second) = effects.skip(1).last() {
         let server = second.event.server();
-        let text = format!("took effect once more at {}", cx.ledger.names.server(server));
+        let text = format!("took effect a second time at {}", cx.ledger.names.server(server));
         out.push(Violation { server: Some(server), ..cx.violation(Rule::Effects, second.at, t, text) });
     }
 }
--- a/crates/lab/src/check/fleet/edges.rs
+++ b/crates/lab/src/check/fleet/boundaries.rs
@@ -1,4 +1,4 @@
-//! Each rule broken alone, next to an honest history that differs by one thing.
+//! The exact limit of each rule: a history without violations, and one that differs from it in one point.
 
 use super::{FleetRule, check};
 use crate::Micros;
@@ -6,8 +6,8 @@
 
 const S: Micros = 1_000_000;
 
-/// Four processes that know each other from the first second on; faults are over at 40 s, and all agree at 41 s.
-fn honest() -> History {
+/// Four processes that know each other from 1 s on. The faults end at 40 s, and all views agree at 41 s.
+fn without_violations() -> History {
     let text = "question = 'q'\nnodes = 4\nduration_s = 60\nin_reach_s = 3\ndetect_within_s = 10\nconverge_within_s = 5\n";
     let file = FleetFile::parse("t", text).unwrap();
     let mut history = History { file, records: Vec::new() };
@@ -28,8 +28,8 @@
 }
 
 fn add(history: &mut History, at: Micros, seen: Seen) {
-    let place = history.records.partition_point(|r| r.at <= at);
-    history.records.insert(place, Record { at, seen });
+    let position = history.records.partition_point(|r| r.at <= at);
+    history.records.insert(position, Record { at, seen });
 }
 
 fn row(of: usize, state: State, incarnation: u64) -> Row {
@@ -51,15 +51,15 @@
 fn rules(history: &History) -> Vec<FleetRule> {
     let mut text = Vec::new();
     write(history, &mut text).unwrap();
-    assert_eq!(read(&text[..]).unwrap(), *history, "what is written is read");
+    assert_eq!(read(&text[..]).unwrap(), *history, "a history survives a round trip through text");
     let mut rules: Vec<FleetRule> = check(history).into_iter().map(|v| v.rule).collect();
     rules.dedup();
     rules
 }
 
-/// Process 3 is killed at 10 s, and the others find out when they say.
+/// Process 3 is killed at 10 s, and each of the others declares it dead at the given time.
 fn killed(known: [Option<Micros>; 3]) -> History {
-    let mut history = honest();
+    let mut history = without_violations();
     add(&mut history, 10 * S, Seen::Told { process: 3, killed: true });
     add(&mut history, 10 * S, Seen::Ended { process: 3 });
     for (by, at) in known.into_iter().enumerate() {
@@ -70,15 +70,15 @@
 }
 
 #[test]
-fn an_honest_history_breaks_nothing() {
-    assert_eq!(rules(&honest()), []);
+fn a_history_without_violations_breaks_no_rule() {
+    assert_eq!(rules(&without_violations()), []);
 }
 
 #[test]
-fn one_in_reach_is_not_called_dead_and_one_that_just_came_into_reach_may_be() {
-    let verdict = |open: Micros| {
-        let mut history = honest();
-        // Cut off from all, until `open`.
+fn a_reachable_node_must_not_be_declared_dead_unless_it_became_reachable_just_before() {
+    let rules_with = |open: Micros| {
+        let mut history = without_violations();
+        // Process 3 is cut off from all others until `open`.
         for to in 0..3 {
             for (from, to) in [(3, to), (to, 3)] {
                 add(&mut history, 5 * S, Seen::Cut { from, to, cut: true });
@@ -89,10 +89,11 @@
         saw(&mut history, 25 * S, 0, 3, State::Alive, 1);
         rules(&history)
     };
-    assert_eq!(verdict(17 * S), [], "for 3 s, and not longer");
-    assert_eq!(verdict(17 * S - 1), [FleetRule::FalseDead]);
-    // One way that is cut leaves it in reach through others; a process that stands still is not.
-    let mut history = honest();
+    assert_eq!(rules_with(17 * S), [], "reachable for no longer than 3 s");
+    assert_eq!(rules_with(17 * S - 1), [FleetRule::FalseDead]);
+    // With one link cut in one direction, process 3 is still reachable through others. A stopped process is
+    // not.
+    let mut history = without_violations();
     add(&mut history, 5 * S, Seen::Cut { from: 3, to: 0, cut: true });
     saw(&mut history, 20 * S, 0, 3, State::Dead, 0);
     saw(&mut history, 21 * S, 0, 3, State::Alive, 1);
@@ -103,12 +104,12 @@
 }
 
 #[test]
-fn a_death_is_known_in_time_by_all_that_can_know() {
+fn a_failure_is_detected_in_time_by_all_processes_that_can() {
     let [a, b, c] = [12 * S, 13 * S, 20 * S].map(Some);
     assert_eq!(rules(&killed([a, b, c])), []);
     assert_eq!(rules(&killed([a, b, Some(20 * S + 1)])), [FleetRule::Detected]);
     assert_eq!(rules(&killed([a, None, c])), [FleetRule::Detected]);
-    // One that met nobody else meanwhile cannot know.
+    // A process that could reach no other one meanwhile cannot detect the failure.
     let mut alone = killed([a, None, c]);
     for to in [0, 2] {
         add(&mut alone, 11 * S, Seen::Cut { from: 1, to, cut: true });
@@ -118,40 +119,40 @@
 }
 
 #[test]
-fn views_are_the_same_in_time_once_faults_are_over() {
-    let mut late = honest();
+fn views_agree_in_time_after_the_last_fault() {
+    let mut late = without_violations();
     views(&mut late, 45 * S, &[0, 1, 2, 3]);
     assert_eq!(rules(&late), []);
     views(&mut late, 45 * S + 1, &[0, 1, 2, 3]);
     assert_eq!(rules(&late), [FleetRule::Converged]);
-    let mut fewer = honest();
+    let mut fewer = without_violations();
     views(&mut fewer, 41 * S, &[0, 1, 2]);
     assert_eq!(rules(&fewer), [FleetRule::Converged]);
-    let mut never = honest();
+    let mut never = without_violations();
     never.records.retain(|r| r.seen != Seen::Calm {});
     assert_eq!(rules(&never), [FleetRule::Converged]);
 }
 
 #[test]
-fn nothing_old_comes_back_and_no_incarnation_goes_back() {
-    let again = |state, incarnation| {
-        let mut history = honest();
+fn a_dead_node_needs_a_greater_incarnation_and_none_decreases() {
+    let then = |state, incarnation| {
+        let mut history = without_violations();
         add(&mut history, 5 * S, Seen::Stopped { process: 3 });
         add(&mut history, 12 * S, Seen::Continued { process: 3 });
         saw(&mut history, 10 * S, 0, 3, State::Dead, 4);
         saw(&mut history, 13 * S, 0, 3, state, incarnation);
         rules(&history)
     };
-    assert_eq!(again(State::Alive, 5), []);
-    assert_eq!(again(State::Alive, 4), [FleetRule::Revived]);
-    assert_eq!(again(State::Left, 4), []);
-    assert_eq!(again(State::Dead, 3), [FleetRule::Revived]);
+    assert_eq!(then(State::Alive, 5), []);
+    assert_eq!(then(State::Alive, 4), [FleetRule::Revived]);
+    assert_eq!(then(State::Left, 4), []);
+    assert_eq!(then(State::Dead, 3), [FleetRule::Revived]);
 }
 
 #[test]
-fn what_goes_out_has_a_bound_in_a_second_and_towards_strangers() {
+fn bytes_sent_are_bounded_per_second_and_towards_non_members() {
     let sends = |seen| {
-        let mut history = honest();
+        let mut history = without_violations();
         add(&mut history, 3 * S, seen);
         rules(&history)
     };
@@ -161,27 +162,31 @@
 }
 
 #[test]
-fn what_is_no_whole_history_is_refused_by_its_line() {
+fn an_incomplete_or_invalid_history_is_refused_with_its_line_number() {
     let mut text = Vec::new();
-    write(&honest(), &mut text).unwrap();
+    write(&without_violations(), &mut text).unwrap();
     let text = String::from_utf8(text).unwrap();
     let lines: Vec<&str> = text.lines().collect();
-    let told = |lines: &[&str]| read(lines.join("\n").as_bytes()).map(|_| ()).unwrap_err().to_string();
-    assert_eq!(told(&[]), "line 1: the history is cut off here");
+    let error = |lines: &[&str]| read(lines.join("\n").as_bytes()).map(|_| ()).unwrap_err().to_string();
+    assert_eq!(error(&[]), "line 1: the history is truncated here");
     for cut in [1, lines.len() / 2, lines.len() - 1] {
-        assert_eq!(told(&lines[..cut]), format!("line {}: the history is cut off here", cut + 1));
+        assert_eq!(error(&lines[..cut]), format!("line {}: the history is truncated here", cut + 1));
     }
     let mut fewer = lines.clone();
     fewer.remove(lines.len() / 2);
     let count = lines.len();
-    let expected =
-        format!("line {}: {} lines were written before, and here are {}", count - 1, count - 1, count - 2);
-    assert_eq!(told(&fewer), expected);
+    let expected = format!(
+        "line {}: {} lines were written before this one, but {} are here",
+        count - 1,
+        count - 1,
+        count - 2
+    );
+    assert_eq!(error(&fewer), expected);
     let mut earlier = lines.clone();
     earlier.swap(count - 2, count / 2);
-    assert!(told(&earlier).ends_with("is earlier than the line before"));
-    let mut stranger = lines.clone();
-    let strange = lines[3].replace("\"process\":2", "\"process\":9");
-    stranger[3] = &strange;
-    assert!(told(&stranger).starts_with("line 4: "), "{}", told(&stranger));
+    assert!(error(&earlier).ends_with("the record is earlier than the one before"));
+    let mut unknown = lines.clone();
+    let line = lines[3].replace("\"process\":2", "\"process\":9");
+    unknown[3] = &line;
+    assert!(error(&unknown).starts_with("line 4: "), "{}", error(&unknown));
 }
--- a/crates/lab/src/check/fleet/bounded.rs
+++ b/crates/lab/src/check/fleet/bounded.rs
@@ -1,22 +1,22 @@
-//! What a node sends is bounded, whatever others send: in no second more than the file says, and to a stranger never more
-//! than came from it.
+//! The bytes that a node sends are bounded, whatever others send to it: no more in a second than the file
+//! allows, and to a sender that is no member never more than came from it.
 
 use super::{FleetRule, FleetViolation};
 use crate::fleet::{History, Record, Seen};
 
 pub(super) fn check(history: &History) -> Vec<FleetViolation> {
-    let most = history.file.bytes_per_s;
-    let broken = |Record { at, seen }: &Record| {
+    let limit = history.file.bytes_per_s;
+    let violation = |Record { at, seen }: &Record| {
         let what = match seen {
-            Seen::Sent { process, bytes } if *bytes > most => {
-                format!("process {process} sends {bytes} bytes in a second, over {most}")
+            Seen::Sent { process, bytes } if *bytes > limit => {
+                format!("process {process} sends {bytes} bytes in a second, over {limit}")
             }
             Seen::Stranger { process, sent, back } if back > sent => {
-                format!("process {process} sends strangers {back} bytes for {sent}")
+                format!("process {process} sends {back} bytes to non-members for {sent} received")
             }
             _ => return None,
         };
         Some(FleetViolation { rule: FleetRule::Bounded, at: *at, what })
     };
-    history.records.iter().filter_map(broken).collect()
+    history.records.iter().filter_map(violation).collect()
 }
--- a/crates/lab/src/check/fleet/detected.rs
+++ b/crates/lab/src/check/fleet/detected.rs
@@ -1,7 +1,8 @@
-//! One that is gone is called dead by all that can know, in time.
+//! Every process that can detect the failure of a node declares it dead in time.
 //!
-//! Gone is what was killed, or stands still for longer than the time. Those can know that ran all the time, knew it, and
-//! reach another one that does: a word by one alone convicts nobody.
+//! A node has failed if its process was killed, or is stopped for longer than the time limit. A process can
+//! detect that if it ran all the time, knew the node, and can reach another process that also ran: a single
+//! process declares no node dead by itself.
 
 use super::lives::Lives;
 use super::{FleetRule, FleetViolation};
@@ -9,39 +10,45 @@
 use crate::fleet::{History, Record, Seen, State};
 use crate::seconds;
 
-/// A death that one process had to find out.
+/// A failure that one process had to detect.
 struct Due {
+    /// The process that had to detect it.
     by: usize,
+    /// The process that failed.
     gone: usize,
     since: Micros,
-    /// When it did.
+    /// When it detected the failure.
     known: Option<Micros>,
 }
 
+/// All failures of which it can be checked whether they were detected in time.
 fn due(history: &History, lives: &Lives, within: Micros) -> Vec<Due> {
     let mut all = Vec::new();
     for (gone, life) in lives.all.iter().enumerate() {
-        let killed = life.told.filter(|t| t.1).map(|t| t.0);
-        let still = life.stops.iter().find(|s| s.1 - s.0 > within).map(|s| s.0);
-        let Some(since) = killed.into_iter().chain(still).min() else { continue };
+        let killed = life.signalled.filter(|t| t.1).map(|t| t.0);
+        let stopped = life.stops.iter().find(|s| s.1 - s.0 > within).map(|s| s.0);
+        let Some(since) = killed.into_iter().chain(stopped).min() else { continue };
         let until = since + within;
-        let anew = lives.all.iter().any(|l| l.name == life.name && l.began > life.began && l.began < until);
-        if until > lives.end || anew {
+        let restarted =
+            lives.all.iter().any(|l| l.name == life.name && l.began > life.began && l.began < until);
+        if until > lives.end || restarted {
             continue;
         }
         let runs = |p: usize| p != gone && lives.runs(p, since, until);
         for by in (0..lives.all.len()).filter(|p| runs(*p)) {
-            let helped = (0..lives.all.len()).any(|o| o != by && runs(o) && lives.meets(by, o, since, until));
-            let of_it = |r: &&Record| match &r.seen {
+            let has_peer =
+                (0..lives.all.len()).any(|o| o != by && runs(o) && lives.connected(by, o, since, until));
+            let about_node = |r: &&Record| match &r.seen {
                 Seen::Saw { process, row } => *process == by && row.name == life.name,
                 _ => false,
             };
             let is_start = |start: u64| life.starts.iter().any(|s| s.1 == start);
-            let knew = history.records.iter().filter(of_it).any(|r| r.at <= since);
-            let known = history.records.iter().filter(of_it).filter(|r| r.at > since).find(|r| {
-                matches!(&r.seen, Seen::Saw { row, .. } if is_start(row.start) && matches!(row.state, State::Dead | State::Left))
+            let knew = history.records.iter().filter(about_node).any(|r| r.at <= since);
+            let known = history.records.iter().filter(about_node).filter(|r| r.at > since).find(|r| {
+                matches!(&r.seen, Seen::Saw { row, .. }
+                    if is_start(row.start) && matches!(row.state, State::Dead | State::Left))
             });
-            if helped && knew {
+            if has_peer && knew {
                 all.push(Due { by, gone, since, known: known.map(|r| r.at) });
             }
         }
@@ -59,13 +66,14 @@
             let name = |p: usize| lives.all.get(p).map_or("", |l| l.name.as_str());
             let when = known.map_or("never".into(), |at| format!("after {:.1} s", (at - since) as f64 / 1e6));
             let what =
-                format!("{} (process {by}) calls {} (process {gone}) dead {when}", name(by), name(gone));
+                format!("{} (process {by}) declares {} (process {gone}) dead {when}", name(by), name(gone));
             FleetViolation { rule: FleetRule::Detected, at: since + within, what }
         })
         .collect()
 }
 
-/// How long it took each that can know to hold each that is gone for dead (microseconds), sorted.
+/// For each failure and each process that can detect it, the time until that process declared the node dead
+/// (microseconds), sorted.
 #[must_use]
 pub fn detections(history: &History) -> Vec<Micros> {
     let lives = Lives::of(history);
--- a/crates/lab/src/check/fleet/false_dead.rs
+++ b/crates/lab/src/check/fleet/false_dead.rs
@@ -1,7 +1,8 @@
-//! A member that lives and can be reached is not called dead by a healthy one.
+//! No healthy process declares a node dead that runs and can be reached.
 //!
-//! In reach means: for as long as the file says, up to the verdict, both ran and neither stood still, and either the
-//! ways between them were open or the ways of both to a third that ran.
+//! Two processes can reach each other if, for the time that the file states up to the declaration, both ran
+//! without being stopped, and either the links between them were open in both directions or both had open
+//! links to a third process that ran.
 
 use super::lives::Lives;
 use super::{FleetRule, FleetViolation};
@@ -19,11 +20,11 @@
         let from = at - span;
         if lives.runs(of, from, *at)
             && lives.runs(*process, from, *at)
-            && lives.reach(*process, of, from, *at)
+            && lives.reachable(*process, of, from, *at)
         {
             let by = lives.all.get(*process).map_or("", |l| &l.name);
             let what = format!(
-                "{by} (process {process}) calls {} (process {of}) dead, which runs and is in reach",
+                "{by} (process {process}) declares {} (process {of}) dead, which runs and can be reached",
                 row.name
             );
             found.push(FleetViolation { rule: FleetRule::FalseDead, at: *at, what });
--- a/crates/lab/src/check/fleet/lives.rs
+++ b/crates/lab/src/check/fleet/lives.rs
@@ -1,28 +1,32 @@
-//! When each process ran, and which ways were open: as the lab made it, not as anybody says.
+//! When each process ran, and which links were open: as the lab's own actions set them, not as the processes
+//! report.
 
 use crate::Micros;
 use crate::fleet::{History, Record, Seen};
 use std::collections::BTreeMap;
 
-/// A process.
+/// The lifetime of a process.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Life {
     pub(super) name: String,
     pub(super) began: Micros,
-    /// Which start of its name it says it is, and since when; it may raise that.
+    /// The start numbers that the process reported for itself, each with the time of the report; it may raise
+    /// its number.
     pub(super) starts: Vec<(Micros, u64)>,
-    /// When it was told to end or killed, and whether outright.
-    pub(super) told: Option<(Micros, bool)>,
+    /// When the lab first signalled it to end, and whether by SIGKILL.
+    pub(super) signalled: Option<(Micros, bool)>,
     pub(super) ended: Option<Micros>,
+    /// The intervals for which it was stopped by SIGSTOP.
     pub(super) stops: Vec<(Micros, Micros)>,
 }
 
-/// All of them, and when ways were cut.
+/// The lifetimes of all processes, and the intervals in which links between them were cut.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Lives {
     pub(super) all: Vec<Life>,
+    /// By sender and receiver.
     cuts: BTreeMap<(usize, usize), Vec<(Micros, Micros)>>,
-    /// When the last record was made.
+    /// The time of the last record.
     pub(super) end: Micros,
 }
 
@@ -37,7 +41,7 @@
                 }
                 Seen::Own { process, start } => lives.change(*process, |l| l.starts.push((*at, *start))),
                 Seen::Told { process, killed } => {
-                    lives.change(*process, |l| _ = l.told.get_or_insert((*at, *killed)));
+                    lives.change(*process, |l| _ = l.signalled.get_or_insert((*at, *killed)));
                 }
                 Seen::Ended { process } => lives.change(*process, |l| l.ended = Some(*at)),
                 Seen::Stopped { process } => lives.change(*process, |l| l.stops.push((*at, Micros::MAX))),
@@ -65,31 +69,31 @@
         }
     }
 
-    /// It ran all that time, and did not stand still.
+    /// Whether a process ran for all of the interval and was not stopped in it.
     pub(super) fn runs(&self, process: usize, from: Micros, to: Micros) -> bool {
         self.all.get(process).is_some_and(|life| {
-            let ends = life.ended.into_iter().chain(life.told.map(|t| t.0)).min().unwrap_or(Micros::MAX);
+            let ends = life.ended.into_iter().chain(life.signalled.map(|t| t.0)).min().unwrap_or(Micros::MAX);
             life.began <= from && ends > to && !life.stops.iter().any(|s| s.0 <= to && s.1 >= from)
         })
     }
 
-    /// Both ways between two were open all that time, by themselves.
-    pub(super) fn meets(&self, a: usize, b: usize, from: Micros, to: Micros) -> bool {
-        let open = |way| {
-            let cuts = self.cuts.get(&way).map_or(&[][..], Vec::as_slice);
+    /// Whether the direct links between two processes were open in both directions for all of the interval.
+    pub(super) fn connected(&self, a: usize, b: usize, from: Micros, to: Micros) -> bool {
+        let open = |link| {
+            let cuts = self.cuts.get(&link).map_or(&[][..], Vec::as_slice);
             !cuts.iter().any(|c| c.0 <= to && c.1 >= from)
         };
         open((a, b)) && open((b, a))
     }
 
-    /// They met all that time, or both met a third that ran.
-    pub(super) fn reach(&self, a: usize, b: usize, from: Micros, to: Micros) -> bool {
+    /// Whether two processes had open links for all of the interval, directly or by a third process that ran.
+    pub(super) fn reachable(&self, a: usize, b: usize, from: Micros, to: Micros) -> bool {
         let others = (0..self.all.len()).filter(|o| *o != a && *o != b && self.runs(*o, from, to));
-        self.meets(a, b, from, to)
-            || others.into_iter().any(|o| self.meets(a, o, from, to) && self.meets(o, b, from, to))
+        self.connected(a, b, from, to)
+            || others.into_iter().any(|o| self.connected(a, o, from, to) && self.connected(o, b, from, to))
     }
 
-    /// The process of that name and start.
+    /// The process with the given name and start number.
     pub(super) fn find(&self, name: &str, start: u64) -> Option<usize> {
         self.all.iter().position(|l| l.name == name && l.starts.iter().any(|s| s.1 == start))
     }
--- a/crates/lab/src/check/fleet/mod.rs
+++ b/crates/lab/src/check/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! The rules that a fleet must keep, over what was seen of it from outside. One module a rule, with the rule in its words.
+//! The rules that a fleet must keep, checked over the records of a run. Each rule has a module that states
+//! it.
 
 mod bounded;
 mod converged;
@@ -8,7 +9,7 @@
 mod revived;
 
 #[cfg(test)]
-mod edges;
+mod boundaries;
 
 pub use detected::detections;
 
@@ -18,30 +19,30 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A rule.
+/// A rule that a fleet must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FleetRule {
-    /// A member that lives and can be reached is not called dead.
+    /// No process declares a node dead that runs and can be reached.
     FalseDead,
-    /// One that is gone is called dead by all that can know, in time.
+    /// Every process that can detect the failure of a node declares it dead in time.
     Detected,
-    /// When the last fault is over all views are the same, in time.
+    /// All views agree within the time limit after the last fault.
     Converged,
-    /// Nothing old comes back to life, and no incarnation goes back.
+    /// A dead node does not become alive again with an old incarnation, and no incarnation decreases.
     Revived,
-    /// What a node sends is bounded, whatever others send.
+    /// The bytes that a node sends are bounded, whatever others send to it.
     Bounded,
 }
 
-/// A rule that was broken.
+/// One breach of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FleetViolation {
-    /// Which.
+    /// The rule that was broken.
     pub rule: FleetRule,
-    /// When (microseconds since the lab began).
+    /// When it was broken (microseconds since the run began).
     pub at: Micros,
-    /// By whom, and how.
+    /// Which process broke it, and how.
     pub what: String,
 }
 
@@ -51,7 +52,7 @@
     }
 }
 
-/// All that was broken, in the order of time.
+/// All violations, ordered by time.
 #[must_use]
 pub fn check(history: &History) -> Vec<FleetViolation> {
     let lives = Lives::of(history);
--- a/crates/lab/src/check/genuine.rs
+++ b/crates/lab/src/check/genuine.rs
@@ -1,10 +1,9 @@
-//! **Genuine answers.** A client may be served only what a server or the origin made for this request, byte
-//! by byte: for each value or receipt there is an answer of that kind with that id and that digest, unspoilt,
-//! written before. Besides, the bytes must say of themselves that they were made for this key and this
-//! request.
+//! **Genuine answers.** A client may be served only what a server or the origin produced for this request,
+//! byte for byte: for each value or receipt there is an earlier answer of the same kind, id and digest that
+//! is not corrupt. The bytes themselves must also name the key and the request that they were produced for.
 //!
-//! A bad client may not be served as though its request had run. Where it used the id of another client's
-//! request, that holds only while that one was open, from when the bad client had written all until it was
+//! A misbehaving client may not be served as though its request had run. If it used the id of another
+//! client's request, it may be served while that request is open, from the last byte that it sent until it is
 //! served.
 
 use super::context::Context;
@@ -15,7 +14,7 @@
 
 pub(super) fn check(cx: &Context<'_>, out: &mut Vec<Violation>) {
     bad_clients(cx, out);
-    let mut made_for: Option<FxHashMap<u64, ReqId>> = None;
+    let mut producers: Option<FxHashMap<u64, ReqId>> = None;
     for t in cx.ledger.tries.iter().filter(|t| !t.flags.borrowed) {
         for r in cx.index.client(t.id) {
             let ClientEvent::Answered { answer, digest, fits, .. } = r.event else { continue };
@@ -23,15 +22,15 @@
                 continue;
             }
             let text = match source(cx, t.id, answer, digest, r.at) {
-                Source::Made if fits => continue,
-                Source::Made => "its bytes are not those of an answer to this request".to_owned(),
-                Source::Spoilt => "a spoilt answer was passed on as good".to_owned(),
-                Source::Later => "it was served before any server made it".to_owned(),
+                Source::Produced if fits => continue,
+                Source::Produced => "its bytes do not belong to an answer to this request".to_owned(),
+                Source::Corrupt => "a corrupt response was passed on as valid".to_owned(),
+                Source::Later => "it was served before any server had produced it".to_owned(),
                 Source::None => {
-                    let table = made_for.get_or_insert_with(|| by_digest(cx));
+                    let table = producers.get_or_insert_with(|| requests_by_digest(cx));
                     match table.get(&digest) {
-                        Some(other) => format!("served with what was made for request {other}"),
-                        None => "served with what no server made".to_owned(),
+                        Some(other) => format!("served with the answer to request {other}"),
+                        None => "served with an answer that no server produced".to_owned(),
                     }
                 }
             };
@@ -51,17 +50,19 @@
                 _ => {}
             }
         }
-        // A node cannot know of requests at another.
+        // A node cannot know of a request at another node, so the borrowed id has to be of a request at the
+        // same one.
         let same_node = cx.index.find(borrowed).is_some_and(|t| Some(t.node) == node);
         if borrowed != ReqId::NONE && !(same_node && open_between(cx, borrowed, sent, r.at)) {
             continue;
         }
-        let text = format!("a bad client was served on connection {}", conn.0);
+        let text = format!("a misbehaving client was served on connection {}", conn.0);
         let req = (borrowed != ReqId::NONE).then_some(borrowed);
         out.push(Violation { rule: Rule::Genuine, at: r.at, req, node, server: None, text });
     }
 }
 
+/// Whether a request was open for all of an interval.
 fn open_between(cx: &Context<'_>, req: ReqId, from: Micros, until: Micros) -> bool {
     let begun = cx.sent(req).is_some_and(|(at, _)| at <= from);
     let over = cx.index.client(req).find_map(|r| match r.event {
@@ -71,13 +72,19 @@
     begun && over.is_none_or(|at| at > until)
 }
 
+/// Where a served answer comes from.
 enum Source {
-    Made,
-    Spoilt,
+    /// A server produced it before.
+    Produced,
+    /// A server sent it as a corrupt response.
+    Corrupt,
+    /// A server produced it only later.
     Later,
+    /// No server produced it for this request.
     None,
 }
 
+/// Where an answer comes from that was served at the time `by`.
 fn source(cx: &Context<'_>, req: ReqId, wanted: Answer, wanted_digest: u64, by: Micros) -> Source {
     let mut best = Source::None;
     for r in cx.index.server(req) {
@@ -85,9 +92,9 @@
             && (answer, digest) == (wanted, wanted_digest)
         {
             match (spoilt, r.at <= by) {
-                (false, true) => return Source::Made,
+                (false, true) => return Source::Produced,
                 (false, false) => best = Source::Later,
-                (true, _) if matches!(best, Source::None) => best = Source::Spoilt,
+                (true, _) if matches!(best, Source::None) => best = Source::Corrupt,
                 (true, _) => {}
             }
         }
@@ -95,7 +102,8 @@
     best
 }
 
-fn by_digest(cx: &Context<'_>) -> FxHashMap<u64, ReqId> {
+/// The request that each digest was first produced for.
+fn requests_by_digest(cx: &Context<'_>) -> FxHashMap<u64, ReqId> {
     let mut table = FxHashMap::default();
     for r in cx.ledger.servers.records() {
         if let ServerEvent::Answered { req, digest, .. } = r.event
--- a/crates/lab/src/check/one_answer.rs
+++ b/crates/lab/src/check/one_answer.rs
@@ -1,5 +1,5 @@
-//! **One answer.** A request gets at most one final answer, and nothing comes on a connection on which
-//! nothing is waited for. Answers to what the client has stopped waiting for do not count: the node cannot
+//! **One answer.** A request gets at most one final answer, and no bytes come on a connection that has no
+//! open request. Answers to requests that the client has stopped waiting for do not count: the node cannot
 //! know.
 
 use super::context::Context;
@@ -10,8 +10,8 @@
 pub(super) fn check(cx: &Context<'_>, out: &mut Vec<Violation>) {
     for t in cx.tries() {
         let answers = cx.index.client(t.id).filter(|r| matches!(r.event, ClientEvent::Answered { .. }));
-        for (number, second) in answers.enumerate().skip(1) {
-            out.push(cx.violation(Rule::OneAnswer, second.at, t, format!("answer number {}", number + 1)));
+        for (number, extra) in answers.enumerate().skip(1) {
+            out.push(cx.violation(Rule::OneAnswer, extra.at, t, format!("answer number {}", number + 1)));
         }
     }
     let mut bad = FxHashSet::default();
@@ -21,15 +21,14 @@
                 bad.insert(conn);
                 continue;
             }
-            ClientEvent::Answered { req: ReqId::NONE, conn, .. } => {
-                (conn, "an answer to no request that waits there")
-            }
+            ClientEvent::Answered { req: ReqId::NONE, conn, .. } => (conn, "an answer to no open request"),
             ClientEvent::Unasked { conn, bytes } if bytes > 0 => {
                 (conn, "bytes on a connection with nothing open")
             }
             _ => continue,
         };
-        // What bad clients sent may be read as any number of requests.
+        // The bytes of a misbehaving client may be parsed as any number of requests, each of which gets an
+        // answer.
         if bad.contains(&conn) {
             continue;
         }
--- a/crates/lab/src/fleet/history.rs
+++ b/crates/lab/src/fleet/history.rs
@@ -1,5 +1,5 @@
-//! What was seen of a fleet from outside, as records and as text: JSON lines, of which the first has the bounds that hold
-//! and the last counts those before.
+//! The records of a run of a fleet, and their form as text: JSON lines, of which the first is the experiment
+//! and the last has the number of lines before it.
 
 use super::file::FleetFile;
 use crate::Micros;
@@ -7,56 +7,56 @@
 use std::io::{self, BufRead, Write};
 use thiserror::Error;
 
-/// What a process holds another node to be.
+/// The state of a node in the view of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// There.
+    /// The node answers.
     Alive,
-    /// Not heard by somebody.
+    /// A process got no answer from the node, which may still refute that it failed.
     Suspect,
-    /// Held for dead.
+    /// Declared dead.
     Dead,
-    /// Went by itself.
+    /// The node announced that it leaves.
     Left,
 }
 
 /// One node in a process's view.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Row {
-    /// Its name.
+    /// The node's name.
     pub name: String,
-    /// Which process of that name.
+    /// The start number, which tells apart the processes that had this name.
     pub start: u64,
-    /// How often that has said again that it lives.
+    /// How often the process has refuted a suspicion of it.
     pub incarnation: u64,
-    /// What it is held to be.
+    /// The node's state.
     pub state: State,
 }
 
-/// Something that was seen, or done.
+/// Something that the lab did or observed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case")]
 pub enum Seen {
     /// The lab started a process of a node.
     Started {
-        /// Processes are numbered from 0.
+        /// The number of the process, from 0.
         process: usize,
         /// The node's name.
         name: String,
     },
-    /// A process says which start of its name it is.
+    /// A process reported its own start number.
     Own {
         /// The process.
         process: usize,
-        /// Its start.
+        /// Its start number.
         start: u64,
     },
-    /// The lab has killed a process, or told it to end.
+    /// The lab sent a process SIGKILL or SIGTERM.
     Told {
         /// The process.
         process: usize,
-        /// It was killed outright; else it may say goodbye.
+        /// By SIGKILL; otherwise the process has time to announce that it leaves.
         killed: bool,
     },
     /// A process has ended.
@@ -64,108 +64,108 @@
         /// The process.
         process: usize,
     },
-    /// The lab stopped a process.
+    /// The lab stopped a process (SIGSTOP).
     Stopped {
         /// The process.
         process: usize,
     },
-    /// The lab let it go on.
+    /// The lab resumed a process (SIGCONT).
     Continued {
         /// The process.
         process: usize,
     },
-    /// A way is cut, or harmed in such a measure that it counts as cut; or is sound again.
+    /// A link was cut, or made so bad that it counts as cut; or was restored.
     Cut {
-        /// From that process.
+        /// The sending process.
         from: usize,
-        /// To that one.
+        /// The receiving process.
         to: usize,
-        /// It is cut from here on.
+        /// Whether the link is cut from now on.
         cut: bool,
     },
-    /// A process's view has changed.
+    /// The view of a process changed.
     Saw {
         /// The process.
         process: usize,
-        /// What it holds a node to be.
+        /// The changed entry of its view.
         #[serde(flatten)]
         row: Row,
     },
-    /// All of a process's view, when asked.
+    /// The complete view of a process, as it answered to a query.
     View {
         /// The process.
         process: usize,
-        /// All nodes, itself among them.
+        /// All nodes in the view, including the process itself.
         rows: Vec<Row>,
     },
     /// Bytes that a process sent to others within the second before.
     Sent {
         /// The process.
         process: usize,
-        /// Bytes.
+        /// The number of bytes.
         bytes: u64,
     },
-    /// Bytes that strangers have sent to a process so far, and got back.
+    /// Bytes that senders outside the fleet have sent to a process so far, and received from it.
     Stranger {
         /// The process.
         process: usize,
-        /// Sent to it.
+        /// Bytes sent to the process.
         sent: u64,
-        /// Come back.
+        /// Bytes received from it.
         back: u64,
     },
-    /// The lab itself was late by so much (ms).
+    /// The lab itself was late.
     Late {
-        /// By so much.
+        /// The delay (ms).
         ms: u64,
     },
-    /// The last fault is over.
+    /// The last fault has ended.
     Calm {},
 }
 
-/// A time and what was seen then.
+/// One record with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Microseconds since the lab began.
+    /// Microseconds since the run began.
     pub at: Micros,
-    /// What.
+    /// What the lab did or observed.
     #[serde(flatten)]
     pub seen: Seen,
 }
 
-/// All that was seen of a run.
+/// All records of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct History {
-    /// What it was to be.
+    /// The experiment that was run.
     pub file: FleetFile,
-    /// In the order of time.
+    /// Ordered by time.
     pub records: Vec<Record>,
 }
 
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-enum Mark {
+enum Frame {
     Fleet(Box<FleetFile>),
     End { lines: usize },
 }
 
-/// Why lines are no history.
+/// Why text cannot be read as a history.
 #[derive(Debug, Error)]
 pub enum HistoryError {
-    /// A line is not what it must be.
+    /// A line is invalid, or the end line is missing.
     #[error("line {line}: {what}")]
     Line {
-        /// From 1.
+        /// Number of the line, from 1.
         line: usize,
         /// What is wrong.
         what: String,
     },
-    /// It cannot be read.
+    /// The text cannot be read.
     #[error("line {line}: cannot be read: {source}")]
     Io {
-        /// From 1.
+        /// Number of the line, from 1.
         line: usize,
-        /// Why.
+        /// The underlying error.
         source: io::Error,
     },
 }
@@ -173,67 +173,69 @@
 /// Writes a history.
 ///
 /// # Errors
-/// As the writer's.
+/// Those of the writer.
 pub fn write(history: &History, mut to: impl Write) -> io::Result<()> {
-    writeln!(to, "{}", serde_json::to_string(&Mark::Fleet(Box::new(history.file.clone())))?)?;
+    writeln!(to, "{}", serde_json::to_string(&Frame::Fleet(Box::new(history.file.clone())))?)?;
     for record in &history.records {
         writeln!(to, "{}", serde_json::to_string(record)?)?;
     }
     let lines = history.records.len() + 1;
-    writeln!(to, "{}", serde_json::to_string(&Mark::End { lines })?)
+    writeln!(to, "{}", serde_json::to_string(&Frame::End { lines })?)
 }
 
-/// Reads a history, whole or not at all.
+/// Reads a complete history.
 ///
 /// # Errors
-/// The first line that is wrong: no record, out of order, of a process that was never started, or missing at the end.
+/// Names the first line that is wrong: one that is no record, is out of order, names a process that was never
+/// started, or is missing at the end.
 pub fn read(from: impl BufRead) -> Result<History, HistoryError> {
     let wrong = |line: usize, what: String| HistoryError::Line { line, what };
     let mut lines = (1..).zip(from.lines());
     let mut next = |line: usize| match lines.next() {
         Some((line, Ok(text))) => Ok((line, text)),
         Some((line, Err(source))) => Err(HistoryError::Io { line, source }),
-        None => Err(wrong(line, "the history is cut off here".into())),
+        None => Err(wrong(line, "the history is truncated here".into())),
     };
     let (_, first) = next(1)?;
     let file = match serde_json::from_str(&first) {
-        Ok(Mark::Fleet(file)) => *file,
-        Ok(Mark::End { .. }) => return Err(wrong(1, "there is nothing before the end".into())),
-        Err(e) => return Err(wrong(1, format!("not the first line of a history: {e}"))),
+        Ok(Frame::Fleet(file)) => *file,
+        Ok(Frame::End { .. }) => return Err(wrong(1, "the history has no header".into())),
+        Err(e) => return Err(wrong(1, format!("not the header of a history: {e}"))),
     };
     let mut records: Vec<Record> = Vec::new();
     let mut processes = 0;
     loop {
         let at = records.len() + 2;
         let (line, text) = next(at)?;
-        if let Ok(Mark::End { lines: told }) = serde_json::from_str(&text) {
-            if told != line - 1 {
+        if let Ok(Frame::End { lines: expected }) = serde_json::from_str(&text) {
+            if expected != line - 1 {
                 return Err(wrong(
                     line,
-                    format!("{told} lines were written before, and here are {}", line - 1),
+                    format!("{expected} lines were written before this one, but {} are here", line - 1),
                 ));
             }
             return Ok(History { file, records });
         }
         let record: Record = serde_json::from_str(&text).map_err(|e| wrong(line, e.to_string()))?;
         if records.last().is_some_and(|before| before.at > record.at) {
-            return Err(wrong(line, "is earlier than the line before".into()));
+            return Err(wrong(line, "the record is earlier than the one before".into()));
         }
         match record.seen {
             Seen::Started { process, .. } if process == processes => processes += 1,
             Seen::Started { process, .. } => {
-                return Err(wrong(line, format!("process {process} is not the next")));
+                return Err(wrong(line, format!("process number {process} is out of sequence")));
             }
             _ => {}
         }
         if record.seen.processes().into_iter().any(|p| p >= processes) {
-            return Err(wrong(line, "names a process that was not started".into()));
+            return Err(wrong(line, "the record names a process that was not started".into()));
         }
         records.push(record);
     }
 }
 
 impl Seen {
+    /// The processes that the record names.
     fn processes(&self) -> Vec<usize> {
         match self {
             Seen::Started { process, .. }
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,11 +1,14 @@
-//! Fleets on trial: several real processes of the program, faults between them, and what was seen from outside.
+//! Experiments with fleets: several real processes of the program with faults between them, observed from
+//! outside.
 //!
-//! Each process advertises a socket of the lab's ([`relay`]), which knows a sender by where its datagrams come from and
-//! hands them on from that sender's own socket: so the way from each to each can lose, delay, double, disorder, spoil,
-//! hold or be cut by itself. Processes are stopped, continued, killed, ended and started, also two by one name. Only
-//! such as the lab has started are ever signalled.
+//! Each process advertises a socket of the lab's relay ([`relay`]). The relay identifies a sender by the
+//! source address of its datagrams and forwards them from that sender's own socket, so each link between two
+//! processes can lose, delay, duplicate, reorder, corrupt, hold back or block datagrams independently.
+//! Processes are stopped, resumed, killed, ended and started, also two with the same name. Only processes
+//! that the lab has started are signalled.
 //!
-//! What was seen is a [`History`]; the rules that it must keep are in [`check::fleet`](crate::check::fleet).
+//! The records of a run are a [`History`]; the rules that it must keep are in
+//! [`check::fleet`](crate::check::fleet).
 
 mod file;
 mod history;
