--- a/crates/lab/src/check/crossing.rs
+++ b/crates/lab/src/check/crossing.rs
@@ -33,7 +33,8 @@
             if let Some(s) = sent {
                 let server = cx.ledger.names.server(s.event.server());
                 let text = format!(
-                    "the node closed the connection as if the request were unread, but had sent it to {server}"
+                    "the node closed the connection as if the request were unread, \
+                     but had sent it to {server}"
                 );
                 out.push(cx.violation(Rule::Crossing, r.at, t, text));
             }
--- a/crates/lab/src/check/effects.rs
+++ b/crates/lab/src/check/effects.rs
@@ -56,7 +56,8 @@
             _ if later.last_byte - earlier.first_byte > window => {
                 let after = (later.last_byte - earlier.first_byte) as f64 / 1e6;
                 format!(
-                    "sent to {to} {after:.2} s after an attempt at {from} that may have run: outside the window"
+                    "sent to {to} {after:.2} s after an attempt at {from} that may have run: \
+                     outside the window"
                 )
             }
             _ => continue,
--- a/crates/lab/src/check/fleet/boundaries.rs
+++ b/crates/lab/src/check/fleet/boundaries.rs
@@ -8,7 +8,8 @@
 
 /// Four processes that know each other from 1 s on. The faults end at 40 s, and all views agree at 41 s.
 fn without_violations() -> History {
-    let text = "question = 'q'\nnodes = 4\nduration_s = 60\nin_reach_s = 3\ndetect_within_s = 10\nconverge_within_s = 5\n";
+    let text = "question = 'q'\nnodes = 4\nduration_s = 60\nin_reach_s = 3\n\
+        detect_within_s = 10\nconverge_within_s = 5\n";
     let file = FleetFile::parse("t", text).unwrap();
     let mut history = History { file, records: Vec::new() };
     for process in 0..4 {
--- a/crates/lab/src/check/sample_run.rs
+++ b/crates/lab/src/check/sample_run.rs
@@ -16,7 +16,7 @@
 /// What the nodes of the run do wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Defect {
-    NoDefect,
+    Absent,
     AnswersTwice,
     AnswersLate,
     AnswersLateBehindAnother,
@@ -57,9 +57,11 @@
 }
 
 /// The experiment that the run belongs to.
-pub(super) const TEXT: &str = "question = 'q'\nduration_s = 20\n[[class]]\nname = 'read'\naim_ms = 100\ndeadline_ms = 400\n\
+pub(super) const TEXT: &str = "question = 'q'\nduration_s = 20\n[[class]]\nname = 'read'\naim_ms = 100\n\
+    deadline_ms = 400\n\
     [[class]]\nname = 'put'\nwrite = true\neffect = 'keyed'\nwindow_s = 2\n\
-    [[class]]\nname = 'pay'\nwrite = true\neffect = 'unsafe'\n[[load]]\nrate = { steady = { per_s = 100 } }\n";
+    [[class]]\nname = 'pay'\nwrite = true\neffect = 'unsafe'\n\
+    [[load]]\nrate = { steady = { per_s = 100 } }\n";
 
 pub(super) fn experiment() -> Experiment {
     ExperimentFile::parse("run", TEXT).unwrap().experiment
@@ -68,7 +70,7 @@
 impl SampleRun {
     /// A run that breaks no rule.
     pub(super) fn without_defect() -> SampleRun {
-        SampleRun::new(Defect::NoDefect)
+        SampleRun::new(Defect::Absent)
     }
 
     fn ledger_with(defect: Defect) -> (Ledger, Experiment) {
@@ -178,14 +180,14 @@
         let cold_known = (7 * S..18 * S).contains(&at);
         let home = if cold_known && n.is_multiple_of(5) { COLD } else { (n % 2) as u16 };
         // The defect shows once, in the middle of the run.
-        let defect = if n == 1300 { self.defect } else { Defect::NoDefect };
+        let defect = if n == 1300 { self.defect } else { Defect::Absent };
         if self.defect == Defect::OverloadsColdServer && (7 * S..9 * S).contains(&at) {
             for _ in 0..10 {
                 self.read(at, node, COLD, 6000);
             }
         }
         match defect {
-            Defect::NoDefect => self.correct_request(n, at, node, home),
+            Defect::Absent => self.correct_request(n, at, node, home),
             Defect::OverloadsColdServer
             | Defect::ExceedsDescriptors
             | Defect::ExceedsMemory
@@ -601,8 +603,7 @@
         (RetriesForDepartedClient, Rule::Left),
     ];
     let mut failures = Vec::new();
-    for (defect, rule) in
-        [(NoDefect, None)].into_iter().chain(cases.map(|(defect, rule)| (defect, Some(rule))))
+    for (defect, rule) in [(Absent, None)].into_iter().chain(cases.map(|(defect, rule)| (defect, Some(rule))))
     {
         let (mut ledger, e) = SampleRun::ledger_with(defect);
         let found = check_ledger(&mut ledger, &e);
@@ -638,7 +639,7 @@
 
 #[test]
 fn a_ledger_survives_a_round_trip_through_json_lines() {
-    let (ledger, _) = SampleRun::ledger_with(Defect::NoDefect);
+    let (ledger, _) = SampleRun::ledger_with(Defect::Absent);
     let mut text = Vec::new();
     write_jsonl(&ledger, &mut text).unwrap();
     assert_eq!(read_jsonl(&text[..]).unwrap(), ledger);
--- a/crates/lab/src/fleet/file.rs
+++ b/crates/lab/src/fleet/file.rs
@@ -1,4 +1,5 @@
-//! Experiments with fleets as files: how many nodes, what goes wrong between them, what must hold.
+//! The file of an experiment with a fleet: the number of nodes, the faults between them and the limits that
+//! must hold.
 
 use crate::experiment::{FileError, Located};
 use serde::{Deserialize, Serialize};
@@ -6,44 +7,44 @@
 use std::fs;
 use std::path::Path;
 
-/// Nodes at the most: each is a process, and has a socket here.
-const MOST_NODES: usize = 100;
+/// The maximum number of nodes: each is a process and needs a socket of the relay.
+const MAX_NODES: usize = 100;
 
-/// One experiment.
+/// An experiment with a fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetFile {
-    /// The question that it answers, in a sentence.
+    /// The question that the experiment answers, in one sentence.
     pub question: String,
-    /// Processes at the start; they are called n0, n1, ...
+    /// The number of processes at the start, which are named n0, n1, ...
     pub nodes: usize,
-    /// How long faults go on (seconds), from the moment on at which all know each other.
+    /// How long faults occur (seconds), counted from the time at which all nodes know each other.
     pub duration_s: f64,
-    /// Nodes that all are told to ask to be let in. Default: the first two.
+    /// The nodes that every node contacts to join. Default: the first two.
     #[serde(default = "first_two")]
     pub seeds: Vec<usize>,
-    /// A death must be known to all that can know within so many seconds.
+    /// Every process that can detect a failure must do so within this time (seconds).
     #[serde(default = "twenty")]
     pub detect_within_s: f64,
-    /// Views must be the same so many seconds after the last fault.
+    /// All views must agree within this time after the last fault (seconds).
     #[serde(default = "sixty")]
     pub converge_within_s: f64,
-    /// A member that lives and has been in reach for so long (seconds) must not be called dead.
+    /// A running node that could be reached for this time (seconds) must not be declared dead.
     #[serde(default = "three")]
     pub in_reach_s: f64,
-    /// Bytes that a node may send in a second at the most.
+    /// The maximum number of bytes that a node may send in a second.
     #[serde(default = "bytes")]
     pub bytes_per_s: u64,
-    /// A stop of the lab's own beyond this makes a run void (ms).
+    /// A stall of the lab itself that is longer than this makes the run void (ms).
     #[serde(default = "late")]
     pub late_ms: u64,
-    /// `[fleet.timing]` of all nodes.
+    /// The `[fleet.timing]` settings of all nodes.
     #[serde(default)]
     pub timing: BTreeMap<String, u32>,
-    /// What goes wrong.
+    /// The faults.
     #[serde(default, rename = "fault")]
     pub faults: Vec<FleetFault>,
-    /// What must hold besides the rules: `METRIC OP NUMBER`, with the metrics of the last line.
+    /// What must hold besides the rules: `METRIC OP NUMBER`, with the metrics of the output's last line.
     #[serde(default, rename = "hold")]
     pub holds: Vec<FleetHold>,
 }
@@ -67,84 +68,86 @@
     500
 }
 
-/// One thing that goes wrong.
+/// A fault with its times and targets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetFault {
-    /// When (seconds).
+    /// When it begins (seconds).
     pub at_s: f64,
-    /// How long it lasts (seconds): what was killed or ended starts anew then. Without it, for good.
+    /// How long it lasts (seconds). A process that was killed or ended is started again at the end. Without a
+    /// value, the fault lasts to the end of the run.
     pub for_s: Option<f64>,
-    /// It comes again so often (seconds), up to the end.
+    /// The interval at which it occurs again (seconds), up to the end of the run.
     pub every_s: Option<f64>,
-    /// The nodes in question; all, if none are named.
+    /// The nodes that it affects; all, if none are named.
     #[serde(default)]
     pub who: Vec<usize>,
-    /// What.
+    /// The kind of fault.
     pub what: What,
 }
 
-/// What goes wrong.
+/// A kind of fault.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum What {
-    /// Killed outright.
+    /// The processes are killed (SIGKILL).
     Kill {},
-    /// Told to end (SIGTERM).
+    /// The processes are told to end (SIGTERM).
     End {},
-    /// Killed and started at once.
+    /// The processes are killed and started again immediately.
     Restart {},
-    /// Stands still (SIGSTOP, SIGCONT).
+    /// The processes are stopped and resumed (SIGSTOP, SIGCONT).
     Stop {},
-    /// A second process by that name.
+    /// A second process with the same node name is started.
     Twin {},
-    /// What they send to those named goes that way.
+    /// The links from these nodes to those in `to` get the given properties.
     Way {
-        /// To whom; all, if none are named.
+        /// The receiving nodes; all, if none are named.
         #[serde(default)]
         to: Vec<usize>,
-        /// Both ways.
+        /// The fault applies in both directions.
         #[serde(default)]
         both: bool,
-        /// How.
+        /// The properties of the links.
         way: Way,
     },
-    /// All that was said before is said again, as it was.
+    /// Earlier datagrams are sent again, unchanged.
     Replay {},
-    /// Strangers send them datagrams: noise, cut off, spoilt, of 64 KiB, and old ones of members.
+    /// A sender outside the fleet sends datagrams to the nodes: random bytes, truncated and corrupt ones,
+    /// some of 65 000 bytes, and old ones of members.
     Flood {
-        /// Datagrams a second, to each.
+        /// Datagrams per second to each node.
         per_s: u32,
     },
 }
 
-/// What the way from one to another does.
+/// The properties of the link from one node to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Way {
-    /// Nothing arrives.
+    /// No datagram arrives.
     pub cut: bool,
-    /// What is sent arrives when this is over.
+    /// Datagrams are held back until the fault is over.
     pub hold: bool,
-    /// Share that is lost.
+    /// The share of datagrams that is lost.
     pub loss: f64,
-    /// Share that comes twice.
+    /// The share of datagrams that is duplicated.
     pub double: f64,
-    /// Share with a byte changed.
+    /// The share of datagrams with one bit changed.
     pub spoil: f64,
-    /// Delay (ms).
+    /// The delay (ms).
     pub delay_ms: f64,
-    /// Up to so much more by chance (ms): what is sent later may come first.
+    /// The maximum additional random delay (ms), by which datagrams can be reordered.
     pub jitter_ms: f64,
 }
 
-/// One thing that must hold.
+/// A condition that must hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetHold {
     /// `METRIC OP NUMBER`, with OP one of `>= > <= < ==`.
     pub that: String,
-    /// Why it should.
+    /// Why it should hold.
     #[serde(default)]
     pub why: String,
 }
@@ -153,7 +156,7 @@
     /// Reads and checks a file.
     ///
     /// # Errors
-    /// The first thing that is wrong, with file, line and key.
+    /// Names the first error with file, line and key.
     pub fn read(path: &Path) -> Result<FleetFile, FileError> {
         let file = path.display().to_string();
         let text = fs::read_to_string(path).map_err(|e| FileError {
@@ -165,10 +168,10 @@
         FleetFile::parse(&file, &text)
     }
 
-    /// Checks a text.
+    /// Parses and checks a text.
     ///
     /// # Errors
-    /// As [`FleetFile::read`].
+    /// Those of [`FleetFile::read`].
     pub fn parse(name: &str, text: &str) -> Result<FleetFile, FileError> {
         let located = Located::new(name, text);
         let file: FleetFile = toml::from_str(text).map_err(|e| located.toml(&e))?;
@@ -178,13 +181,14 @@
         }
     }
 
+    /// The key and the description of the first error, if there is one.
     fn problem(&self) -> Option<(String, String)> {
         let wrong = |key: &str, what: String| Some((key.to_owned(), what));
-        if !(1..=MOST_NODES).contains(&self.nodes) {
-            return wrong("nodes", format!("{} is not within 1 to {MOST_NODES}", self.nodes));
+        if !(1..=MAX_NODES).contains(&self.nodes) {
+            return wrong("nodes", format!("{} is not within 1 to {MAX_NODES}", self.nodes));
         }
-        let strange = |all: &[usize]| all.iter().find(|n| **n >= self.nodes).copied();
-        if let Some(n) = strange(&self.seeds) {
+        let unknown = |all: &[usize]| all.iter().find(|n| **n >= self.nodes).copied();
+        if let Some(n) = unknown(&self.seeds) {
             return wrong("seeds", format!("there is no node {n}"));
         }
         if !(0.0..=86_400.0).contains(&self.duration_s) {
@@ -202,12 +206,12 @@
                 return wrong(&key("every_s"), "must be at least 0.05, and for_s no longer than that".into());
             }
             let to = if let What::Way { to, .. } = &fault.what { &to[..] } else { &[] };
-            if let Some(n) = strange(&fault.who).or_else(|| strange(to)) {
+            if let Some(n) = unknown(&fault.who).or_else(|| unknown(to)) {
                 return wrong(&key("who"), format!("there is no node {n}"));
             }
             match &fault.what {
                 What::Stop {} if fault.for_s.is_none() => {
-                    return wrong(&key("for_s"), "is missing: who stands still goes on some time".into());
+                    return wrong(&key("for_s"), "is missing: a stopped process has to be resumed".into());
                 }
                 What::Twin {} if fault.who.len() != 1 => {
                     return wrong(&key("who"), "must name one node".into());
@@ -217,7 +221,7 @@
                         if !(0.0..=1.0).contains(&share) {
                             return wrong(
                                 &key(&format!("what.way.way.{name}")),
-                                format!("{share} is no share"),
+                                format!("{share} is not within 0 to 1"),
                             );
                         }
                     }
@@ -237,7 +241,7 @@
         None
     }
 
-    /// The nodes that a fault names, or all.
+    /// The nodes that a fault names, or all nodes if it names none.
     pub(super) fn named(&self, who: &[usize]) -> Vec<usize> {
         if who.is_empty() { (0..self.nodes).collect() } else { who.to_vec() }
     }
--- a/crates/lab/src/fleet/processes.rs
+++ b/crates/lab/src/fleet/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of a fleet, and what each tells of the others.
+//! The processes of a fleet, and what each reports about the other nodes.
 
 use super::file::FleetFile;
 use super::history::{Row, State};
@@ -16,73 +16,78 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// A process that lives answers within this, however busy the machine is.
-const PATIENCE: Duration = Duration::from_secs(10);
-static DRAWN: AtomicU64 = AtomicU64::new(0);
+/// The timeout for a process's answer, which a running process keeps even on a busy machine.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+/// The number of addresses drawn so far.
+static ADDRESSES_DRAWN: AtomicU64 = AtomicU64::new(0);
 
-/// What a process told, and which one.
-pub(super) enum Told {
-    /// It is this one of its name.
+/// What a process reported, and which process.
+pub(super) enum Report {
+    /// The process's own start number.
     Own { process: usize, start: u64 },
-    /// What it holds a node to be has changed.
+    /// An entry of the process's view changed.
     Saw { process: usize, row: Row },
 }
 
-/// One process of a node, that runs or has ended.
+/// One process of a node, running or ended.
 pub(super) struct Member {
     pub(super) node: usize,
     pub(super) name: String,
     process: Process,
-    look: SocketAddr,
+    /// Where it answers queries for its view.
+    query_address: SocketAddr,
+    /// Tells the watcher thread to end.
     over: Arc<AtomicBool>,
     watcher: Option<JoinHandle<()>>,
     pub(super) stopped: bool,
     pub(super) gone: bool,
 }
 
-/// Where a process listens: an address of its own on loopback, so that no port is anybody else's.
-pub(super) struct Place {
+/// The addresses at which a process listens. Each process has a loopback address of its own, so that its
+/// ports collide with no others.
+pub(super) struct Endpoint {
     ip: Ipv4Addr,
 }
 
-impl Place {
-    pub(super) fn draw() -> Place {
-        let turn = DRAWN.fetch_add(1, Ordering::Relaxed);
-        let [a, b, c, ..] = mix(u64::from(std::process::id()) << 32 | turn).to_le_bytes();
-        Place { ip: Ipv4Addr::new(127, 128 + a % 64, b, c.clamp(1, 254)) }
+impl Endpoint {
+    pub(super) fn draw() -> Endpoint {
+        let number = ADDRESSES_DRAWN.fetch_add(1, Ordering::Relaxed);
+        let [a, b, c, ..] = mix(u64::from(std::process::id()) << 32 | number).to_le_bytes();
+        Endpoint { ip: Ipv4Addr::new(127, 128 + a % 64, b, c.clamp(1, 254)) }
     }
 
     fn at(&self, port: u16) -> SocketAddr {
         SocketAddr::new(IpAddr::V4(self.ip), port)
     }
 
-    /// Where datagrams come in.
+    /// Where the process receives datagrams.
     pub(super) fn datagrams(&self) -> SocketAddr {
         self.at(7946)
     }
 }
 
-/// What a process is told.
-pub(super) struct Start<'a> {
+/// How a process is started.
+pub(super) struct StartOptions<'a> {
     pub(super) command: &'a str,
     pub(super) file: &'a FleetFile,
     pub(super) dir: &'a Path,
     pub(super) process: usize,
     pub(super) node: usize,
-    pub(super) place: &'a Place,
-    /// Where others send to it.
+    pub(super) endpoint: &'a Endpoint,
+    /// The address of the relay at which others send to it.
     pub(super) advertise: SocketAddr,
     pub(super) seeds: &'a [SocketAddr],
 }
 
 impl Member {
-    /// Starts one, and listens to what it tells.
-    pub(super) fn start(start: &Start<'_>, told: mpsc::Sender<Told>) -> Result<Member, RunError> {
-        let Start { file, dir, process, node, place, .. } = start;
+    /// Starts a process, and a thread that passes on its reports.
+    pub(super) fn start(start: &StartOptions<'_>, reports: mpsc::Sender<Report>) -> Result<Member, RunError> {
+        let StartOptions { file, dir, process, node, endpoint, .. } = start;
         let name = format!("n{node}");
-        let look = place.at(7947);
+        let query_address = endpoint.at(7947);
         let platform = json!({
-            "name": name, "listen": place.at(11_211).to_string(), "discovery": place.at(8500).to_string(),
+            "name": name, "listen": endpoint.at(11_211).to_string(),
+            "discovery": endpoint.at(8500).to_string(),
             "limits": { "memory_mb": 192, "sockets": 256 },
             "settings": {
                 "zones": ["z"], "host-types": ["cache", "origin"], "siblings": 1, "discovery": "subscribe",
@@ -93,9 +98,10 @@
         });
         let seeds: Vec<String> = start.seeds.iter().map(SocketAddr::to_string).collect();
         let mut operators = format!(
-            "[fleet]\nlisten = \"{}\"\nadvertise = \"{}\"\nseeds = {seeds:?}\nexpected = {}\nlook = \"{look}\"\n\
+            "[fleet]\nlisten = \"{}\"\nadvertise = \"{}\"\nseeds = {seeds:?}\nexpected = {}\n\
+             look = \"{query_address}\"\n\
              [fleet.timing]\n",
-            place.datagrams(),
+            endpoint.datagrams(),
             start.advertise,
             file.nodes
         );
@@ -114,13 +120,13 @@
         let over = Arc::new(AtomicBool::new(false));
         let watcher = {
             let (over, process) = (over.clone(), *process);
-            std::thread::spawn(move || listen(look, process, &over, &told))
+            std::thread::spawn(move || watch(query_address, process, &over, &reports))
         };
         Ok(Member {
             node: *node,
             name,
             process: running,
-            look,
+            query_address,
             over,
             watcher: Some(watcher),
             stopped: false,
@@ -136,15 +142,15 @@
         self.process.kill();
     }
 
-    /// It has ended.
+    /// Whether the process has ended.
     pub(super) fn has_ended(&mut self) -> bool {
         self.process.ended().is_some()
     }
 
-    /// All that it holds others to be, now.
+    /// The process's complete current view.
     pub(super) fn view(&self) -> Option<Vec<Row>> {
-        let mut stream = TcpStream::connect_timeout(&self.look, PATIENCE).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        let mut stream = TcpStream::connect_timeout(&self.query_address, ANSWER_TIMEOUT).ok()?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
         stream.write_all(b"members\n").ok()?;
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line).ok()?;
@@ -176,13 +182,13 @@
     })
 }
 
-/// Calls a process until it answers, and passes on what it tells until it ends.
-fn listen(at: SocketAddr, process: usize, over: &AtomicBool, told: &mpsc::Sender<Told>) {
+/// Connects to a process, retrying until that succeeds, and passes on its reports until it ends.
+fn watch(at: SocketAddr, process: usize, over: &AtomicBool, reports: &mpsc::Sender<Report>) {
     let stream = loop {
         if over.load(Ordering::Relaxed) {
             return;
         }
-        match TcpStream::connect_timeout(&at, PATIENCE) {
+        match TcpStream::connect_timeout(&at, ANSWER_TIMEOUT) {
             Ok(stream) => break stream,
             Err(_) => std::thread::sleep(Duration::from_millis(5)),
         }
@@ -190,7 +196,7 @@
     if (&stream).write_all(b"watch\n").is_err() {
         return;
     }
-    // The process's end is the stream's; nobody waits for a line that does not come.
+    // Reading needs no timeout: the stream ends with the process.
     for line in BufReader::new(stream).lines().map_while(Result::ok) {
         let Ok(value) = serde_json::from_str::<Value>(&line) else { return };
         let all = match &value {
@@ -201,9 +207,9 @@
             let own = one.get("own").is_some();
             let raised = one.get("change").and_then(Value::as_str) == Some("raised");
             let sent = match (row(&one), one.get("start").and_then(Value::as_u64)) {
-                (Some(row), _) if own => told.send(Told::Own { process, start: row.start }),
-                (Some(row), _) => told.send(Told::Saw { process, row }),
-                (None, Some(start)) if raised => told.send(Told::Own { process, start }),
+                (Some(row), _) if own => reports.send(Report::Own { process, start: row.start }),
+                (Some(row), _) => reports.send(Report::Saw { process, row }),
+                (None, Some(start)) if raised => reports.send(Report::Own { process, start }),
                 _ => Ok(()),
             };
             if sent.is_err() {
--- a/crates/lab/src/fleet/result.rs
+++ b/crates/lab/src/fleet/result.rs
@@ -1,40 +1,41 @@
-//! What a run was worth: the last line of its output.
+//! The metrics and the verdict of a run, which are the last line of its output.
 
 use super::file::FleetHold;
 use super::history::{History, Seen};
 use crate::check::fleet::{FleetRule, FleetViolation, check, detections};
 use serde::Serialize;
 
-/// The figures of a run and its verdict.
+/// The metrics of a run and its verdict.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Outcome {
-    /// All rules and all holds were kept, and the run counts.
+    /// All rules and conditions hold, and the run is valid.
     pub ok: bool,
-    /// Rules that were broken, all times together.
+    /// The number of violations of all rules together.
     pub rules_broken: usize,
-    /// The lab itself was too late for the run to count.
+    /// The lab itself was too slow for the run to count.
     pub void: bool,
-    /// Until a death was known to those that can know, median (ms); none if nobody died.
+    /// The median time until a failure was detected, over all processes that could (ms); none if no node
+    /// failed.
     pub detect_p50_ms: Option<f64>,
-    /// The same, 99 of 100.
+    /// The 99th percentile of that time (ms).
     pub detect_p99_ms: Option<f64>,
-    /// Verdicts on such as live and are in reach.
+    /// The number of times that a node was declared dead although it ran and could be reached.
     pub false_dead: usize,
-    /// From the last fault until all views were the same (ms).
+    /// The time from the last fault until all views agreed (ms).
     pub converge_ms: Option<f64>,
-    /// Bytes that a node sent in a second, on the mean.
+    /// The mean number of bytes that a node sent per second.
     pub bytes_per_s_per_node: f64,
-    /// What was broken, and which holds were not kept.
+    /// The violations, and the conditions that do not hold, as lines of text.
     #[serde(skip)]
     pub told: Vec<String>,
 }
 
-/// Judges a history.
+/// Checks a history and computes its metrics.
 #[must_use]
 pub fn judge(history: &History) -> Outcome {
     let violations: Vec<FleetViolation> = check(history);
     let times = detections(history);
-    let part = |p: f64| {
+    let percentile = |p: f64| {
         let at = ((times.len() as f64 * p).ceil() as usize).clamp(1, times.len().max(1)) - 1;
         times.get(at).map(|t| *t as f64 / 1e3)
     };
@@ -52,17 +53,18 @@
         ok: false,
         rules_broken: violations.len(),
         void: late,
-        detect_p50_ms: part(0.5),
-        detect_p99_ms: part(0.99),
+        detect_p50_ms: percentile(0.5),
+        detect_p99_ms: percentile(0.99),
         false_dead: violations.iter().filter(|v| v.rule == FleetRule::FalseDead).count(),
         converge_ms: calm.zip(viewed).filter(|_| agreed).map(|(calm, at)| (at - calm) as f64 / 1e3),
         bytes_per_s_per_node: sent.iter().sum::<u64>() as f64 / sent.len().max(1) as f64,
         told: violations.iter().map(FleetViolation::to_string).collect(),
     };
-    let holds = history.file.holds.iter().filter(|hold| !holds(hold, &outcome));
-    let kept: Vec<String> = holds.map(|hold| format!("does not hold: {}: {}", hold.that, hold.why)).collect();
-    outcome.ok = !late && outcome.rules_broken == 0 && kept.is_empty();
-    outcome.told.extend(kept);
+    let failed = history.file.holds.iter().filter(|hold| !holds(hold, &outcome));
+    let failures: Vec<String> =
+        failed.map(|hold| format!("does not hold: {}: {}", hold.that, hold.why)).collect();
+    outcome.ok = !late && outcome.rules_broken == 0 && failures.is_empty();
+    outcome.told.extend(failures);
     outcome
 }
 
@@ -70,7 +72,7 @@
     Condition::parse(&hold.that).is_ok_and(|condition| condition.holds(outcome))
 }
 
-/// `METRIC OP NUMBER`.
+/// A parsed condition `METRIC OP NUMBER`.
 pub(super) struct Condition {
     metric: fn(&Outcome) -> Option<f64>,
     op: fn(f64, f64) -> bool,
@@ -81,7 +83,7 @@
     pub(super) fn parse(text: &str) -> Result<Condition, String> {
         let words: Vec<&str> = text.split_whitespace().collect();
         let [metric, op, number] = words[..] else {
-            return Err(format!("{text:?} does not read METRIC OP NUMBER"));
+            return Err(format!("{text:?} does not have the form METRIC OP NUMBER"));
         };
         let metric: fn(&Outcome) -> Option<f64> = match metric {
             "rules_broken" => |o| Some(o.rules_broken as f64),
@@ -98,13 +100,13 @@
             "<=" => |a, b| a <= b,
             "<" => |a, b| a < b,
             "==" => |a, b| a == b,
-            other => return Err(format!("{other:?} is none of >= > <= < ==")),
+            other => return Err(format!("{other:?} is not one of >= > <= < ==")),
         };
-        let number = number.parse().map_err(|_| format!("{number:?} is no number"))?;
+        let number = number.parse().map_err(|_| format!("{number:?} is not a number"))?;
         Ok(Condition { metric, op, number })
     }
 
-    /// A figure that there is not holds nothing: the run did not show it.
+    /// A condition on a metric without a value does not hold, since the run did not show it.
     fn holds(&self, outcome: &Outcome) -> bool {
         (self.metric)(outcome).is_some_and(|value| (self.op)(value, self.number))
     }
--- a/crates/lab/src/soak/system_calls.rs
+++ b/crates/lab/src/soak/system_calls.rs
@@ -1,6 +1,6 @@
-//! The system calls that fail in a soak: which, how, how often and when, drawn from its seed.
+//! The system calls that fail in a soak test, drawn from its seed: which, in what way, how often and when.
 
-use super::{SWITCHED_ON, between};
+use super::{ENABLED_SHARE, between};
 use lapisrudder_fault_shim::errno::{
     EADDRNOTAVAIL, EAGAIN, ECANCELED, ECONNABORTED, EINTR, EIO, EMFILE, ENFILE, ENOBUFS, ENOMEM, ENOSPC,
 };
@@ -11,34 +11,36 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// How a call can fail.
+/// In which way a call fails.
 #[derive(Clone, Copy)]
-enum How {
-    /// With this error.
+enum Failure {
+    /// The call returns this error.
     Error(i32),
-    /// It moves a part of its bytes.
+    /// The call transfers a part of its bytes.
     Short,
-    /// It moves one byte.
+    /// The call transfers one byte.
     OneByte,
-    /// The wall clock reads so many seconds more.
+    /// The wall clock is ahead by this many seconds, or behind if negative.
     Step(i64),
 }
 
-impl How {
-    fn word(self) -> u64 {
+impl Failure {
+    /// The failure as the shim's table stores it.
+    fn code(self) -> u64 {
         match self {
-            How::Error(errno) => u64::from(errno.unsigned_abs()),
-            How::Short => table::SHORT,
-            How::OneByte => table::ONE_BYTE,
-            How::Step(seconds) => seconds.cast_unsigned(),
+            Failure::Error(errno) => u64::from(errno.unsigned_abs()),
+            Failure::Short => table::SHORT,
+            Failure::OneByte => table::ONE_BYTE,
+            Failure::Step(seconds) => seconds.cast_unsigned(),
         }
     }
 }
 
-use How::{Error, OneByte, Short, Step};
+use Failure::{Error, OneByte, Short, Step};
 
-/// Calls that a node makes all the time, so that a play without failures of one that is on tells of something wrong.
-const KINDS: &[(Call, &[How])] = &[
+/// The calls that can fail, each with its kinds of failure. A node makes all of them all the time: a run in
+/// which an enabled call never failed shows that the fault injection does not work.
+const KINDS: &[(Call, &[Failure])] = &[
     (
         Call::Accept,
         &[Error(EMFILE), Error(ENFILE), Error(ENOBUFS), Error(ENOMEM), Error(ECONNABORTED), Error(EINTR)],
@@ -62,25 +64,25 @@
     (Call::WallClock, &[Step(3600), Step(-3600)]),
 ];
 
-/// The rules of a seed. One of `leave_out` is on in none: for telling which fault breaks a play.
+/// The rules of a seed, without the calls in `leave_out`. Leaving calls out shows which failure breaks a run.
 pub fn system_call_rules(seed: u64, leave_out: &[Call]) -> Vec<Rule> {
     let draws = &mut stream(seed, "soak system calls", 0);
     let mut rules = Vec::new();
-    for (call, ways) in KINDS {
-        let how = ways[draws.random_range(0..ways.len())];
+    for (call, failures) in KINDS {
+        let failure = failures[draws.random_range(0..failures.len())];
         let period = draws.random_range(1000..4000);
         let lasts = draws.random_range(100..900);
         let rate = between(draws, 0.02, 0.3);
         let burst = draws.random_range(1..=5);
-        if draws.random_bool(SWITCHED_ON) && !leave_out.contains(call) {
+        if draws.random_bool(ENABLED_SHARE) && !leave_out.contains(call) {
             let window_ms = Some((period, lasts));
-            rules.push(Rule { error: how.word(), burst, window_ms, ..Rule::often(*call, 0, rate) });
+            rules.push(Rule { error: failure.code(), burst, window_ms, ..Rule::often(*call, 0, rate) });
         }
     }
     rules
 }
 
-/// A folder in which each process of a node keeps a table of its own.
+/// A folder with a table of rules and counters for each node process.
 #[derive(Debug)]
 pub struct Tables {
     folder: PathBuf,
@@ -88,10 +90,10 @@
 }
 
 impl Tables {
-    /// Writes the template that processes copy.
+    /// Writes the template that each process copies.
     ///
     /// # Errors
-    /// It cannot be written.
+    /// The template cannot be written.
     pub fn new(folder: &Path, seed: u64, leave_out: &[Call]) -> io::Result<Tables> {
         fs::create_dir_all(folder)?;
         let mut template = Control::create(&folder.join(table::TEMPLATE), seed)?;
@@ -100,7 +102,7 @@
         Ok(Tables { folder: folder.into(), calls: rules.iter().map(|rule| rule.call).collect() })
     }
 
-    /// How often each call that is to fail did, in all processes together.
+    /// How often each enabled call failed, in all processes together.
     ///
     /// # Errors
     /// A table cannot be read.
