--- a/crates/lab/src/check/fleet/boundaries.rs
+++ b/crates/lab/src/check/fleet/boundaries.rs
@@ -2,7 +2,7 @@
 
 use super::{FleetRule, check};
 use crate::Micros;
-use crate::fleet::{FleetFile, History, Record, Row, Seen, State, read, write};
+use crate::fleet::{FleetEvent, FleetFile, History, Record, Row, State, read, write};
 
 const S: Micros = 1_000_000;
 
@@ -13,24 +13,24 @@
     let file = FleetFile::parse("t", text).unwrap();
     let mut history = History { file, records: Vec::new() };
     for process in 0..4 {
-        add(&mut history, 0, Seen::Started { process, name: format!("n{process}") });
-        add(&mut history, S / 2, Seen::Own { process, start: 100 + process as u64 });
+        add(&mut history, 0, FleetEvent::Started { process, name: format!("n{process}") });
+        add(&mut history, S / 2, FleetEvent::OwnStart { process, start: 100 + process as u64 });
     }
     for process in 0..4 {
         for of in (0..4).filter(|of| *of != process) {
             saw(&mut history, S, process, of, State::Alive, 0);
         }
-        add(&mut history, 2 * S, Seen::Sent { process, bytes: 800 });
-        add(&mut history, 2 * S, Seen::Stranger { process, sent: 900, back: 900 });
+        add(&mut history, 2 * S, FleetEvent::Sent { process, bytes: 800 });
+        add(&mut history, 2 * S, FleetEvent::OutsiderTraffic { process, sent: 900, back: 900 });
     }
-    add(&mut history, 40 * S, Seen::Calm {});
+    add(&mut history, 40 * S, FleetEvent::FaultsOver {});
     views(&mut history, 41 * S, &[0, 1, 2, 3]);
     history
 }
 
-fn add(history: &mut History, at: Micros, seen: Seen) {
+fn add(history: &mut History, at: Micros, event: FleetEvent) {
     let position = history.records.partition_point(|r| r.at <= at);
-    history.records.insert(position, Record { at, seen });
+    history.records.insert(position, Record { at, event });
 }
 
 fn row(of: usize, state: State, incarnation: u64) -> Row {
@@ -38,14 +38,14 @@
 }
 
 fn saw(history: &mut History, at: Micros, by: usize, of: usize, state: State, incarnation: u64) {
-    add(history, at, Seen::Saw { process: by, row: row(of, state, incarnation) });
+    add(history, at, FleetEvent::ViewChanged { process: by, row: row(of, state, incarnation) });
 }
 
 fn views(history: &mut History, at: Micros, of: &[usize]) {
-    history.records.retain(|r| !matches!(r.seen, Seen::View { .. }));
+    history.records.retain(|r| !matches!(r.event, FleetEvent::View { .. }));
     for process in of {
         let rows = of.iter().map(|n| row(*n, State::Alive, 0)).collect();
-        add(history, at, Seen::View { process: *process, rows });
+        add(history, at, FleetEvent::View { process: *process, rows });
     }
 }
 
@@ -61,8 +61,8 @@
 /// Process 3 is killed at 10 s, and each of the others declares it dead at the given time.
 fn killed(known: [Option<Micros>; 3]) -> History {
     let mut history = without_violations();
-    add(&mut history, 10 * S, Seen::Told { process: 3, killed: true });
-    add(&mut history, 10 * S, Seen::Ended { process: 3 });
+    add(&mut history, 10 * S, FleetEvent::Signalled { process: 3, killed: true });
+    add(&mut history, 10 * S, FleetEvent::Ended { process: 3 });
     for (by, at) in known.into_iter().enumerate() {
         at.into_iter().for_each(|at| saw(&mut history, at, by, 3, State::Dead, 0));
     }
@@ -82,8 +82,8 @@
         // Process 3 is cut off from all others until `open`.
         for to in 0..3 {
             for (from, to) in [(3, to), (to, 3)] {
-                add(&mut history, 5 * S, Seen::Cut { from, to, cut: true });
-                add(&mut history, open, Seen::Cut { from, to, cut: false });
+                add(&mut history, 5 * S, FleetEvent::Cut { from, to, cut: true });
+                add(&mut history, open, FleetEvent::Cut { from, to, cut: false });
             }
         }
         saw(&mut history, 20 * S, 0, 3, State::Dead, 0);
@@ -95,12 +95,12 @@
     // With one link cut in one direction, process 3 is still reachable through others. A stopped process is
     // not.
     let mut history = without_violations();
-    add(&mut history, 5 * S, Seen::Cut { from: 3, to: 0, cut: true });
+    add(&mut history, 5 * S, FleetEvent::Cut { from: 3, to: 0, cut: true });
     saw(&mut history, 20 * S, 0, 3, State::Dead, 0);
     saw(&mut history, 21 * S, 0, 3, State::Alive, 1);
     assert_eq!(rules(&history), [FleetRule::FalseDead]);
-    add(&mut history, 18 * S, Seen::Stopped { process: 3 });
-    add(&mut history, 19 * S, Seen::Continued { process: 3 });
+    add(&mut history, 18 * S, FleetEvent::Stopped { process: 3 });
+    add(&mut history, 19 * S, FleetEvent::Continued { process: 3 });
     assert_eq!(rules(&history), []);
 }
 
@@ -113,8 +113,8 @@
     // A process that could reach no other one meanwhile cannot detect the failure.
     let mut alone = killed([a, None, c]);
     for to in [0, 2] {
-        add(&mut alone, 11 * S, Seen::Cut { from: 1, to, cut: true });
-        add(&mut alone, 30 * S, Seen::Cut { from: 1, to, cut: false });
+        add(&mut alone, 11 * S, FleetEvent::Cut { from: 1, to, cut: true });
+        add(&mut alone, 30 * S, FleetEvent::Cut { from: 1, to, cut: false });
     }
     assert_eq!(rules(&alone), []);
 }
@@ -130,7 +130,7 @@
     views(&mut fewer, 41 * S, &[0, 1, 2]);
     assert_eq!(rules(&fewer), [FleetRule::Converged]);
     let mut never = without_violations();
-    never.records.retain(|r| r.seen != Seen::Calm {});
+    never.records.retain(|r| r.event != FleetEvent::FaultsOver {});
     assert_eq!(rules(&never), [FleetRule::Converged]);
 }
 
@@ -138,8 +138,8 @@
 fn a_dead_node_needs_a_greater_incarnation_and_none_decreases() {
     let then = |state, incarnation| {
         let mut history = without_violations();
-        add(&mut history, 5 * S, Seen::Stopped { process: 3 });
-        add(&mut history, 12 * S, Seen::Continued { process: 3 });
+        add(&mut history, 5 * S, FleetEvent::Stopped { process: 3 });
+        add(&mut history, 12 * S, FleetEvent::Continued { process: 3 });
         saw(&mut history, 10 * S, 0, 3, State::Dead, 4);
         saw(&mut history, 13 * S, 0, 3, state, incarnation);
         rules(&history)
@@ -152,14 +152,14 @@
 
 #[test]
 fn bytes_sent_are_bounded_per_second_and_towards_non_members() {
-    let sends = |seen| {
+    let sends = |event| {
         let mut history = without_violations();
-        add(&mut history, 3 * S, seen);
+        add(&mut history, 3 * S, event);
         rules(&history)
     };
-    assert_eq!(sends(Seen::Sent { process: 1, bytes: 20_000 }), []);
-    assert_eq!(sends(Seen::Sent { process: 1, bytes: 20_001 }), [FleetRule::Bounded]);
-    assert_eq!(sends(Seen::Stranger { process: 1, sent: 900, back: 901 }), [FleetRule::Bounded]);
+    assert_eq!(sends(FleetEvent::Sent { process: 1, bytes: 20_000 }), []);
+    assert_eq!(sends(FleetEvent::Sent { process: 1, bytes: 20_001 }), [FleetRule::Bounded]);
+    assert_eq!(sends(FleetEvent::OutsiderTraffic { process: 1, sent: 900, back: 901 }), [FleetRule::Bounded]);
 }
 
 #[test]
--- a/crates/lab/src/check/fleet/bounded.rs
+++ b/crates/lab/src/check/fleet/bounded.rs
@@ -2,16 +2,16 @@
 //! allows, and to a sender that is no member never more than came from it.
 
 use super::{FleetRule, FleetViolation};
-use crate::fleet::{History, Record, Seen};
+use crate::fleet::{FleetEvent, History, Record};
 
 pub(super) fn check(history: &History) -> Vec<FleetViolation> {
     let limit = history.file.bytes_per_s;
-    let violation = |Record { at, seen }: &Record| {
-        let what = match seen {
-            Seen::Sent { process, bytes } if *bytes > limit => {
+    let violation = |Record { at, event }: &Record| {
+        let what = match event {
+            FleetEvent::Sent { process, bytes } if *bytes > limit => {
                 format!("process {process} sends {bytes} bytes in a second, over {limit}")
             }
-            Seen::Stranger { process, sent, back } if back > sent => {
+            FleetEvent::OutsiderTraffic { process, sent, back } if back > sent => {
                 format!("process {process} sends {back} bytes to non-members for {sent} received")
             }
             _ => return None,
--- a/crates/lab/src/check/fleet/converged.rs
+++ b/crates/lab/src/check/fleet/converged.rs
@@ -3,7 +3,7 @@
 
 use super::lives::Lives;
 use super::{FleetRule, FleetViolation};
-use crate::fleet::{History, Record, Seen, State};
+use crate::fleet::{FleetEvent, History, Record, State};
 use crate::{Micros, seconds};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,14 +11,15 @@
 type Alive = BTreeSet<(String, u64)>;
 
 pub(super) fn check(history: &History, lives: &Lives) -> Vec<FleetViolation> {
-    let Some(calm) = history.records.iter().rfind(|r| r.seen == Seen::Calm {}).map(|r| r.at) else {
+    let Some(calm) = history.records.iter().rfind(|r| r.event == FleetEvent::FaultsOver {}).map(|r| r.at)
+    else {
         let what = "the history has no record of the end of its faults".into();
         return vec![FleetViolation { rule: FleetRule::Converged, at: lives.end, what }];
     };
     let until = calm + seconds(history.file.converge_within_s);
     let mut views: BTreeMap<usize, (Micros, Alive, bool)> = BTreeMap::new();
-    for Record { at, seen } in &history.records {
-        if let Seen::View { process, rows } = seen
+    for Record { at, event } in &history.records {
+        if let FleetEvent::View { process, rows } = event
             && *at >= calm
         {
             let alive = rows.iter().filter(|r| r.state == State::Alive);
--- a/crates/lab/src/check/fleet/detected.rs
+++ b/crates/lab/src/check/fleet/detected.rs
@@ -7,7 +7,7 @@
 use super::lives::Lives;
 use super::{FleetRule, FleetViolation};
 use crate::Micros;
-use crate::fleet::{History, Record, Seen, State};
+use crate::fleet::{FleetEvent, History, Record, State};
 use crate::seconds;
 
 /// A failure that one process had to detect.
@@ -38,14 +38,14 @@
         for by in (0..lives.all.len()).filter(|p| runs(*p)) {
             let has_peer =
                 (0..lives.all.len()).any(|o| o != by && runs(o) && lives.connected(by, o, since, until));
-            let about_node = |r: &&Record| match &r.seen {
-                Seen::Saw { process, row } => *process == by && row.name == life.name,
+            let about_node = |r: &&Record| match &r.event {
+                FleetEvent::ViewChanged { process, row } => *process == by && row.name == life.name,
                 _ => false,
             };
             let is_start = |start: u64| life.starts.iter().any(|s| s.1 == start);
             let knew = history.records.iter().filter(about_node).any(|r| r.at <= since);
             let known = history.records.iter().filter(about_node).filter(|r| r.at > since).find(|r| {
-                matches!(&r.seen, Seen::Saw { row, .. }
+                matches!(&r.event, FleetEvent::ViewChanged { row, .. }
                     if is_start(row.start) && matches!(row.state, State::Dead | State::Left))
             });
             if has_peer && knew {
--- a/crates/lab/src/check/fleet/false_dead.rs
+++ b/crates/lab/src/check/fleet/false_dead.rs
@@ -6,14 +6,14 @@
 
 use super::lives::Lives;
 use super::{FleetRule, FleetViolation};
-use crate::fleet::{History, Record, Seen, State};
+use crate::fleet::{FleetEvent, History, Record, State};
 use crate::seconds;
 
 pub(super) fn check(history: &History, lives: &Lives) -> Vec<FleetViolation> {
     let span = seconds(history.file.in_reach_s);
     let mut found = Vec::new();
-    for Record { at, seen } in &history.records {
-        let Seen::Saw { process, row } = seen else { continue };
+    for Record { at, event } in &history.records {
+        let FleetEvent::ViewChanged { process, row } = event else { continue };
         let Some(of) = lives.find(&row.name, row.start).filter(|_| row.state == State::Dead) else {
             continue;
         };
--- a/crates/lab/src/check/fleet/lives.rs
+++ b/crates/lab/src/check/fleet/lives.rs
@@ -2,7 +2,7 @@
 //! report.
 
 use crate::Micros;
-use crate::fleet::{History, Record, Seen};
+use crate::fleet::{FleetEvent, History, Record};
 use std::collections::BTreeMap;
 
 /// The lifetime of a process.
@@ -33,22 +33,26 @@
 impl Lives {
     pub(super) fn of(history: &History) -> Lives {
         let mut lives = Lives::default();
-        for Record { at, seen } in &history.records {
+        for Record { at, event } in &history.records {
             lives.end = *at;
-            match seen {
-                Seen::Started { name, .. } => {
+            match event {
+                FleetEvent::Started { name, .. } => {
                     lives.all.push(Life { name: name.clone(), began: *at, ..Life::default() });
                 }
-                Seen::Own { process, start } => lives.change(*process, |l| l.starts.push((*at, *start))),
-                Seen::Told { process, killed } => {
+                FleetEvent::OwnStart { process, start } => {
+                    lives.change(*process, |l| l.starts.push((*at, *start)))
+                }
+                FleetEvent::Signalled { process, killed } => {
                     lives.change(*process, |l| _ = l.signalled.get_or_insert((*at, *killed)));
                 }
-                Seen::Ended { process } => lives.change(*process, |l| l.ended = Some(*at)),
-                Seen::Stopped { process } => lives.change(*process, |l| l.stops.push((*at, Micros::MAX))),
-                Seen::Continued { process } => {
+                FleetEvent::Ended { process } => lives.change(*process, |l| l.ended = Some(*at)),
+                FleetEvent::Stopped { process } => {
+                    lives.change(*process, |l| l.stops.push((*at, Micros::MAX)))
+                }
+                FleetEvent::Continued { process } => {
                     lives.change(*process, |l| l.stops.last_mut().into_iter().for_each(|s| s.1 = *at));
                 }
-                Seen::Cut { from, to, cut } => {
+                FleetEvent::Cut { from, to, cut } => {
                     let cuts = lives.cuts.entry((*from, *to)).or_default();
                     match cuts.last_mut() {
                         Some(last) if last.1 == Micros::MAX && !cut => last.1 = *at,
--- a/crates/lab/src/check/fleet/revived.rs
+++ b/crates/lab/src/check/fleet/revived.rs
@@ -2,14 +2,14 @@
 //! had left becomes alive again only with a greater one.
 
 use super::{FleetRule, FleetViolation};
-use crate::fleet::{History, Record, Row, Seen, State};
+use crate::fleet::{FleetEvent, History, Record, Row, State};
 use std::collections::BTreeMap;
 
 pub(super) fn check(history: &History) -> Vec<FleetViolation> {
     let mut known: BTreeMap<(usize, &str), &Row> = BTreeMap::new();
     let mut found = Vec::new();
-    for Record { at, seen } in &history.records {
-        let Seen::Saw { process, row } = seen else { continue };
+    for Record { at, event } in &history.records {
+        let FleetEvent::ViewChanged { process, row } = event else { continue };
         let Some(before) = known.insert((*process, &row.name), row) else { continue };
         let (old, new) = ((before.start, before.incarnation), (row.start, row.incarnation));
         let absent = |r: &Row| matches!(r.state, State::Dead | State::Left);
--- a/crates/lab/src/cli/fleet.rs
+++ b/crates/lab/src/cli/fleet.rs
@@ -37,7 +37,7 @@
     pub(super) fn call(&self) -> Result<ExitCode, Failed> {
         let history = if self.again { self.written()? } else { self.played()? };
         let outcome = judge(&history);
-        outcome.told.iter().for_each(|line| println!("{line}"));
+        outcome.failures.iter().for_each(|line| println!("{line}"));
         println!("{}", serde_json::to_string(&outcome)?);
         Ok(match (outcome.void, outcome.ok) {
             (true, _) => ExitCode::from(VOID),
--- a/crates/lab/src/fleet/history.rs
+++ b/crates/lab/src/fleet/history.rs
@@ -37,7 +37,7 @@
 /// Something that the lab did or observed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case")]
-pub enum Seen {
+pub enum FleetEvent {
     /// The lab started a process of a node.
     Started {
         /// The number of the process, from 0.
@@ -46,14 +46,16 @@
         name: String,
     },
     /// A process reported its own start number.
-    Own {
+    #[serde(rename = "own")]
+    OwnStart {
         /// The process.
         process: usize,
         /// Its start number.
         start: u64,
     },
     /// The lab sent a process SIGKILL or SIGTERM.
-    Told {
+    #[serde(rename = "told")]
+    Signalled {
         /// The process.
         process: usize,
         /// By SIGKILL; otherwise the process has time to announce that it leaves.
@@ -84,7 +86,8 @@
         cut: bool,
     },
     /// The view of a process changed.
-    Saw {
+    #[serde(rename = "saw")]
+    ViewChanged {
         /// The process.
         process: usize,
         /// The changed entry of its view.
@@ -106,7 +109,8 @@
         bytes: u64,
     },
     /// Bytes that senders outside the fleet have sent to a process so far, and received from it.
-    Stranger {
+    #[serde(rename = "stranger")]
+    OutsiderTraffic {
         /// The process.
         process: usize,
         /// Bytes sent to the process.
@@ -120,7 +124,8 @@
         ms: u64,
     },
     /// The last fault has ended.
-    Calm {},
+    #[serde(rename = "calm")]
+    FaultsOver {},
 }
 
 /// One record with its time.
@@ -130,7 +135,7 @@
     pub at: Micros,
     /// What the lab did or observed.
     #[serde(flatten)]
-    pub seen: Seen,
+    pub event: FleetEvent,
 }
 
 /// All records of a run.
@@ -220,36 +225,36 @@
         if records.last().is_some_and(|before| before.at > record.at) {
             return Err(wrong(line, "the record is earlier than the one before".into()));
         }
-        match record.seen {
-            Seen::Started { process, .. } if process == processes => processes += 1,
-            Seen::Started { process, .. } => {
+        match record.event {
+            FleetEvent::Started { process, .. } if process == processes => processes += 1,
+            FleetEvent::Started { process, .. } => {
                 return Err(wrong(line, format!("process number {process} is out of sequence")));
             }
             _ => {}
         }
-        if record.seen.processes().into_iter().any(|p| p >= processes) {
+        if record.event.processes().into_iter().any(|p| p >= processes) {
             return Err(wrong(line, "the record names a process that was not started".into()));
         }
         records.push(record);
     }
 }
 
-impl Seen {
+impl FleetEvent {
     /// The processes that the record names.
     fn processes(&self) -> Vec<usize> {
         match self {
-            Seen::Started { process, .. }
-            | Seen::Own { process, .. }
-            | Seen::Told { process, .. }
-            | Seen::Ended { process }
-            | Seen::Stopped { process }
-            | Seen::Continued { process }
-            | Seen::Saw { process, .. }
-            | Seen::View { process, .. }
-            | Seen::Sent { process, .. }
-            | Seen::Stranger { process, .. } => vec![*process],
-            Seen::Cut { from, to, .. } => vec![*from, *to],
-            Seen::Late { .. } | Seen::Calm {} => vec![],
+            FleetEvent::Started { process, .. }
+            | FleetEvent::OwnStart { process, .. }
+            | FleetEvent::Signalled { process, .. }
+            | FleetEvent::Ended { process }
+            | FleetEvent::Stopped { process }
+            | FleetEvent::Continued { process }
+            | FleetEvent::ViewChanged { process, .. }
+            | FleetEvent::View { process, .. }
+            | FleetEvent::Sent { process, .. }
+            | FleetEvent::OutsiderTraffic { process, .. } => vec![*process],
+            FleetEvent::Cut { from, to, .. } => vec![*from, *to],
+            FleetEvent::Late { .. } | FleetEvent::FaultsOver {} => vec![],
         }
     }
 }
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -18,6 +18,6 @@
 mod run;
 
 pub use file::{FleetFault, FleetFile, Way, What};
-pub use history::{History, HistoryError, Record, Row, Seen, State, read, write};
+pub use history::{FleetEvent, History, HistoryError, Record, Row, State, read, write};
 pub use result::{Outcome, judge};
 pub use run::{RunError, run};
--- a/crates/lab/src/fleet/processes.rs
+++ b/crates/lab/src/fleet/processes.rs
@@ -24,9 +24,9 @@
 /// What a process reported, and which process.
 pub(super) enum Report {
     /// The process's own start number.
-    Own { process: usize, start: u64 },
+    OwnStart { process: usize, start: u64 },
     /// An entry of the process's view changed.
-    Saw { process: usize, row: Row },
+    ViewChanged { process: usize, row: Row },
 }
 
 /// One process of a node, running or ended.
@@ -207,9 +207,9 @@
             let own = one.get("own").is_some();
             let raised = one.get("change").and_then(Value::as_str) == Some("raised");
             let sent = match (row(&one), one.get("start").and_then(Value::as_u64)) {
-                (Some(row), _) if own => reports.send(Report::Own { process, start: row.start }),
-                (Some(row), _) => reports.send(Report::Saw { process, row }),
-                (None, Some(start)) if raised => reports.send(Report::Own { process, start }),
+                (Some(row), _) if own => reports.send(Report::OwnStart { process, start: row.start }),
+                (Some(row), _) => reports.send(Report::ViewChanged { process, row }),
+                (None, Some(start)) if raised => reports.send(Report::OwnStart { process, start }),
                 _ => Ok(()),
             };
             if sent.is_err() {
--- a/crates/lab/src/fleet/result.rs
+++ b/crates/lab/src/fleet/result.rs
@@ -1,7 +1,7 @@
 //! The metrics and the verdict of a run, which are the last line of its output.
 
 use super::file::FleetHold;
-use super::history::{History, Seen};
+use super::history::{FleetEvent, History};
 use crate::check::fleet::{FleetRule, FleetViolation, check, detections};
 use serde::Serialize;
 
@@ -27,7 +27,7 @@
     pub bytes_per_s_per_node: f64,
     /// The violations, and the conditions that do not hold, as lines of text.
     #[serde(skip)]
-    pub told: Vec<String>,
+    pub failures: Vec<String>,
 }
 
 /// Checks a history and computes its metrics.
@@ -42,12 +42,14 @@
     let sent: Vec<u64> = history
         .records
         .iter()
-        .filter_map(|r| if let Seen::Sent { bytes, .. } = r.seen { Some(bytes) } else { None })
+        .filter_map(|r| if let FleetEvent::Sent { bytes, .. } = r.event { Some(bytes) } else { None })
         .collect();
-    let late =
-        history.records.iter().any(|r| matches!(r.seen, Seen::Late { ms } if ms > history.file.late_ms));
-    let calm = history.records.iter().rfind(|r| r.seen == Seen::Calm {}).map(|r| r.at);
-    let viewed = history.records.iter().rfind(|r| matches!(r.seen, Seen::View { .. })).map(|r| r.at);
+    let late = history
+        .records
+        .iter()
+        .any(|r| matches!(r.event, FleetEvent::Late { ms } if ms > history.file.late_ms));
+    let calm = history.records.iter().rfind(|r| r.event == FleetEvent::FaultsOver {}).map(|r| r.at);
+    let viewed = history.records.iter().rfind(|r| matches!(r.event, FleetEvent::View { .. })).map(|r| r.at);
     let agreed = violations.iter().all(|v| v.rule != FleetRule::Converged);
     let mut outcome = Outcome {
         ok: false,
@@ -58,13 +60,13 @@
         false_dead: violations.iter().filter(|v| v.rule == FleetRule::FalseDead).count(),
         converge_ms: calm.zip(viewed).filter(|_| agreed).map(|(calm, at)| (at - calm) as f64 / 1e3),
         bytes_per_s_per_node: sent.iter().sum::<u64>() as f64 / sent.len().max(1) as f64,
-        told: violations.iter().map(FleetViolation::to_string).collect(),
+        failures: violations.iter().map(FleetViolation::to_string).collect(),
     };
     let failed = history.file.holds.iter().filter(|hold| !holds(hold, &outcome));
     let failures: Vec<String> =
         failed.map(|hold| format!("does not hold: {}: {}", hold.that, hold.why)).collect();
     outcome.ok = !late && outcome.rules_broken == 0 && failures.is_empty();
-    outcome.told.extend(failures);
+    outcome.failures.extend(failures);
     outcome
 }
 
--- a/crates/lab/src/fleet/run.rs
+++ b/crates/lab/src/fleet/run.rs
@@ -1,7 +1,7 @@
 //! One run: all nodes start and join, faults occur, and after the last one all views must agree again.
 
 use super::file::{FleetFault, FleetFile, Way, What};
-use super::history::{History, Record, Row, Seen, State};
+use super::history::{FleetEvent, History, Record, Row, State};
 use super::processes::{Endpoint, Member, Report, StartOptions};
 use super::relay::{Relay, since};
 use crate::Micros;
@@ -129,9 +129,9 @@
         since(self.begun)
     }
 
-    fn record(&mut self, seen: Seen) {
+    fn record(&mut self, event: FleetEvent) {
         let at = self.now();
-        self.records.push(Record { at, seen });
+        self.records.push(Record { at, event });
     }
 
     fn play(&mut self) -> Result<(), RunError> {
@@ -169,7 +169,7 @@
             }
         }
         self.outsiders.clear();
-        self.record(Seen::Calm {});
+        self.record(FleetEvent::FaultsOver {});
         let calm = Instant::now();
         let timeout = Duration::from_secs_f64(self.file.converge_within_s);
         while !self.views_agree()? && calm.elapsed() < timeout {
@@ -177,7 +177,7 @@
         }
         let views: Vec<(usize, Vec<Row>)> =
             self.running().filter_map(|p| Some((p, self.members.get(p)?.view()?))).collect();
-        views.into_iter().for_each(|(process, rows)| self.record(Seen::View { process, rows }));
+        views.into_iter().for_each(|(process, rows)| self.record(FleetEvent::View { process, rows }));
         self.sample();
         Ok(())
     }
@@ -229,7 +229,7 @@
         let member = Member::start(&start, self.report_sender.clone())?;
         let name = member.name.clone();
         self.members.push(member);
-        self.record(Seen::Started { process, name });
+        self.record(FleetEvent::Started { process, name });
         // Cut links between nodes are cut for their new processes as well.
         let ways: Vec<((usize, usize), Way)> = self.links.iter().map(|(w, way)| (*w, *way)).collect();
         ways.into_iter()
@@ -287,7 +287,7 @@
         self.send_from_outsiders()?;
         let late = begun.elapsed().saturating_sub(length).as_millis() as u64;
         if late > self.file.late_ms {
-            self.record(Seen::Late { ms: late });
+            self.record(FleetEvent::Late { ms: late });
         }
         Ok(())
     }
@@ -301,15 +301,15 @@
             let ended = self.members.get_mut(process).is_some_and(|m| !m.gone && m.has_ended());
             if ended {
                 self.members.get_mut(process).into_iter().for_each(|m| m.gone = true);
-                self.record(Seen::Ended { process });
+                self.record(FleetEvent::Ended { process });
             }
         }
     }
 
     fn record_report(&mut self, report: Report) {
         self.record(match report {
-            Report::Own { process, start } => Seen::Own { process, start },
-            Report::Saw { process, row } => Seen::Saw { process, row },
+            Report::OwnStart { process, start } => FleetEvent::OwnStart { process, start },
+            Report::ViewChanged { process, row } => FleetEvent::ViewChanged { process, row },
         });
     }
 
@@ -320,16 +320,16 @@
             // The endpoint's index is that of its node, except for endpoints of second processes with the
             // same name.
             let process = self.process_of(endpoint);
-            process.into_iter().for_each(|process| self.record(Seen::Sent { process, bytes }));
+            process.into_iter().for_each(|process| self.record(FleetEvent::Sent { process, bytes }));
         }
         let outsider_bytes: Vec<(usize, (u64, u64))> =
             self.outsider_bytes.iter().map(|(p, c)| (*p, *c)).collect();
-        outsider_bytes
-            .into_iter()
-            .for_each(|(process, (sent, back))| self.record(Seen::Stranger { process, sent, back }));
+        outsider_bytes.into_iter().for_each(|(process, (sent, back))| {
+            self.record(FleetEvent::OutsiderTraffic { process, sent, back })
+        });
         let ms = self.relay.late_ms();
         if ms > 0 {
-            self.record(Seen::Late { ms });
+            self.record(FleetEvent::Late { ms });
         }
     }
 
@@ -348,7 +348,7 @@
             What::Kill {} => who.into_iter().for_each(|node| self.kill(node)),
             What::End {} => {
                 for process in self.processes_of(&who) {
-                    self.record(Seen::Told { process, killed: false });
+                    self.record(FleetEvent::Signalled { process, killed: false });
                     self.members.get_mut(process).into_iter().for_each(|m| m.signal(Signal::TERM));
                 }
             }
@@ -365,7 +365,11 @@
                     };
                     member.stopped = !ends;
                     member.signal(if ends { Signal::CONT } else { Signal::STOP });
-                    self.record(if ends { Seen::Continued { process } } else { Seen::Stopped { process } });
+                    self.record(if ends {
+                        FleetEvent::Continued { process }
+                    } else {
+                        FleetEvent::Stopped { process }
+                    });
                 }
             }
             What::Twin {} if !ends => {
@@ -405,7 +409,7 @@
 
     fn kill(&mut self, node: usize) {
         if let Some(process) = self.process_of(node) {
-            self.record(Seen::Told { process, killed: true });
+            self.record(FleetEvent::Signalled { process, killed: true });
             self.kill_process(node);
         }
     }
@@ -434,7 +438,7 @@
         };
         let (from, to) = (of(from), of(to));
         for from in from {
-            to.clone().into_iter().for_each(|to| self.record(Seen::Cut { from, to, cut }));
+            to.clone().into_iter().for_each(|to| self.record(FleetEvent::Cut { from, to, cut }));
         }
     }
 
