--- a/crates/pool/examples/choose.rs
+++ b/crates/pool/examples/choose.rs
@@ -1,9 +1,9 @@
-//! What the choice of a connection costs: ns a flow, by members and connections to each, for the pool and for the rule
-//! that was used before (it scans a member's connections several times for each flow).
+//! Benchmark of connection selection: ns per flow by number of members and connections per member, for the
+//! pool and for a linear scan that reads a member's connections several times per flow.
 //!
 //! `cargo run --release -p lapisrudder-pool --example choose`
 
-use lapisrudder_pool::{Care, Choice, ConnId, Deployment, Member, MemberId, Order, Pool, Settings};
+use lapisrudder_pool::{ConnId, Deployment, Member, MemberId, Order, Placement, Pool, RetrySafety, Settings};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rustc_hash::FxHashMap;
@@ -11,12 +11,12 @@
 use std::time::Instant;
 
 const FLOWS: usize = 1_000_000;
-/// Flows out at a time, as a share of the connections.
+/// Flows in flight as a share of the connections.
 const BUSY: f64 = 0.7;
 /// Virtual time between flows, µs.
 const STEP: i64 = 20;
 
-/// The rule before: a member's connections in a vector, all connections in a map.
+/// Selection by linear scan: a member's connections in a vector, all connections in a map.
 struct Scanning {
     members: Vec<Vec<u64>>,
     connections: FxHashMap<u64, Scanned>,
@@ -36,24 +36,24 @@
         Scanning { members: (0..members).map(ids).collect(), connections: connections.collect() }
     }
 
-    /// As `dispatch` did for one flow.
-    fn flow(&mut self, now: i64, member: usize, most: usize, at_once: usize) -> Option<u64> {
+    /// Selects a connection for one flow.
+    fn flow(&mut self, now: i64, member: usize, most: usize, pipeline_depth: usize) -> Option<u64> {
         let all = &self.members[member];
         let known = |id: &u64| self.connections.get(id);
         let idle = all.iter().filter(|id| known(id).is_some_and(|c| c.up && c.flows.is_empty()));
         let idle = idle.max_by_key(|id| known(id).and_then(|c| c.deadline)).copied();
-        let coming = all.iter().filter(|id| known(id).is_some_and(|c| !c.up)).count();
+        let connecting = all.iter().filter(|id| known(id).is_some_and(|c| !c.up)).count();
         let stalled = now - 250_000;
         let stalls = |c: &Scanned| c.flows.front().is_some_and(|put| *put < stalled);
         let stall = all.iter().filter(|id| known(id).is_some_and(stalls)).count();
         let room = all.len() < most + stall.min(most);
-        if idle.is_none() && (coming > 0 || room) {
+        if idle.is_none() && (connecting > 0 || room) {
             return None;
         }
         let id = idle.or_else(|| {
             let load = |id: &u64| {
                 let c = known(id)?;
-                let takes = c.up && c.flows.len() < at_once && !stalls(c);
+                let takes = c.up && c.flows.len() < pipeline_depth && !stalls(c);
                 takes.then_some((c.flows.len(), c.flows.front().map_or(0, |put| -put), *id))
             };
             all.iter().filter_map(load).min().map(|l| l.2)
@@ -74,7 +74,7 @@
     }
 }
 
-/// ns a flow, its answer included.
+/// ns per flow, including its answer.
 fn time(
     mut flow: impl FnMut(i64, usize) -> Option<u64>,
     mut answered: impl FnMut(i64, u64),
@@ -104,22 +104,23 @@
 }
 
 fn pool(members: usize, each: usize) -> f64 {
-    // Held at the number, and nothing stalls: nothing is closed for being idle or too many, nothing opened for want.
+    // The target stays constant and nothing stalls: no connection is closed as idle or surplus, and none
+    // opened.
     let settings = Settings { hold_ms: 3_600_000, max_age_s: 0, ..Settings::default() };
-    let told = Deployment { connect_timeout: 3_600_000_000, ..Deployment::default() };
-    let mut pool = Pool::new(settings, told, 1, 0).unwrap_or_else(|e| panic!("{e}"));
-    pool.room(0, members * each);
-    let member = Member { kind: 0, at_once: 1, draining: false, warm_at: None };
+    let deployment = Deployment { connect_timeout: 3_600_000_000, ..Deployment::default() };
+    let mut pool = Pool::new(settings, deployment, 1, 0).unwrap_or_else(|e| panic!("{e}"));
+    pool.set_capacity(0, members * each);
+    let member = Member { kind: 0, pipeline_depth: 1, draining: false, warm_at: None };
     for m in 0..members {
-        pool.list(0, MemberId(m as u64), &member);
+        pool.update_member(0, MemberId(m as u64), &member);
     }
-    // As many flows at once as connections are wanted.
+    // As many concurrent flows as connections are wanted.
     let mut now = 0;
     let mut up = Vec::new();
     for m in 0..members {
         for _ in 0..each {
             now += 1;
-            pool.flow(now, MemberId(m as u64), Care::Once);
+            pool.assign_flow(now, MemberId(m as u64), RetrySafety::Unsafe);
         }
     }
     while up.len() < members * each {
@@ -127,27 +128,27 @@
         while let Some(order) = pool.poll(now) {
             match order {
                 Order::Connect { conn, .. } => pool.connected(now, conn),
-                Order::Take { conn, .. } => up.push(conn),
+                Order::Assign { conn, .. } => up.push(conn),
                 _ => {}
             }
         }
     }
     up.iter().for_each(|conn| pool.answered(now, *conn));
     for m in 0..members {
-        pool.list(now, MemberId(m as u64), &Member { at_once: 32, ..member });
+        pool.update_member(now, MemberId(m as u64), &Member { pipeline_depth: 32, ..member });
     }
     let pool = std::cell::RefCell::new(pool);
     let out = (BUSY * (members * each) as f64) as usize;
     let flow = |t: i64, m: usize| {
         let mut pool = pool.borrow_mut();
-        let choice = pool.flow(now + t, MemberId(m as u64), Care::MayRepeat);
+        let choice = pool.assign_flow(now + t, MemberId(m as u64), RetrySafety::Safe);
         while let Some(order) = pool.poll(now + t) {
             if let Order::Connect { conn, .. } = order {
                 pool.connected(now + t, conn);
             }
         }
         match choice {
-            Choice::On { conn, .. } => Some(conn.0),
+            Placement::Assigned { conn, .. } => Some(conn.0),
             _ => None,
         }
     };
--- a/crates/pool/src/price.rs
+++ b/crates/pool/src/holding_cost.rs
@@ -1,39 +1,41 @@
-//! What a connection costs its member: how much slower flows get if each node holds one more.
+//! Learns what an open connection costs its member: how much slower flows get if each node holds one more.
 //!
-//! The fuller a member's table, the less is left to serve with. How much that is differs by deployment, so it is
-//! learnt: the logarithm of the mean time of flows, window by window, against the load and the connections held, by
-//! Bayesian linear regression that forgets (normal prior; recursive least squares with exponential forgetting, see
-//! Ljung 1999). The number held falls later than the load, which tells the two apart. A node sees its own connections
-//! only; as a rule all nodes have the same load, and hold as many, so that what it learns is the effect of all. What is
-//! not learnt is the prior: each connection takes a 128th.
+//! The fuller a member's connection table, the less capacity is left to serve requests. How much that is
+//! depends on the deployment, so it is learnt: Bayesian linear regression with exponential forgetting (normal
+//! prior; recursive least squares, see Ljung 1999) of the logarithm of the mean flow duration per window on
+//! the load and the number of open connections. As that number falls later than the load, the two effects can
+//! be separated. A node sees only its own connections; as all nodes usually have the same load and hold
+//! equally many, it learns the effect of all of them. Without observations the prior applies: each connection
+//! takes 1/128 of the capacity.
 
-/// Windows that count, about.
+/// Time constant of the forgetting, in windows.
 const MEMORY: f64 = 1200.0;
-/// The prior of the cost of one connection, and its deviation over its mean.
+/// Prior mean of the cost of one connection, and the ratio of its standard deviation to the mean.
 pub const PRIOR: f64 = 1.0 / 128.0;
 const PRIOR_SPREAD: f64 = 1.5;
-/// Bounds of what is believed, as multiples of the prior.
+/// Bounds of the estimate, as multiples of the prior.
 const BELIEVED: (f64, f64) = (0.1, 16.0);
-/// Spread of a window's logarithm of time, at the least: what is not explained is seldom less.
+/// Minimum standard deviation of the logarithm of a window's mean duration; the unexplained part is seldom
+/// smaller.
 const NOISE: f64 = 0.1;
 
-/// The regression: information matrix and vector over (1, load, held), without the prior's.
+/// The regression: information matrix (upper triangle) and vector over (1, load, held), without the prior.
 #[derive(Clone, Debug)]
-pub struct Price {
+pub struct HoldingCost {
     prior: f64,
     matrix: [f64; 6],
     vector: [f64; 3],
     residual: f64,
 }
 
-impl Price {
-    /// Nothing was seen; one connection more at each of so many nodes costs as much as the prior says.
-    pub fn new(nodes: f64) -> Price {
-        Price { prior: nodes * PRIOR, matrix: [0.0; 6], vector: [0.0; 3], residual: 0.0 }
+impl HoldingCost {
+    /// Starts from the prior for one more connection at each of `nodes` nodes.
+    pub fn new(nodes: f64) -> HoldingCost {
+        HoldingCost { prior: nodes * PRIOR, matrix: [0.0; 6], vector: [0.0; 3], residual: 0.0 }
     }
 
-    /// One window: the flows offered over those usual (a load of about 1), connections held, the mean time in ms, and
-    /// from how many flows that was taken.
+    /// Adds one window: the load relative to the usual one (about 1), the open connections, the mean duration
+    /// in ms, and the number of flows that it was measured on.
     pub fn observe(&mut self, load: f64, held: f64, ms: f64, flows: f64) {
         let sound = [load, held, ms, flows].iter().all(|x| x.is_finite()) && ms > 0.0 && flows >= 1.0;
         if !sound {
@@ -57,12 +59,12 @@
         self.residual += ((error * error - NOISE * NOISE).max(0.0) - self.residual) / 100.0;
     }
 
-    /// The relative slowing by one connection more at each node.
+    /// Relative slow-down of flows by one more connection at each node.
     pub fn cost(&self) -> f64 {
         self.solve()[2].clamp(BELIEVED.0 * self.prior, BELIEVED.1 * self.prior)
     }
 
-    /// Means of the coefficients, prior included (Cramer's rule on the 3 by 3 normal equations).
+    /// Posterior means of the coefficients (Cramer's rule on the 3 by 3 normal equations).
     fn solve(&self) -> [f64; 3] {
         let weak = 1e-4;
         let firm = 1.0 / (self.prior * PRIOR_SPREAD).powi(2);
@@ -88,21 +90,22 @@
     use rand::rngs::SmallRng;
     use rand::{Rng, SeedableRng};
 
-    /// Windows in which load and connections held go up and down, the latter later; times by the given law.
+    /// Windows in which the load and, with a delay, the open connections rise and fall; durations follow the
+    /// given law.
     fn learn(cost: f64, by_load: f64) -> f64 {
         let mut random = SmallRng::seed_from_u64(3);
-        let mut price = Price::new(1.0);
+        let mut regression = HoldingCost::new(1.0);
         for i in 0..2000 {
             let load = 1.0 + 0.5 * f64::from(i / 50 % 2);
             let held = 4.0 + 6.0 * f64::from((i + 30) / 60 % 2);
             let noise = 0.2 * (random.random::<f64>() - 0.5);
-            price.observe(load, held, 7.0 * (cost * held + by_load * (load - 1.0) + noise).exp(), 50.0);
+            regression.observe(load, held, 7.0 * (cost * held + by_load * (load - 1.0) + noise).exp(), 50.0);
         }
-        price.cost()
+        regression.cost()
     }
 
     #[test]
-    fn the_cost_of_a_connection_is_told_from_that_of_the_load() {
+    fn cost_of_a_connection_is_separated_from_the_effect_of_load() {
         for (cost, by_load) in [(0.03, 0.0), (0.03, 0.8), (0.002, 0.8), (0.08, -0.2)] {
             let learnt = learn(cost, by_load);
             assert!((learnt - cost).abs() < 0.003, "{learnt} for {cost} beside {by_load}");
@@ -110,20 +113,20 @@
     }
 
     #[test]
-    fn what_was_not_seen_is_the_prior_and_nonsense_is_passed_over() {
-        let mut price = Price::new(1.0);
-        assert!((price.cost() - PRIOR).abs() < 1e-9);
+    fn prior_applies_without_evidence_and_invalid_samples_are_ignored() {
+        let mut regression = HoldingCost::new(1.0);
+        assert!((regression.cost() - PRIOR).abs() < 1e-9);
         for i in 0..500 {
-            price.observe(1.0 + f64::from(i % 7) / 10.0, 4.0, 1.0, 50.0);
+            regression.observe(1.0 + f64::from(i % 7) / 10.0, 4.0, 1.0, 50.0);
         }
         assert!(
-            (price.cost() - PRIOR).abs() < 0.7 * PRIOR,
+            (regression.cost() - PRIOR).abs() < 0.7 * PRIOR,
             "the number held never changed: {}",
-            price.cost()
+            regression.cost()
         );
         for bad in [f64::NAN, f64::INFINITY, 0.0, -1.0] {
-            price.observe(1.0, 4.0, bad, 50.0);
+            regression.observe(1.0, 4.0, bad, 50.0);
         }
-        assert!(price.cost().is_finite());
+        assert!(regression.cost().is_finite());
     }
 }
--- a/crates/pool/src/list.rs
+++ b/crates/pool/src/list.rs
@@ -1,9 +1,9 @@
-//! Doubly linked lists threaded through a table, so that a connection enters and leaves one in constant time.
+//! Intrusive doubly linked lists over the elements of a slice, with insertion and removal in constant time.
 
-/// No place.
+/// No index.
 pub(crate) const NONE: u32 = u32::MAX;
 
-/// An element's neighbours in one list.
+/// Neighbours of an element in one list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Link {
     before: u32,
@@ -16,13 +16,13 @@
     }
 }
 
-/// What has links: one for each of the lists that it may be in at once.
+/// An element with one link for each list that it can be in at the same time.
 pub(crate) trait Linked {
     /// The link of list number `L`.
     fn link<const L: usize>(&mut self) -> &mut Link;
 }
 
-/// A list over the links of number `L`.
+/// A list over the links number `L`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct List<const L: usize> {
     front: u32,
@@ -37,22 +37,22 @@
 }
 
 impl<const L: usize> List<L> {
-    /// The first, if there is one.
+    /// Index of the first element.
     pub(crate) fn front(&self) -> Option<u32> {
         (self.front != NONE).then_some(self.front)
     }
 
-    /// The last, if there is one.
+    /// Index of the last element.
     pub(crate) fn back(&self) -> Option<u32> {
         (self.back != NONE).then_some(self.back)
     }
 
-    /// How many are in it.
+    /// Number of elements.
     pub(crate) fn len(&self) -> u32 {
         self.len
     }
 
-    /// Puts one in front.
+    /// Inserts an element at the front.
     pub(crate) fn push_front<T: Linked>(&mut self, all: &mut [T], at: u32) {
         let old = std::mem::replace(&mut self.front, at);
         *all[at as usize].link::<L>() = Link { before: NONE, after: old };
@@ -63,7 +63,7 @@
         self.len += 1;
     }
 
-    /// Puts one at the end.
+    /// Inserts an element at the back.
     pub(crate) fn push_back<T: Linked>(&mut self, all: &mut [T], at: u32) {
         let old = std::mem::replace(&mut self.back, at);
         *all[at as usize].link::<L>() = Link { before: old, after: NONE };
@@ -74,7 +74,7 @@
         self.len += 1;
     }
 
-    /// Takes one out that is in it.
+    /// Removes an element, which must be in the list.
     pub(crate) fn remove<T: Linked>(&mut self, all: &mut [T], at: u32) {
         let Link { before, after } = std::mem::take(all[at as usize].link::<L>());
         match before {
@@ -104,7 +104,7 @@
     }
 
     #[test]
-    fn it_does_what_a_deque_does_and_lists_of_other_links_are_not_touched() {
+    fn list_matches_a_deque_and_leaves_other_links_alone() {
         let mut all: Vec<Two> = (0..16).map(|_| Two::default()).collect();
         let (mut list, mut other) = (List::<0>::default(), List::<1>::default());
         let mut model = VecDeque::new();
--- a/crates/pool/src/pool/conn.rs
+++ b/crates/pool/src/pool/conn.rs
@@ -1,36 +1,37 @@
-//! One connection in the books.
+//! State of one connection.
 
 use crate::list::{Link, Linked};
 use crate::{ConnId, Micros};
 use std::collections::VecDeque;
 
-/// Links: the member's list of those that may take a flow, its list by progress, and the idle ones of all members.
-pub(super) const TAKERS: usize = 0;
+/// Indexes of links: the member's lists of available connections, its list by progress, and the pool's list
+/// of idle connections.
+pub(super) const AVAILABLE: usize = 0;
 pub(super) const PROGRESS: usize = 1;
 pub(super) const IDLE: usize = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
     Free,
-    Coming,
+    Connecting,
     Up,
 }
 
-/// Which of its member's lists it is in.
+/// The list of available connections that it is in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum In {
+pub(super) enum InList {
     None,
     Idle,
     Level(u8),
     Slow,
 }
 
-/// A flow on a connection, in the order of answers.
+/// A flow on a connection; flows are kept in the order of their answers.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Flow {
-    pub(super) place: u32,
-    pub(super) put: Micros,
-    /// Nothing was ahead of it.
+    pub(super) seq: u32,
+    pub(super) assigned_at: Micros,
+    /// The connection was idle when this flow was assigned.
     pub(super) alone: bool,
     pub(super) abandoned: bool,
 }
@@ -40,33 +41,33 @@
     pub(super) generation: u32,
     pub(super) member: u32,
     pub(super) state: State,
-    pub(super) list: In,
-    /// It is in the list by progress.
-    pub(super) moving: bool,
-    /// Its first flow has waited for long.
+    pub(super) list: InList,
+    /// It is in the member's list by progress.
+    pub(super) in_progress_list: bool,
+    /// No progress for longer than the stall threshold.
     pub(super) stalled: bool,
-    /// It counts among those of its member that take nothing: it stalls, or holds an abandoned flow.
+    /// It takes no flows: stalled, retiring, or with an abandoned flow. Counted in the member's `blocked`.
     pub(super) blocked: bool,
-    /// It takes nothing more, and closes once it is idle.
+    /// It takes no more flows and is closed once idle.
     pub(super) retiring: bool,
-    /// It has brought an answer.
-    pub(super) proven: bool,
+    /// It has delivered an answer.
+    pub(super) has_answered: bool,
     links: [Link; 3],
     pub(super) flows: VecDeque<Flow>,
-    next_place: u32,
+    next_seq: u32,
     pub(super) abandoned: u32,
     /// When the connect began.
     pub(super) opened: Micros,
-    /// Idle since then.
+    /// Start of the present idle time.
     pub(super) idle_since: Micros,
-    /// The last time that it got on: came up, got its first flow, or answered.
+    /// Last progress: established, first flow assigned, or answer received.
     pub(super) progress: Micros,
-    /// How long it had been idle when its first flow came; `None` once it has answered since.
+    /// Idle time when its first flow was assigned; `None` after the next answer.
     pub(super) idle_age: Option<Micros>,
-    /// From then on it is closed between flows.
+    /// End of its maximum lifetime; it is closed when next idle.
     pub(super) retire_at: Micros,
-    /// The time of its entry among the timers.
-    pub(super) armed: Micros,
+    /// When its earliest timer is due.
+    pub(super) timer_at: Micros,
 }
 
 impl Linked for Conn {
@@ -81,30 +82,30 @@
             generation: 0,
             member: 0,
             state: State::Free,
-            list: In::None,
-            moving: false,
+            list: InList::None,
+            in_progress_list: false,
             stalled: false,
             blocked: false,
             retiring: false,
-            proven: false,
+            has_answered: false,
             links: [Link::default(); 3],
             flows: VecDeque::new(),
-            next_place: 0,
+            next_seq: 0,
             abandoned: 0,
             opened: 0,
             idle_since: 0,
             progress: 0,
             idle_age: None,
             retire_at: Micros::MAX,
-            armed: Micros::MAX,
+            timer_at: Micros::MAX,
         }
     }
 
-    /// Begins to connect.
+    /// Starts connecting.
     pub(super) fn open(&mut self, now: Micros, member: u32) {
         let (generation, mut flows) = (self.generation, std::mem::take(&mut self.flows));
         flows.clear();
-        *self = Conn { generation, member, flows, state: State::Coming, opened: now, ..Conn::free() };
+        *self = Conn { generation, member, flows, state: State::Connecting, opened: now, ..Conn::free() };
     }
 
     pub(super) fn id(&self, at: u32) -> ConnId {
@@ -119,23 +120,23 @@
         self.flows.len() as u32
     }
 
-    /// Puts a flow behind the others.
-    pub(super) fn put(&mut self, now: Micros) -> u32 {
-        let place = self.next_place;
-        self.next_place = self.next_place.wrapping_add(1);
+    /// Appends a flow; returns its sequence number.
+    pub(super) fn push_flow(&mut self, now: Micros) -> u32 {
+        let seq = self.next_seq;
+        self.next_seq = self.next_seq.wrapping_add(1);
         let alone = self.flows.is_empty();
         if alone {
             self.idle_age = Some(now - self.idle_since);
             self.progress = now;
         }
-        self.flows.push_back(Flow { place, put: now, alone, abandoned: false });
-        place
+        self.flows.push_back(Flow { seq, assigned_at: now, alone, abandoned: false });
+        seq
     }
 
-    /// Where the flow of a place is among its flows.
-    pub(super) fn find(&self, place: u32) -> Option<usize> {
-        let found = self.flows.binary_search_by_key(&place, |f| f.place).ok();
-        // Places may wrap around on a connection that has carried very many flows.
-        found.or_else(|| self.flows.iter().position(|f| f.place == place))
+    /// Index of the flow with the given sequence number.
+    pub(super) fn find(&self, seq: u32) -> Option<usize> {
+        let found = self.flows.binary_search_by_key(&seq, |f| f.seq).ok();
+        // Sequence numbers may wrap around after very many flows.
+        found.or_else(|| self.flows.iter().position(|f| f.seq == seq))
     }
 }
--- a/crates/pool/src/pool/ends.rs
+++ b/crates/pool/src/pool/ends.rs
@@ -1,26 +1,28 @@
-//! Connections that come up and end, what a loss was, and members that fall silent.
+//! Connection establishment and loss, classification of losses, and detection of unresponsive members.
 
 use super::Pool;
 use super::conn::State;
-use super::member::Ends;
-use crate::{ConnId, End, Loss, Micros, Order, Why};
+use super::member::EndBurst;
+use crate::{CloseReason, ConnId, End, Loss, Micros, Order};
 
-/// Ends by the other side within this time belong together.
-pub(super) const TOGETHER: Micros = 100_000;
-/// So many at once, and this share of all that were up, are a reset of everything if some were at work lately.
-const ALL_AT_ONCE: (u32, u32) = (2, 2);
-/// A connection that got on within this share of the idle limit was surely alive.
-const YOUNG: Micros = 8;
-/// One that was idle for less than that, or than this, has not died of it.
-const IDLE_AT_LEAST: Micros = 50_000;
+/// Connections ended by the peer within this time belong to one burst, µs.
+pub(super) const BURST_TIME: Micros = 100_000;
+/// A burst is a mass reset if it has at least `.0` ends, these are at least 1/`.1` of the established
+/// connections, and some of them were in use shortly before.
+const MASS_RESET: (u32, u32) = (2, 2);
+/// A connection idle for less than the idle limit divided by this cannot have died of being idle.
+const RECENT_USE_DIVISOR: Micros = 8;
+/// Nor can one that was idle for less than this, µs.
+const MIN_IDLE_DEATH: Micros = 50_000;
 
 impl Pool {
-    /// A connect has come up.
+    /// A connection was established.
     pub fn connected(&mut self, now: Micros, conn: ConnId) {
-        let Some(at) = self.place_of(conn).filter(|c| self.conns[*c as usize].state == State::Coming) else {
+        let Some(at) = self.index_of(conn).filter(|c| self.conns[*c as usize].state == State::Connecting)
+        else {
             return;
         };
-        let jitter = self.draw();
+        let jitter = self.random_share();
         let s = &self.settings;
         let age = f64::from(s.max_age_s) * (1.0 + s.age_jitter * (2.0 * jitter - 1.0));
         let c = &mut self.conns[at as usize];
@@ -30,47 +32,47 @@
         c.retire_at = if s.max_age_s == 0 { Micros::MAX } else { now + (age * 1e6) as Micros };
         let took = now - c.opened;
         let state = &mut self.members[m as usize];
-        state.coming -= 1;
+        state.connecting -= 1;
         state.up += 1;
-        state.counts.most_up = state.counts.most_up.max(state.up);
-        state.came_up(took);
-        state.ceiling.accepted(now, state.up);
-        if state.backoff.came_up() {
-            // Danger: all nodes have waited for it to be back.
-            state.pace.draw(now, &mut self.random);
+        state.counts.max_up = state.counts.max_up.max(state.up);
+        state.on_connected(took);
+        state.ceiling.on_accepted(now, state.up);
+        if state.backoff.on_connected() {
+            // All nodes have waited for the member to return; the random delay prevents a burst of connects.
+            state.connect_rate.draw_delay(now, &mut self.random);
         }
-        self.became_idle(now, at);
-        self.serve(now, m);
+        self.on_idle(now, at);
+        self.serve_waiting(now, m);
     }
 
-    /// A connect failed, or a connection has ended: what that was. `sent`: something of a flow that is on it now was
-    /// written.
+    /// A connect failed or a connection ended; returns the kind of loss. `sent`: something of a flow that is
+    /// still on it was written.
     pub fn ended(&mut self, now: Micros, conn: ConnId, end: End, sent: bool) -> Loss {
-        let Some(at) = self.place_of(conn) else {
+        let Some(at) = self.index_of(conn) else {
             self.orders.retain(|o| !matches!(o, Order::Close { conn: closed, .. } if *closed == conn));
             return Loss::Closed;
         };
         let (m, state) = (self.conns[at as usize].member, self.conns[at as usize].state);
-        if state == State::Coming {
+        if state == State::Connecting {
             if end == End::ByHost {
                 self.remove(now, at);
             } else {
-                self.in_vain(now, at, true);
+                self.on_connect_failed(now, at, true);
             }
             self.after_end(now, m);
-            return if end == End::ByHost { Loss::Closed } else { Loss::NeverUp };
+            return if end == End::ByHost { Loss::Closed } else { Loss::ConnectFailed };
         }
-        let loss = if end == End::ByHost { Loss::Closed } else { self.by_peer(now, at, sent) };
+        let loss = if end == End::ByHost { Loss::Closed } else { self.classify_end(now, at, sent) };
         let counts = &mut self.members[m as usize].counts;
         match loss {
-            Loss::DeadWhileIdle => counts.dead += 1,
-            Loss::UnderWork => counts.failed += 1,
-            Loss::Idle => counts.told += 1,
+            Loss::DeadWhileIdle => counts.found_dead += 1,
+            Loss::InUse => counts.failed += 1,
+            Loss::ClosedIdle => counts.closed_by_peer += 1,
             _ => {}
         }
         self.remove(now, at);
-        if matches!(loss, Loss::DeadWhileIdle | Loss::Idle) {
-            self.close_older(now, m);
+        if matches!(loss, Loss::DeadWhileIdle | Loss::ClosedIdle) {
+            self.close_expired(now, m);
         }
         self.after_end(now, m);
         loss
@@ -80,178 +82,183 @@
         if self.members[m as usize].closed {
             return;
         }
-        self.serve(now, m);
-        self.give_up(now, m);
+        self.serve_waiting(now, m);
+        self.reject_hopeless(now, m);
     }
 
-    /// What it was that the other side ended.
-    fn by_peer(&mut self, now: Micros, at: u32, sent: bool) -> Loss {
+    /// Classifies the end of a connection by the peer.
+    fn classify_end(&mut self, now: Micros, at: u32, sent: bool) -> Loss {
         let c = &self.conns[at as usize];
-        let (m, limit) = (c.member, self.members[c.member as usize].life.limit());
-        let at_work = sent && c.idle_age.is_none();
+        let (m, limit) = (c.member, self.members[c.member as usize].idle_limit.limit());
+        let in_use = sent && c.idle_age.is_none();
         let idle_for = match c.idle_age {
             Some(age) => age,
             None if c.flows.is_empty() => now - c.idle_since,
             None => 0,
         };
-        let young = at_work || idle_for < limit / YOUNG;
-        // A connection that is dead answers the first write with a reset, one way there and back.
-        let first = c.flows.front().map_or(now, |f| f.put);
+        let recently_used = in_use || idle_for < limit / RECENT_USE_DIVISOR;
+        // A dead connection answers the first write with a reset after one round trip.
+        let first = c.flows.front().map_or(now, |f| f.assigned_at);
         let state = &self.members[m as usize];
-        let at_once =
+        let prompt_reset =
             now - first <= (4.0 * state.connect_time) as Micros + self.deployment.connect_timeout / 8;
-        if self.together(now, m, young) {
-            return Loss::AllAtOnce;
+        if self.is_mass_reset(now, m, recently_used) {
+            return Loss::MassReset;
         }
-        if self.members[m as usize].undo.is_none() {
+        if self.members[m as usize].limit_before_end.is_none() {
             let state = &mut self.members[m as usize];
-            state.undo = Some((now, state.life.clone()));
+            state.limit_before_end = Some((now, state.idle_limit.clone()));
         }
         if !sent {
             let state = &mut self.members[m as usize];
-            state.life.told(now, idle_for, &mut self.kinds[state.kind].life);
-            return Loss::Idle;
+            state.idle_limit.on_peer_close(now, idle_for, &mut self.kinds[state.kind].idle_limit);
+            return Loss::ClosedIdle;
         }
-        if young || idle_for < IDLE_AT_LEAST || !at_once {
-            return Loss::UnderWork;
+        if recently_used || idle_for < MIN_IDLE_DEATH || !prompt_reset {
+            return Loss::InUse;
         }
-        self.died_idle(now, m, idle_for);
+        self.on_idle_death(now, m, idle_for);
         Loss::DeadWhileIdle
     }
 
-    /// Learns from a connection that was found dead.
-    fn died_idle(&mut self, now: Micros, m: u32, age: Micros) {
+    /// Learns from a connection that had died while idle.
+    fn on_idle_death(&mut self, now: Micros, m: u32, age: Micros) {
         let state = &mut self.members[m as usize];
-        state.life.died(now, age);
+        state.idle_limit.on_death(now, age);
         let (kind, id) = (state.kind, state.id.0);
-        let Some(limit) = self.kinds[kind].life.died(now, id, age) else { return };
-        // A middlebox, say: what happened at two happens at all.
+        let Some(limit) = self.kinds[kind].idle_limit.on_death(now, id, age) else { return };
+        // Deaths at two members, caused for example by a middlebox, affect all members of the kind.
         let mut same: Vec<u32> =
             self.by_id.values().copied().filter(|p| self.members[*p as usize].kind == kind).collect();
         same.sort_unstable();
         for p in same {
-            if self.members[p as usize].life.hold_to(limit) {
-                self.close_older(now, p);
+            if self.members[p as usize].idle_limit.cap_to(limit) {
+                self.close_expired(now, p);
             }
         }
     }
 
-    /// Counts ends that are close upon each other; true if this is one of a reset of everything.
-    fn together(&mut self, now: Micros, m: u32, young: bool) -> bool {
+    /// Counts ends in quick succession; true if this one is part of a mass reset.
+    fn is_mass_reset(&mut self, now: Micros, m: u32, recently_used: bool) -> bool {
         let state = &mut self.members[m as usize];
-        if now - state.ends.since > TOGETHER {
-            state.ends = Ends { since: now, held: state.up, ..Ends::default() };
+        if now - state.end_burst.since > BURST_TIME {
+            state.end_burst = EndBurst { since: now, established: state.up, ..EndBurst::default() };
         }
-        let ends = &mut state.ends;
+        let ends = &mut state.end_burst;
         ends.count += 1;
-        ends.young += u32::from(young);
-        let all = ends.count >= ALL_AT_ONCE.0 && ALL_AT_ONCE.1 * ends.count >= ends.held && ends.young > 0;
+        ends.recently_used += u32::from(recently_used);
+        let all = ends.count >= MASS_RESET.0
+            && MASS_RESET.1 * ends.count >= ends.established
+            && ends.recently_used > 0;
         if !all {
             return false;
         }
-        let first = ends.held > 0;
-        // Counted once; what still comes of it within the time belongs to it.
-        ends.held = 0;
+        let first = ends.established > 0;
+        // The reset is counted once; later ends within the burst belong to it.
+        ends.established = 0;
         if first {
             state.counts.resets += 1;
-            if let Some((at, life)) = state.undo.take()
-                && now - at <= TOGETHER
+            if let Some((at, idle_limit)) = state.limit_before_end.take()
+                && now - at <= BURST_TIME
             {
-                state.life = life;
+                state.idle_limit = idle_limit;
             }
-            // Danger: all nodes open connections to it anew.
-            state.pace.draw(now, &mut self.random);
+            // All nodes reconnect to the member; the random delay prevents a burst of connects.
+            state.connect_rate.draw_delay(now, &mut self.random);
         }
         true
     }
 
-    /// A connect was in vain.
-    pub(super) fn in_vain(&mut self, now: Micros, at: u32, refused: bool) {
-        let jitter = self.draw();
+    /// A connect failed.
+    pub(super) fn on_connect_failed(&mut self, now: Micros, at: u32, refused: bool) {
+        let jitter = self.random_share();
         let (least, most) = (self.settings.backoff_least_ms, self.settings.backoff_most_ms);
         let m = self.conns[at as usize].member;
         let state = &mut self.members[m as usize];
         state.counts.refused += 1;
-        if let Some((_, life)) = state.undo.take().filter(|_| refused && state.up == 0) {
-            // What was found dead just now had not died of being idle: its member is down.
-            state.life = life;
+        if let Some((_, idle_limit)) = state.limit_before_end.take().filter(|_| refused && state.up == 0) {
+            // The member is down, so that the connection found dead just before had not died of being idle.
+            state.idle_limit = idle_limit;
         }
         state.backoff.failed(now, Micros::from(least) * 1000, Micros::from(most) * 1000, &mut self.random);
-        // A member that serves on what it has, and takes no more, has a full table. One that says nothing may have
-        // lost this one on the way; twice is no chance.
-        if state.up > state.blocked && state.silent.is_none() && (refused || state.backoff.fails() >= 2) {
-            state.ceiling.refused(now, state.up, jitter);
+        // A member that answers on existing connections but accepts no new one has a full connection table. A
+        // connect without any reply may have been lost on the network, but hardly twice in a row.
+        if state.up > state.blocked
+            && state.silent_since.is_none()
+            && (refused || state.backoff.consecutive_failures() >= 2)
+        {
+            state.ceiling.on_refused(now, state.up, jitter);
         }
         if refused {
             self.remove(now, at);
         } else {
-            self.close(now, at, Why::NotUp);
+            self.close(now, at, CloseReason::ConnectTimeout);
         }
     }
 
-    /// A connection did not come up in time.
-    pub(super) fn not_up(&mut self, now: Micros, at: u32) {
+    /// A connection was not established within the connect timeout.
+    pub(super) fn on_connect_timeout(&mut self, now: Micros, at: u32) {
         let m = self.conns[at as usize].member;
-        self.in_vain(now, at, false);
+        self.on_connect_failed(now, at, false);
         self.after_end(now, m);
     }
 
-    // ---- Silence ------------------------------------------------------------------------------------------
+    // ---- Unresponsive members ------------------------------------------------------------------------------------------
 
-    /// Sees which connections stall, and whether the member does.
-    pub(super) fn look(&mut self, now: Micros, m: u32) {
+    /// Detects stalled connections and an unresponsive member.
+    pub(super) fn check_stalls(&mut self, now: Micros, m: u32) {
         let state = &mut self.members[m as usize];
-        let mark = state.stall_mark(self.deployment.connect_timeout);
+        let mark = state.stall_threshold(self.deployment.connect_timeout);
         while let Some(at) = state.progress.front() {
             let c = &mut self.conns[at as usize];
             if now - c.progress < mark {
                 break;
             }
             c.stalled = true;
-            state.see_blocked(c);
-            state.unmove(&mut self.conns, at);
-            state.unlist(&mut self.conns, at);
+            state.update_blocked(c);
+            state.remove_from_progress(&mut self.conns, at);
+            state.remove_from_list(&mut self.conns, at);
         }
         let stalls = state.blocked > 0;
-        // What was put on others meanwhile has not had the time. One alone may have got a slow request; two, or one
-        // for twice as long, show the member.
+        // Flows assigned to other connections meanwhile need time too. One stalled connection may have a slow
+        // request; two of them, or one for twice the threshold, indicate the member.
         let long = now - state.last_answer >= if state.blocked > 1 { mark } else { 2 * mark };
-        if state.silent.is_none() && stalls && long {
-            state.silent = Some(state.last_answer);
+        if state.silent_since.is_none() && stalls && long {
+            state.silent_since = Some(state.last_answer);
             state.next_probe = now;
-        } else if state.silent.is_some() && state.in_flight == 0 && state.coming == 0 {
-            // Nothing is out that could show it either way.
-            state.silent = None;
+        } else if state.silent_since.is_some() && state.in_flight == 0 && state.connecting == 0 {
+            // Nothing is pending that could show either state.
+            state.silent_since = None;
         }
     }
 
-    /// A connection has answered: its member is not silent. Where that came on one newer than the silence, older ones
-    /// are in doubt until one of them answers.
-    pub(super) fn heard(&mut self, now: Micros, m: u32, at: u32) {
+    /// The member has answered, so it is responsive. If the connection is newer than the unresponsive period,
+    /// older ones remain unconfirmed until one of them answers.
+    pub(super) fn on_sign_of_life(&mut self, now: Micros, m: u32, at: u32) {
         let (state, opened) = (&mut self.members[m as usize], self.conns[at as usize].opened);
-        if let Some(since) = state.silent.take() {
-            state.pace.draw(now, &mut self.random);
-            state.doubt = (opened > since).then_some((since, now));
-        } else if state.doubt.is_some_and(|(since, _)| opened <= since) {
-            state.doubt = None;
+        if let Some(since) = state.silent_since.take() {
+            state.connect_rate.draw_delay(now, &mut self.random);
+            state.older_unconfirmed = (opened > since).then_some((since, now));
+        } else if state.older_unconfirmed.is_some_and(|(since, _)| opened <= since) {
+            state.older_unconfirmed = None;
         }
     }
 
-    /// Closes idle connections from before a silence, once the member has answered on newer ones for a while and on no
-    /// older one: it was cut off, and has forgotten them.
+    /// Closes idle connections from before an unresponsive period once the member has answered for a while on
+    /// newer ones and on no older one: it was cut off and has lost the state of the old ones.
     pub(super) fn close_half_open(&mut self, now: Micros, m: u32) {
         let state = &mut self.members[m as usize];
-        let Some((since, heard)) = state.doubt else { return };
-        if now - heard < state.stall_mark(self.deployment.connect_timeout) {
+        let Some((since, heard)) = state.older_unconfirmed else { return };
+        if now - heard < state.stall_threshold(self.deployment.connect_timeout) {
             return;
         }
-        state.doubt = None;
-        // In the order of their last use: the oldest are at the back.
+        state.older_unconfirmed = None;
+        // Ordered by last use: the least recently used are at the back.
         while let Some(old) = self.members[m as usize].idle.back() {
             if self.conns[old as usize].progress > since {
                 break;
             }
-            self.close(now, old, Why::HalfOpen);
+            self.close(now, old, CloseReason::HalfOpen);
         }
     }
 }
--- a/crates/pool/src/pool/explain.rs
+++ b/crates/pool/src/pool/explain.rs
@@ -1,151 +1,152 @@
-//! What was held, opened, reused, refused and lost, and why the number aimed at is what it is.
+//! Counters of connections and flows, and the explanation of a member's target.
 
 use super::Pool;
 use crate::{MemberId, Micros};
 use std::fmt;
 
-/// Why so many connections are aimed at.
+/// What determines the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Because {
-    /// Hardly any flows: one is opened when it is needed, and kept while it is used.
-    Quiet,
-    /// What the load is worth.
+pub enum TargetReason {
+    /// Hardly any flows: connections are opened on demand and kept while in use.
+    LowLoad,
+    /// The present load.
     Load,
-    /// What the load was worth lately.
-    Lately,
-    /// A load that is foreseen: the member is about to be warm, or others' keys are about to move to it.
-    Foreseen,
-    /// The member refused more.
-    Refused,
-    /// The operators' bound.
-    Setting,
-    /// The node holds all that it may.
-    Descriptors,
+    /// A higher load within the last `hold_ms`.
+    RecentLoad,
+    /// Expected load: the member is about to be warm, or keys are about to move to it.
+    ExpectedLoad,
+    /// The member refused more connections.
+    MemberLimit,
+    /// The setting `pool.per_member`.
+    ConfiguredLimit,
+    /// The node is near its connection limit.
+    NodeLimit,
 }
 
-impl fmt::Display for Because {
+impl fmt::Display for TargetReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Because::Quiet => "hardly any load",
-            Because::Load => "the load is worth it",
-            Because::Lately => "the load was worth it lately",
-            Because::Foreseen => "more load is foreseen",
-            Because::Refused => "the member refused more",
-            Because::Setting => "pool.per_member",
-            Because::Descriptors => "the node holds all that it may",
+            TargetReason::LowLoad => "low load",
+            TargetReason::Load => "load",
+            TargetReason::RecentLoad => "recent load",
+            TargetReason::ExpectedLoad => "expected load",
+            TargetReason::MemberLimit => "limit of the member",
+            TargetReason::ConfiguredLimit => "pool.per_member",
+            TargetReason::NodeLimit => "connection limit of the node",
         })
     }
 }
 
-/// What has happened at a member since it was listed.
+/// Counters of a member since it was listed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Connects begun.
     pub opened: u64,
-    /// Of those, such as were begun with no flow waiting.
-    pub ahead: u64,
-    /// Connects refused, or not up in time.
+    /// Of those, begun while no flow was queued.
+    pub preconnected: u64,
+    /// Connects refused or timed out.
     pub refused: u64,
-    /// Flows put on connections.
+    /// Flows assigned to connections.
     pub flows: u64,
-    /// Of those, on one that had brought an answer before.
+    /// Of those, on a connection that had answered before.
     pub reused: u64,
-    /// Of those, behind others.
-    pub behind: u64,
-    /// Flows that got no connection.
-    pub turned_away: u64,
-    /// Connections that a flow found dead after standing idle.
-    pub dead: u64,
-    /// Idle connections that the other side closed, and told.
-    pub told: u64,
-    /// Connections that failed under work.
+    /// Of those, behind other flows.
+    pub pipelined: u64,
+    /// Flows rejected for lack of a connection.
+    pub rejected: u64,
+    /// Connections found dead by a flow after being idle.
+    pub found_dead: u64,
+    /// Idle connections closed visibly by the peer.
+    pub closed_by_peer: u64,
+    /// Connections that failed in use.
     pub failed: u64,
-    /// Times that the member reset everything.
+    /// Mass resets by the member.
     pub resets: u64,
-    /// Connections closed by this side, for being idle, old or not needed.
+    /// Connections closed by this side: idle, at their maximum lifetime, surplus, evicted or at the host's
+    /// request.
     pub retired: u64,
-    /// Most connections up at once.
-    pub most_up: u32,
+    /// Highest number of established connections.
+    pub max_up: u32,
 }
 
 impl Counts {
-    /// Adds what happened elsewhere.
+    /// Adds the counters of another member.
     pub fn add(&mut self, other: &Counts) {
         self.opened += other.opened;
-        self.ahead += other.ahead;
+        self.preconnected += other.preconnected;
         self.refused += other.refused;
         self.flows += other.flows;
         self.reused += other.reused;
-        self.behind += other.behind;
-        self.turned_away += other.turned_away;
-        self.dead += other.dead;
-        self.told += other.told;
+        self.pipelined += other.pipelined;
+        self.rejected += other.rejected;
+        self.found_dead += other.found_dead;
+        self.closed_by_peer += other.closed_by_peer;
         self.failed += other.failed;
         self.resets += other.resets;
         self.retired += other.retired;
-        self.most_up = self.most_up.max(other.most_up);
+        self.max_up = self.max_up.max(other.max_up);
     }
 }
 
 impl fmt::Display for Counts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Counts { opened, ahead, refused, flows, reused, behind, turned_away, .. } = self;
-        let Counts { dead, told, failed, resets, retired, most_up, .. } = self;
+        let Counts { opened, preconnected, refused, flows, reused, pipelined, rejected, .. } = self;
+        let Counts { found_dead, closed_by_peer, failed, resets, retired, max_up, .. } = self;
         write!(
             f,
-            "opened {opened} ({ahead} ahead, {refused} in vain), flows {flows} ({reused} reused, {behind} behind others, \
-             {turned_away} turned away), dead when used {dead}, closed by peer {told}, failed {failed}, resets of all \
-             {resets}, retired {retired}, most up {most_up}"
+            "opened {opened} ({preconnected} pre-connected, {refused} failed), flows {flows} ({reused} on reused \
+             connections, {pipelined} pipelined, {rejected} rejected), found dead {found_dead}, closed by peer \
+             {closed_by_peer}, failed in use {failed}, mass resets {resets}, retired {retired}, max up {max_up}"
         )
     }
 }
 
-/// How a member stands. Its text is one line for a log.
+/// State of a member. The `Display` text is one log line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
-    /// Which.
+    /// The member.
     pub member: MemberId,
     /// Its kind.
     pub kind: u32,
-    /// Connections aimed at.
+    /// Target number of connections.
     pub target: u32,
-    /// Why so many.
-    pub because: Because,
-    /// Connections up.
+    /// What determines the target.
+    pub reason: TargetReason,
+    /// Established connections.
     pub up: u32,
     /// Of those, idle.
     pub idle: u32,
-    /// Of those, such as take nothing: they stall, or hold a flow that nobody waits for.
+    /// Of those, blocked: stalled, retiring, or with an abandoned flow, so that they take no flows.
     pub blocked: u32,
-    /// Connections on their way.
-    pub coming: u32,
+    /// Connections being established.
+    pub connecting: u32,
     /// Flows on connections.
     pub in_flight: u32,
-    /// Flows that wait for one.
+    /// Queued flows.
     pub waiting: usize,
-    /// Flows a second that the target is for.
+    /// Flows per second to provide connections for, as measured.
     pub rate: f64,
-    /// Undisturbed mean time of a flow, µs.
+    /// Undisturbed mean duration of a flow, µs.
     pub time: f64,
-    /// Mean flows in flight by these two.
+    /// Mean number of flows in flight, the product of `rate` and `time`.
     pub load: f64,
-    /// Variance over mean of the number in flight.
-    pub peaked: f64,
-    /// How much slower flows are taken to get if each node holds one connection more.
+    /// Variance of the number in flight divided by its mean.
+    pub peakedness: f64,
+    /// Estimated relative slow-down of flows if each node holds one more connection.
     pub cost: f64,
-    /// Time until a new connection is up, and what its first answer takes longer, µs.
+    /// Mean time to establish a connection, µs.
     pub connect_time: f64,
-    /// See `connect_time`.
-    pub first_extra: f64,
-    /// Idle connections are not used beyond this age.
+    /// Additional time of the first answer on a connection, µs.
+    pub first_answer_extra: f64,
+    /// Maximum idle time after which a connection is still used.
     pub idle_limit: Micros,
-    /// Connections that the member bears, where it was seen to refuse more.
+    /// Maximum number of connections, if the member was seen to refuse more.
     pub ceiling: Option<u32>,
-    /// For how long it has not answered on any connection.
+    /// For how long an unresponsive member has not answered, µs.
     pub silent_for: Option<Micros>,
-    /// Connects in vain since one came up.
-    pub fails: u32,
-    /// What has happened.
+    /// Failed connects since the last success.
+    pub consecutive_failures: u32,
+    /// Counters.
     pub counts: Counts,
 }
 
@@ -154,73 +155,73 @@
         let ms = |us: f64| us / 1e3;
         write!(
             f,
-            "member {}: aims at {} ({}): {:.1} flows/s of {:.2} ms, load {:.2}, bursts {:.1}, one more costs {:.4}; \
-             {} up ({} idle, {} blocked), {} coming, {} in flight, {} waiting; connect {:.2} ms and {:.2} ms; idle up \
+            "member {}: target {} ({}): {:.1} flows/s of {:.2} ms, load {:.2}, peakedness {:.1}, cost per connection {:.4}; \
+             {} up ({} idle, {} blocked), {} coming, {} in flight, {} queued; connect {:.2} ms, first answer +{:.2} ms; idle up \
              to {:.1} s",
             self.member.0,
             self.target,
-            self.because,
+            self.reason,
             self.rate,
             ms(self.time),
             self.load,
-            self.peaked,
+            self.peakedness,
             self.cost,
             self.up,
             self.idle,
             self.blocked,
-            self.coming,
+            self.connecting,
             self.in_flight,
             self.waiting,
             ms(self.connect_time),
-            ms(self.first_extra),
+            ms(self.first_answer_extra),
             self.idle_limit as f64 / 1e6,
         )?;
         if let Some(most) = self.ceiling {
-            write!(f, "; bears {most}")?;
+            write!(f, "; accepts at most {most}")?;
         }
         if let Some(since) = self.silent_for {
-            write!(f, "; silent for {:.2} s", since as f64 / 1e6)?;
+            write!(f, "; unresponsive for {:.2} s", since as f64 / 1e6)?;
         }
-        if self.fails > 0 {
-            write!(f, "; {} connects in vain", self.fails)?;
+        if self.consecutive_failures > 0 {
+            write!(f, "; {} consecutive failed connects", self.consecutive_failures)?;
         }
         write!(f, "; {}", self.counts)
     }
 }
 
 impl Pool {
-    /// How a member stands, and why.
+    /// Explains the state of a member.
     #[must_use]
     pub fn explain(&self, now: Micros, member: MemberId) -> Option<Explanation> {
         let m = &self.members[*self.by_id.get(&member)? as usize];
-        let load = m.need.rate() * m.need.base_time() / 1e6;
+        let load = m.demand.rate() * m.demand.base_time() / 1e6;
         Some(Explanation {
             member,
             kind: m.info.kind,
             target: m.target,
-            because: m.because,
+            reason: m.reason,
             up: m.up,
             idle: m.idle.len(),
             blocked: m.blocked,
-            coming: m.coming,
+            connecting: m.connecting,
             in_flight: m.in_flight,
             waiting: m.waiting.len(),
-            rate: m.need.rate(),
-            time: m.need.base_time(),
+            rate: m.demand.rate(),
+            time: m.demand.base_time(),
             load,
-            peaked: m.need.peaked(),
+            peakedness: m.demand.peakedness(),
             cost: self.cost(m),
             connect_time: m.connect_time,
-            first_extra: m.first_extra,
-            idle_limit: m.life.limit(),
-            ceiling: m.ceiling.is_learnt().then(|| m.ceiling.most(now)),
-            silent_for: m.silent.map(|since| now - since),
-            fails: m.backoff.fails(),
+            first_answer_extra: m.first_answer_extra,
+            idle_limit: m.idle_limit.limit(),
+            ceiling: m.ceiling.is_learnt().then(|| m.ceiling.limit(now)),
+            silent_for: m.silent_since.map(|since| now - since),
+            consecutive_failures: m.backoff.consecutive_failures(),
             counts: m.counts,
         })
     }
 
-    /// The members that there are, in the order of their ids.
+    /// Ids of all members, ascending.
     #[must_use]
     pub fn members(&self) -> Vec<MemberId> {
         let mut all: Vec<MemberId> = self.by_id.keys().copied().collect();
@@ -228,19 +229,19 @@
         all
     }
 
-    /// What has happened at all members, also at those that are gone.
+    /// Counters of all members, including removed ones.
     #[must_use]
     pub fn totals(&self) -> Counts {
-        let mut all = self.past;
+        let mut all = self.removed_counts;
         self.by_id.values().for_each(|m| all.add(&self.members[*m as usize].counts));
         all
     }
 
-    /// The share of connections that were found dead by idle age at a member, for a closer look: ages in µs from
-    /// which on the share holds, the share, and how many uses it is taken from.
+    /// Estimated share of dead connections by idle age at a member, for diagnosis: for each step the age in
+    /// µs at which it begins, the share, and the number of observations.
     #[must_use]
-    pub fn dead_by_age(&self, member: MemberId) -> Vec<(Micros, f64, f64)> {
+    pub fn death_share_by_age(&self, member: MemberId) -> Vec<(Micros, f64, f64)> {
         let m = self.by_id.get(&member).and_then(|m| self.members.get(*m as usize));
-        m.map_or(Vec::new(), |m| m.life.table.dead_by_age())
+        m.map_or(Vec::new(), |m| m.idle_limit.table.death_share_by_age())
     }
 }
--- a/crates/pool/src/settings.rs
+++ b/crates/pool/src/settings.rs
@@ -1,97 +1,101 @@
-//! The operators' settings: `[pool]` in their file. Every key may be left out; an unknown one is refused.
+//! Operator settings: the `[pool]` table of the configuration file. Every key is optional; an unknown key is
+//! rejected.
 //!
-//! A 0 means: derived, from what the deployment states and what is observed. So a fresh file says nothing of any one
-//! deployment.
+//! A value of 0 means that the value is derived from the deployment and from observation, so that the
+//! defaults suit any deployment.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A setting that cannot be used, by its key.
+/// An invalid setting, identified by its key.
 #[derive(Debug, Error, PartialEq)]
 pub enum SettingsError {
-    /// A number is outside of what can be meant.
+    /// A number is outside its permitted range.
     #[error("pool.{key} is {value}, but must be {must}")]
     Range {
-        /// The key, from `pool` on.
+        /// The key, relative to `pool`.
         key: &'static str,
-        /// What it is set to.
+        /// The configured value.
         value: String,
-        /// What it may be.
+        /// The permitted values.
         must: &'static str,
     },
     /// Two settings contradict each other.
     #[error("pool.{key} ({value}) must not be above pool.{other} ({bound})")]
-    Order {
-        /// The key, from `pool` on.
+    Inverted {
+        /// The key, relative to `pool`.
         key: &'static str,
-        /// What it is set to.
+        /// The configured value.
         value: String,
-        /// The other key.
+        /// The key that it contradicts.
         other: &'static str,
-        /// What that one is set to.
+        /// The configured value of the other key.
         bound: String,
     },
 }
 
 impl SettingsError {
-    /// The key in question, from `pool` on.
+    /// The invalid key, relative to `pool`.
     #[must_use]
     pub fn key(&self) -> &'static str {
-        let (SettingsError::Range { key, .. } | SettingsError::Order { key, .. }) = self;
+        let (SettingsError::Range { key, .. } | SettingsError::Inverted { key, .. }) = self;
         key
     }
 
-    /// What is wrong, without the key.
+    /// Describes the error without naming the key.
     #[must_use]
     pub fn what(&self) -> String {
         match self {
             SettingsError::Range { value, must, .. } => format!("{value} is not {must}"),
-            SettingsError::Order { value, other, bound, .. } => {
+            SettingsError::Inverted { value, other, bound, .. } => {
                 format!("{value} is above pool.{other} ({bound})")
             }
         }
     }
 }
 
-/// Connections to members.
+/// Settings of the connection pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, expecting = "a table")]
 pub struct Settings {
-    /// Connections to one member by all nodes together, at most. Default 0: what the load is worth, and what the
-    /// member was seen to bear.
+    /// Maximum number of connections to one member from all nodes together. Default 0: determined by the load
+    /// and by the number of connections that the member was seen to accept.
     pub per_member: u32,
-    /// Connections to all members by this node, at most. Default 0: what the host has descriptors for.
+    /// Maximum number of connections from this node to all members. Default 0: as many as the host has
+    /// descriptors for.
     pub in_all: u32,
-    /// Share of a member's capacity that one connection takes by being held. Default 0: learnt from latency against
-    /// connections held, beginning with 1/128.
+    /// Share of a member's capacity that each open connection takes. Default 0: learnt from the latency at
+    /// different numbers of open connections, starting from 1/128.
     pub held_cost: f64,
-    /// Connections opened to one member within a second, by all nodes together, at most. Default 0: as many as take
-    /// 5% of one core, by the cost of a handshake as it is learnt.
+    /// Maximum number of connections opened to one member per second, by all nodes together. Default 0: as
+    /// many as use 5% of one core, given the learnt cost of a handshake.
     pub connects_per_s: f64,
-    /// Connections that this node opens within a second, at most. Default 0: as many as there are flows without any, and
-    /// beside those a quarter of what it may hold, 100 at the least.
+    /// Maximum number of connections that this node opens per second. Default 0: unlimited for flows whose
+    /// member has no usable connection; all others are limited to a quarter of the node's connection limit,
+    /// at least 100.
     pub node_connects_per_s: f64,
-    /// The rate for one member stays under `connects_per_s` though there are so many times as many nodes as the
-    /// deployment says. Default 3.
+    /// The rate for one member stays below `connects_per_s` even if there are this many times as many nodes
+    /// as the deployment states. Default 3.
     pub siblings_wrong_by: f64,
-    /// Connections are opened before they are needed. Default true.
+    /// Whether connections are opened before a flow needs them (pre-connect). Default true.
     pub ahead: bool,
-    /// For how long, in ms, a need that is over still counts: the number aimed at falls no sooner. Default 10,000.
+    /// Time in ms for which a past need still counts: the target size does not fall sooner. Default 10,000.
     pub hold_ms: u32,
-    /// No connection carries a flow after standing idle for longer than so many ms, whatever is learnt. Default 0:
-    /// what the deployment states.
+    /// Maximum idle time in ms after which a connection is no longer used, whatever has been learnt. Default
+    /// 0: the idle timeout that the deployment states.
     pub idle_most_ms: u32,
-    /// Of a million flows so many may be lost to connections that died while idle, to learn how long they last.
-    /// Default 4.
+    /// Number of flows per million that may be lost on connections that died while idle, in order to learn
+    /// how long idle connections last. Default 4.
     pub losses_per_million: f64,
-    /// A connection is retired after about so many seconds; 0: never. Default 1800.
+    /// Approximate maximum lifetime of a connection in seconds; 0: unlimited. Default 1800.
     pub max_age_s: u32,
-    /// Ages differ by this share, up and down, so that connections opened together are not retired together. Default
-    /// 0.25.
+    /// Relative jitter of the maximum lifetime, in both directions, so that connections opened together are
+    /// not retired together. Default 0.25.
     pub age_jitter: f64,
-    /// After a connect in vain the next one waits for up to so many ms, twice as long with each. Default 25.
+    /// Backoff after the first failed connect, in ms (randomized); it doubles with each further failure.
+    /// Default 25.
     pub backoff_least_ms: u32,
-    /// ... up to so many. Default 1000.
+    /// Upper bound of the backoff, in ms. Default 1000.
     pub backoff_most_ms: u32,
 }
 
@@ -117,10 +121,10 @@
 }
 
 impl Settings {
-    /// Refuses what cannot be meant.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// The first setting in question.
+    /// The first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         within("per_member", self.per_member, 0..=1_000_000, "0 to 1000000")?;
         within("in_all", self.in_all, 0..=1_000_000, "0 to 1000000")?;
@@ -141,7 +145,7 @@
         within("backoff_most_ms", self.backoff_most_ms, 1..=600_000, "1 to 600000")?;
         if self.backoff_least_ms > self.backoff_most_ms {
             let (value, bound) = (self.backoff_least_ms.to_string(), self.backoff_most_ms.to_string());
-            return Err(SettingsError::Order {
+            return Err(SettingsError::Inverted {
                 key: "backoff_least_ms",
                 value,
                 other: "backoff_most_ms",
@@ -175,7 +179,7 @@
     use super::*;
 
     #[test]
-    fn the_defaults_are_sound_and_each_bad_setting_is_named() {
+    fn defaults_are_valid_and_errors_name_the_setting() {
         let read = |text: &str| -> Result<Settings, String> {
             let settings: Settings = toml::from_str(text).map_err(|e| e.to_string())?;
             settings.check().map_err(|e| e.to_string())?;
@@ -197,8 +201,8 @@
                 "pool.backoff_least_ms (2000) must not be above pool.backoff_most_ms",
             ),
         ] {
-            let told = read(text).expect_err(text);
-            assert!(told.contains(names), "{text:?}: {told}");
+            let error = read(text).expect_err(text);
+            assert!(error.contains(names), "{text:?}: {error}");
         }
     }
 }
--- a/crates/pool/src/staffing.rs
+++ b/crates/pool/src/staffing.rs
@@ -1,41 +1,43 @@
-//! How many connections an offered load is worth.
+//! Number of connections that is worth holding for an offered load.
 //!
-//! The load is in flight (Little 1961: arrivals a second times seconds each). Where a connection carries many flows,
-//! whose answers come in order, the number in flight is that of an infinite server: Poisson, or negative binomial
-//! where arrivals come in bursts (variance over mean above 1; peakedness). A flow that finds `k` others ahead on the
-//! least busy connection waits for the slowest of them. For exponential times of mean 1 that is longer than its own
-//! by `H(k+1) - 1` (the maximum of `k+1` has mean `H(k+1)`, the harmonic number); times of another spread scale by
-//! `(1 + cv^2) / 2`, as residual times do. Where a connection carries one flow the delay is that of M/M/c (Erlang C),
-//! with the same factor (Lee and Longton 1959).
+//! The load is the mean number of flows in flight (Little 1961: arrivals per second times seconds per flow).
+//! Where a connection carries several flows at a time, answered in order, the number in flight is that of a
+//! system with infinitely many servers: Poisson, or negative binomial for bursty arrivals (variance over mean
+//! above 1; peakedness). A flow that finds `k` others ahead of it on the least busy connection waits for the
+//! slowest of them. For exponential durations of mean 1 this adds `H(k+1) - 1` to its own duration (the
+//! maximum of `k+1` durations has the harmonic number `H(k+1)` as its mean); for other distributions it is
+//! scaled by `(1 + cv^2) / 2`, as residual times are. Where a connection carries one flow at a time the delay
+//! is that of M/M/c (Erlang C), with the same factor (Lee and Longton 1959).
 //!
-//! A connection is worth having while it saves more delay than holding it costs. That gives the square-root rule
-//! (Halfin and Whitt 1981; Borst, Mandelbaum, Reiman 2004: load plus a margin that grows as its root, by the prices)
-//! without its asymptotics, which do not hold for the small numbers here.
+//! A connection is worth holding while it saves more delay than it costs. This is square-root staffing
+//! (Halfin and Whitt 1981; Borst, Mandelbaum, Reiman 2004: the load plus a margin proportional to its root,
+//! depending on the prices), computed exactly, since the asymptotic formulas do not hold for small numbers of
+//! connections.
 
-/// Beyond this load the root formula is used.
-const LARGE: f64 = 4096.0;
-/// Its factor: a flow finds no idle connection about once in 3,000 times.
+/// Above this load the square-root formula is used.
+const LARGE_LOAD: f64 = 4096.0;
+/// Margin of that formula: about one flow in 3,000 finds no idle connection.
 const LARGE_MARGIN: f64 = 3.4;
 
-/// What is to be carried, and what it is worth.
+/// The load, and the cost and use of connections for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Offered {
-    /// Mean flows in flight.
+    /// Mean number of flows in flight.
     pub load: f64,
-    /// Variance of that number over its mean, 1 or above.
-    pub peaked: f64,
-    /// Squared coefficient of variation of a flow's time.
+    /// Variance of the number in flight divided by its mean, at least 1.
+    pub peakedness: f64,
+    /// Squared coefficient of variation of the duration of flows.
     pub cv2: f64,
-    /// Flows on one connection at a time.
-    pub at_once: u32,
-    /// What holding one more connection costs: relative slowing of all flows of this node at this member.
+    /// Maximum number of flows on one connection at a time.
+    pub pipeline_depth: u32,
+    /// Cost of holding one more connection: relative slow-down of all flows from this node to this member.
     pub price: f64,
-    /// Flows within the time that an idle connection is kept.
-    pub flows_in_life: f64,
+    /// Number of flows that arrive within the time for which an idle connection is kept.
+    pub flows_per_idle_time: f64,
 }
 
-/// Extra time of a flow behind `ahead` others, relative to a flow's own mean time.
-pub fn behind(ahead: u32, cv2: f64) -> f64 {
+/// Additional duration of a flow behind `ahead` others, relative to the mean duration of a flow.
+pub fn queueing_delay(ahead: u32, cv2: f64) -> f64 {
     let harmonic: f64 = match ahead {
         0 => 0.0,
         // H(k+1) - 1.
@@ -45,15 +47,15 @@
     harmonic * (1.0 + cv2) / 2.0
 }
 
-/// Probabilities of so many in flight, from none on, as far as they matter.
-fn in_flight(load: f64, peaked: f64) -> Vec<f64> {
-    let most = (load + 8.0 * (peaked * load).sqrt() + 8.0 * peaked).ceil() as usize;
+/// Probabilities of 0, 1, 2, ... flows in flight, as far as they are significant.
+fn in_flight(load: f64, peakedness: f64) -> Vec<f64> {
+    let most = (load + 8.0 * (peakedness * load).sqrt() + 8.0 * peakedness).ceil() as usize;
     let mut all = Vec::with_capacity(most + 1);
-    if peaked > 1.01 {
-        // Negative binomial: mean load, variance peaked * load.
-        let r = load / (peaked - 1.0);
-        let fail = 1.0 - 1.0 / peaked;
-        let mut p = (-r * peaked.ln()).exp();
+    if peakedness > 1.01 {
+        // Negative binomial with mean `load` and variance `peakedness * load`.
+        let r = load / (peakedness - 1.0);
+        let fail = 1.0 - 1.0 / peakedness;
+        let mut p = (-r * peakedness.ln()).exp();
         for n in 0..=most {
             all.push(p);
             p *= (n as f64 + r) / (n as f64 + 1.0) * fail;
@@ -65,9 +67,9 @@
             p *= load / (n as f64 + 1.0);
         }
     }
-    // Guards against underflow at large loads: begin at the mean instead.
+    // The recurrence underflows at large loads; a normal distribution is used instead.
     if all.iter().sum::<f64>() < 0.5 {
-        let var = (peaked * load).max(1e-9);
+        let var = (peakedness * load).max(1e-9);
         let bell = |n: usize| (-(n as f64 - load).powi(2) / (2.0 * var)).exp();
         let sum: f64 = (0..=most).map(bell).sum();
         return (0..=most).map(|n| bell(n) / sum).collect();
@@ -75,38 +77,39 @@
     all
 }
 
-/// The number of connections that the load is worth; 0 if none is worth being held.
-pub fn worth(offered: &Offered) -> u32 {
-    let Offered { load, peaked, at_once, .. } = *offered;
-    if !(load > 0.0 && load.is_finite()) || offered.flows_in_life < 1.0 {
+/// Number of connections that are worth holding for the load; 0 if none is.
+pub fn connections_worth_holding(offered: &Offered) -> u32 {
+    let Offered { load, peakedness, pipeline_depth, .. } = *offered;
+    if !(load > 0.0 && load.is_finite()) || offered.flows_per_idle_time < 1.0 {
         return 0;
     }
-    let peaked = peaked.clamp(1.0, 16.0);
-    if load > LARGE {
-        let all = load + LARGE_MARGIN * (peaked * load).sqrt();
+    let peakedness = peakedness.clamp(1.0, 16.0);
+    if load > LARGE_LOAD {
+        let all = load + LARGE_MARGIN * (peakedness * load).sqrt();
         return all.min(1e9).ceil() as u32;
     }
-    let p = in_flight(load, peaked);
-    // The share of flows that finds at least so many in flight, and so uses connection number n + 1.
+    let p = in_flight(load, peakedness);
+    // `at_least[n]`: probability that an arriving flow finds at least `n` in flight, and so uses connection
+    // number `n + 1`.
     let mut at_least = p.clone();
     for n in (0..p.len().saturating_sub(1)).rev() {
         at_least[n] += at_least[n + 1];
     }
-    let used = |c: usize| at_least.get(c - 1).copied().unwrap_or(0.0) * offered.flows_in_life >= 1.0;
+    let used = |c: usize| at_least.get(c - 1).copied().unwrap_or(0.0) * offered.flows_per_idle_time >= 1.0;
     let most = p.len();
-    // As many as carry the load at all.
-    let needed = match at_once {
+    // Minimum number of connections that can carry the load.
+    let needed = match pipeline_depth {
         1 => (load.floor() + 1.0) as usize,
-        _ => ((load + 4.0 * (peaked * load).sqrt()) / f64::from(at_once)).ceil().max(1.0) as usize,
+        _ => ((load + 4.0 * (peakedness * load).sqrt()) / f64::from(pipeline_depth)).ceil().max(1.0) as usize,
     };
-    let saves: Box<dyn Fn(usize) -> f64> = match at_once {
+    let saves: Box<dyn Fn(usize) -> f64> = match pipeline_depth {
         1 => {
-            let delays = waits(load, peaked, offered.cv2, most + 1);
+            let delays = erlang_c_waits(load, peakedness, offered.cv2, most + 1);
             Box::new(move |c| delays.get(c).zip(delays.get(c + 1)).map_or(0.0, |(a, b)| a - b))
         }
-        _ => Box::new(|c| saving(c, &at_least, offered.cv2)),
+        _ => Box::new(|c| delay_saved(c, &at_least, offered.cv2)),
     };
-    // The last connection that is worth its price, and used often enough to stay alive.
+    // The last connection that saves at least its price and is used often enough to stay alive.
     let mut best = needed;
     for c in needed..most {
         if used(c + 1) && saves(c) >= offered.price {
@@ -116,9 +119,10 @@
     best as u32
 }
 
-/// Delay that connection number `c + 1` saves each flow on average, relative to a flow's time: with `c`, a flow that
-/// finds from `k c` up to `k c + k - 1` in flight goes one place further back than with `c + 1`.
-fn saving(c: usize, at_least: &[f64], cv2: f64) -> f64 {
+/// Delay that connection number `c + 1` saves each flow on average, relative to the duration of a flow: a
+/// flow that finds between `k c` and `k (c + 1) - 1` in flight has one flow fewer ahead of it than with `c`
+/// connections.
+fn delay_saved(c: usize, at_least: &[f64], cv2: f64) -> f64 {
     let tail = |n: usize| at_least.get(n).copied().unwrap_or(0.0);
     let mut sum = 0.0;
     let mut k = 1;
@@ -129,16 +133,17 @@
     sum * (1.0 + cv2) / 2.0
 }
 
-/// Mean wait for one of `c` connections that carry one flow each, relative to a flow's time, for each `c` from 0;
-/// none where they cannot carry the load.
-fn waits(load: f64, peaked: f64, cv2: f64, most: usize) -> Vec<f64> {
+/// Mean wait for one of `c` connections that carry one flow each, relative to the duration of a flow, for
+/// each `c` from 0 to `most`; infinite where they cannot carry the load.
+fn erlang_c_waits(load: f64, peakedness: f64, cv2: f64, most: usize) -> Vec<f64> {
     let mut blocked = 1.0; // Erlang B with no server.
     let mut all = vec![f64::INFINITY];
     for c in 1..=most {
         blocked = load * blocked / (c as f64 + load * blocked);
         let spare = c as f64 - load;
-        let waits = if spare > 0.0 { blocked / (1.0 - load / c as f64 * (1.0 - blocked)) } else { 1.0 };
-        all.push(if spare > 0.0 { waits / spare * (peaked + cv2) / 2.0 } else { f64::INFINITY });
+        let erlang_c_waits =
+            if spare > 0.0 { blocked / (1.0 - load / c as f64 * (1.0 - blocked)) } else { 1.0 };
+        all.push(if spare > 0.0 { erlang_c_waits / spare * (peakedness + cv2) / 2.0 } else { f64::INFINITY });
     }
     all
 }
@@ -147,22 +152,28 @@
 mod tests {
     use super::*;
 
-    fn offered(load: f64, at_once: u32) -> Offered {
-        Offered { load, peaked: 1.0, cv2: 1.0, at_once, price: 0.01, flows_in_life: 1e4 }
+    fn offered(load: f64, pipeline_depth: u32) -> Offered {
+        Offered { load, peakedness: 1.0, cv2: 1.0, pipeline_depth, price: 0.01, flows_per_idle_time: 1e4 }
     }
 
     #[test]
-    fn a_flow_behind_others_waits_for_the_slowest_of_them() {
-        assert_eq!(behind(0, 1.0), 0.0);
-        assert!((behind(1, 1.0) - 0.5).abs() < 1e-9 && (behind(2, 1.0) - 5.0 / 6.0).abs() < 1e-9);
-        assert!((behind(31, 1.0) - behind(32, 1.0)).abs() < 0.04, "no step where the formula changes");
+    fn queueing_delay_is_the_expected_maximum() {
+        assert_eq!(queueing_delay(0, 1.0), 0.0);
+        assert!(
+            (queueing_delay(1, 1.0) - 0.5).abs() < 1e-9 && (queueing_delay(2, 1.0) - 5.0 / 6.0).abs() < 1e-9
+        );
+        assert!(
+            (queueing_delay(31, 1.0) - queueing_delay(32, 1.0)).abs() < 0.04,
+            "no step where the formula changes"
+        );
     }
 
-    /// Against the sum over states, written out: the mean extra time with c connections is what `saving` adds up.
+    /// Compared with the explicit sum over states: `delay_saved` must equal the difference of the mean
+    /// delays.
     #[test]
-    fn what_a_connection_saves_is_the_difference_in_mean_delay() {
-        for (load, peaked) in [(0.3, 1.0), (2.0, 1.0), (9.0, 1.0), (5.0, 3.0)] {
-            let p = in_flight(load, peaked);
+    fn delay_saved_is_the_difference_of_mean_delays() {
+        for (load, peakedness) in [(0.3, 1.0), (2.0, 1.0), (9.0, 1.0), (5.0, 3.0)] {
+            let p = in_flight(load, peakedness);
             assert!((p.iter().sum::<f64>() - 1.0).abs() < 1e-6);
             let mean: f64 = p.iter().enumerate().map(|(n, p)| n as f64 * p).sum();
             assert!((mean - load).abs() < 1e-3 * load, "{mean} of {load}");
@@ -170,25 +181,25 @@
             (0..p.len() - 1).rev().for_each(|n| at_least[n] += at_least[n + 1]);
             for c in 1..8usize {
                 let delay = |c: usize| -> f64 {
-                    p.iter().enumerate().map(|(n, p)| p * behind((n / c) as u32, 1.5)).sum()
+                    p.iter().enumerate().map(|(n, p)| p * queueing_delay((n / c) as u32, 1.5)).sum()
                 };
                 let right = delay(c) - delay(c + 1);
-                assert!((saving(c, &at_least, 1.5) - right).abs() < 2e-3, "{load} {c}");
+                assert!((delay_saved(c, &at_least, 1.5) - right).abs() < 2e-3, "{load} {c}");
             }
         }
     }
 
     #[test]
-    fn delays_of_single_flow_connections_are_those_of_erlang_c() {
+    fn single_flow_connections_have_erlang_c_delays() {
         // M/M/1 at load 0.5: wait = rho / (1 - rho) = 1; M/M/2 at load 1: C = 1/3, wait = 1/3.
-        let w = waits(0.5, 1.0, 1.0, 3);
+        let w = erlang_c_waits(0.5, 1.0, 1.0, 3);
         assert!((w[1] - 1.0).abs() < 1e-9, "{w:?}");
-        assert!((waits(1.0, 1.0, 1.0, 2)[2] - 1.0 / 3.0).abs() < 1e-9);
+        assert!((erlang_c_waits(1.0, 1.0, 1.0, 2)[2] - 1.0 / 3.0).abs() < 1e-9);
     }
 
     #[test]
-    fn the_number_is_the_load_and_a_margin_that_grows_as_its_root() {
-        for (load, at_once, least, most) in [
+    fn connections_are_the_load_plus_a_square_root_margin() {
+        for (load, pipeline_depth, least, most) in [
             (0.01, 32, 1, 1),
             (0.5, 32, 2, 3),
             (1.0, 32, 3, 5),
@@ -199,31 +210,31 @@
             (100.0, 1, 108, 125),
             (10_000.0, 32, 10_200, 10_400),
         ] {
-            let n = worth(&offered(load, at_once));
-            assert!((least..=most).contains(&n), "{n} for {load} at {at_once}");
+            let n = connections_worth_holding(&offered(load, pipeline_depth));
+            assert!((least..=most).contains(&n), "{n} for {load} at {pipeline_depth}");
         }
     }
 
     #[test]
-    fn it_falls_with_the_price_rises_with_bursts_and_ends_where_connections_would_die_unused() {
+    fn connections_fall_with_price_and_disuse_and_rise_with_bursts() {
         let at = |change: fn(&mut Offered)| {
             let mut o = offered(4.0, 32);
             change(&mut o);
-            worth(&o)
+            connections_worth_holding(&o)
         };
         let usual = at(|_| {});
         assert!(at(|o| o.price = 0.1) < usual && at(|o| o.price = 10.0) == 1);
-        assert!(at(|o| o.peaked = 4.0) > usual);
-        assert!(at(|o| o.flows_in_life = 4.0) < usual && at(|o| o.flows_in_life = 0.5) == 0);
-        // What cannot be carried otherwise is held at any price.
+        assert!(at(|o| o.peakedness = 4.0) > usual);
+        assert!(at(|o| o.flows_per_idle_time = 4.0) < usual && at(|o| o.flows_per_idle_time = 0.5) == 0);
+        // Connections without which the load cannot be carried are held at any price.
         let mut one = offered(4.0, 1);
         one.price = 1e9;
-        assert_eq!(worth(&one), 5);
+        assert_eq!(connections_worth_holding(&one), 5);
         let mut deep = offered(64.0, 8);
         deep.price = 1e9;
-        assert_eq!(worth(&deep), 12, "64 and four roots by eights");
+        assert_eq!(connections_worth_holding(&deep), 12, "64 and four roots by eights");
         for load in [f64::NAN, f64::INFINITY, -1.0, 0.0] {
-            assert_eq!(worth(&offered(load, 32)), 0);
+            assert_eq!(connections_worth_holding(&offered(load, 32)), 0);
         }
     }
 }
--- a/crates/pool/tests/pool/fleet.rs
+++ b/crates/pool/tests/pool/fleet.rs
@@ -1,14 +1,14 @@
-//! Many nodes that cannot see each other.
+//! Many nodes without knowledge of each other.
 
 use crate::world::{Server, World, member, most_within, s};
 use lapisrudder_model::server::{CacheConfig, Class, Connections, Dist, Machine};
 use lapisrudder_pool::{Deployment, MemberId, Settings};
 
-/// By the defaults: 5% of a core at 0.5 ms a handshake.
+/// Connects per second to one server by default: 5% of a core at 0.5 ms per handshake.
 const LIMIT: usize = 100;
 
-fn told(siblings: u32) -> Deployment {
-    Deployment { siblings, ..Deployment::default() }
+fn deployment(node_count: u32) -> Deployment {
+    Deployment { node_count, ..Deployment::default() }
 }
 
 fn config(cap: u32, full_loss: f64) -> CacheConfig {
@@ -26,17 +26,18 @@
     CacheConfig { machine, ..CacheConfig::default() }
 }
 
-/// A fresh server is listed at all nodes at once, each of which has flows for it already.
+/// A new server appears at all nodes at once, and each node has flows for it: without rate limits all of them
+/// would connect together.
 #[test]
-fn a_fresh_server_is_never_opened_more_connections_to_than_its_limit_by_all_nodes_together() {
-    // The last: three times as many nodes as they are told.
-    for (nodes, siblings) in [(1, 1), (3, 3), (30, 30), (100, 100), (99, 33), (60, 20), (36, 12)] {
+fn all_nodes_together_respect_the_connect_rate_of_a_new_server() {
+    // In the last three cases there are three times as many nodes as the deployment states.
+    for (nodes, node_count) in [(1, 1), (3, 3), (30, 30), (100, 100), (99, 33), (60, 20), (36, 12)] {
         let mut world = World::new(
             6,
             vec![Server::model(&config(2_000, 0.0), 1)],
             nodes,
             &Settings::default(),
-            &told(siblings),
+            &deployment(node_count),
         );
         world.run(s(10.0));
         world.list_all(&member(32));
@@ -44,19 +45,19 @@
             world.steady(n, Some(0), 200.0 / nodes as f64);
         }
         world.run(s(40.0));
-        let most = most_within(&world.seen.opens, 0, s(1.0));
-        assert!(most <= LIMIT, "{most} opens in a second by {nodes} nodes that are told {siblings}");
-        // And all of them get there.
+        let most = most_within(&world.stats.opens, 0, s(1.0));
+        assert!(most <= LIMIT, "{most} opens in a second by {nodes} nodes that are told {node_count}");
+        // Every node gets a connection nevertheless.
         let without = (0..nodes).filter(|n| world.held(*n, 0).0 == 0).count();
         assert_eq!(without, 0, "nodes without a connection after 30 s");
     }
 }
 
 #[test]
-fn a_hundred_nodes_that_start_over_within_a_second_open_no_burst() {
-    for (nodes, siblings) in [(100usize, 100), (100, 34)] {
+fn restart_of_a_hundred_nodes_causes_no_connect_burst() {
+    for (nodes, node_count) in [(100usize, 100), (100, 34)] {
         let servers = (0..5).map(|i| Server::model(&config(2_000, 0.0), i)).collect();
-        let mut world = World::new(7, servers, nodes, &Settings::default(), &told(siblings));
+        let mut world = World::new(7, servers, nodes, &Settings::default(), &deployment(node_count));
         world.list_all(&member(32));
         for n in 0..nodes {
             world.steady(n, None, 10.0);
@@ -64,44 +65,44 @@
         world.run(s(30.0));
         for n in 0..nodes {
             world.script(s(30.0) + s(1.0) * n as i64 / nodes as i64, move |w| {
-                w.start(n, 99, &Settings::default(), &told(siblings));
+                w.start(n, 99, &Settings::default(), &deployment(node_count));
                 w.list(n, &member(32));
             });
         }
-        world.seen.opens.clear();
+        world.stats.opens.clear();
         world.run(s(60.0));
         for server in 0..5 {
-            let most = most_within(&world.seen.opens, server, s(1.0));
-            assert!(most <= LIMIT, "{most} opens in a second at server {server}, told {siblings}");
+            let most = most_within(&world.stats.opens, server, s(1.0));
+            assert!(most <= LIMIT, "{most} opens in a second at server {server}, told {node_count}");
         }
     }
 }
 
 #[test]
-fn a_reset_of_everything_and_a_return_bring_no_burst_either() {
+fn mass_reset_and_recovery_cause_no_connect_burst() {
     let nodes = 60;
-    let mut world = World::new(8, vec![Server::plain(4_000.0)], nodes, &Settings::default(), &told(60));
+    let mut world = World::new(8, vec![Server::plain(4_000.0)], nodes, &Settings::default(), &deployment(60));
     world.list_all(&member(32));
     for n in 0..nodes {
         world.steady(n, Some(0), 20.0);
     }
     world.run(s(60.0));
-    world.seen.opens.clear();
+    world.stats.opens.clear();
     world.reset(0);
     world.run(s(80.0));
-    let most = most_within(&world.seen.opens, 0, s(1.0));
+    let most = most_within(&world.stats.opens, 0, s(1.0));
     assert!(most <= LIMIT, "{most} opens in a second after a reset of all");
-    // Down for 10 s: connects are refused, and back off.
+    // Down for 10 s: connects are refused and back off.
     world.servers[0].as_plain().table = 0;
     world.reset(0);
-    world.seen.opens.clear();
+    world.stats.opens.clear();
     world.run(s(90.0));
-    let tries = world.seen.opens.len();
+    let tries = world.stats.opens.len();
     assert!(tries < 60 * 60, "{tries} connects in 10 s to a server that is down");
     world.servers[0].as_plain().table = usize::MAX;
-    world.seen.opens.clear();
+    world.stats.opens.clear();
     world.run(s(110.0));
-    let most = most_within(&world.seen.opens, 0, s(1.0));
+    let most = most_within(&world.stats.opens, 0, s(1.0));
     assert!(most <= LIMIT, "{most} opens in a second after it is back");
     for n in 0..nodes {
         let e = world.nodes[n].pool.explain(world.now, MemberId(0)).unwrap();
@@ -109,30 +110,36 @@
     }
 }
 
-/// A table that holds fewer than the nodes want: shares come out alike, refusals get rare, and nobody goes without.
+/// The server's connection table holds fewer connections than the nodes want: shares must become similar,
+/// refusals rare, and no node may be left without a connection.
 #[test]
-fn a_table_that_is_full_is_shared_and_served_on() {
+fn nodes_share_a_full_connection_table() {
     let nodes = 6;
     let mut world =
-        World::new(9, vec![Server::model(&config(24, 0.2), 1)], nodes, &Settings::default(), &told(1));
+        World::new(9, vec![Server::model(&config(24, 0.2), 1)], nodes, &Settings::default(), &deployment(1));
     world.list_all(&member(32));
     for n in 0..nodes {
         world.steady(n, Some(0), 60.0);
     }
     world.run(s(120.0));
-    let (refused, flows) = (world.seen.refused_connects, world.seen.flows);
+    let (refused, flows) = (world.stats.refused_connects, world.stats.flows);
     world.run(s(240.0));
-    let refused = world.seen.refused_connects - refused;
+    let refused = world.stats.refused_connects - refused;
     assert!(refused < 300, "{refused} refused in 120 s by six nodes");
     let held: Vec<u32> = (0..nodes).map(|n| world.held(n, 0).0).collect();
     assert!(held.iter().all(|h| (1..=8).contains(h)), "{held:?}");
-    assert!(world.seen.refused.is_empty() && world.seen.flows > flows, "{:?}", world.seen.refused);
-    assert!(world.seen.answered + 40 > world.seen.flows, "{} of {}", world.seen.answered, world.seen.flows);
+    assert!(world.stats.refused.is_empty() && world.stats.flows > flows, "{:?}", world.stats.refused);
+    assert!(
+        world.stats.answered + 40 > world.stats.flows,
+        "{} of {}",
+        world.stats.answered,
+        world.stats.flows
+    );
 }
 
-/// Where each connection held takes much of a member's capacity, less are held; where it takes none, more.
+/// Fewer connections are held where each takes much of the member's capacity than where it takes none.
 #[test]
-fn what_connections_cost_a_member_is_learnt() {
+fn cost_of_connections_to_a_member_is_learnt() {
     let held = |full_loss: f64| {
         let nodes = 4;
         let mut world = World::new(
@@ -140,11 +147,11 @@
             vec![Server::model(&config(40, full_loss), 1)],
             nodes,
             &Settings::default(),
-            &told(4),
+            &deployment(4),
         );
         world.list_all(&member(32));
         for n in 0..nodes {
-            // Up and down, so that the number held falls later than the load.
+            // The load rises and falls, so that the number of connections falls later than the load.
             world.load(
                 n,
                 Some(0),
@@ -167,9 +174,9 @@
     assert!(costly.1 < 0.9 * free.1, "{costly:?} where they cost, {free:?} where not");
 }
 
-/// 1,000 members with little traffic each: what is held stays within what the node may hold, and nothing starves.
+/// 1,000 members with little traffic each: the connections stay within the node's limit and no flow starves.
 #[test]
-fn many_members_with_little_traffic_share_the_descriptors() {
+fn many_quiet_members_stay_within_the_node_limit() {
     let servers = (0..1000).map(|_| Server::plain(5_000.0)).collect();
     let mut world = World::new(11, servers, 1, &Settings::default(), &Deployment::default());
     world.list_all(&member(32));
@@ -177,21 +184,21 @@
     let mut most = 0;
     for step in 1..=600 {
         world.run(step * 100_000);
-        most = most.max(world.nodes[0].pool.held());
+        most = most.max(world.nodes[0].pool.open_connections());
     }
     assert!((400..=512).contains(&most), "{most} held");
-    assert!(world.seen.refused.is_empty(), "{:?}", world.seen.refused);
+    assert!(world.stats.refused.is_empty(), "{:?}", world.stats.refused);
     assert!(
-        world.seen.answered + 30 > world.seen.flows,
+        world.stats.answered + 30 > world.stats.flows,
         "{} of {}, {:?}",
-        world.seen.answered,
-        world.seen.flows,
-        world.seen.losses
+        world.stats.answered,
+        world.stats.flows,
+        world.stats.losses
     );
-    // Few descriptors, much idle: room is made at once when it gets less.
+    // Lowering the limit closes idle connections at once.
     let now = world.now;
-    world.pool(0).room(now, 64);
+    world.pool(0).set_capacity(now, 64);
     world.drive(0);
     world.run(now + s(5.0));
-    assert!(world.nodes[0].pool.held() <= 64, "{}", world.nodes[0].pool.held());
+    assert!(world.nodes[0].pool.open_connections() <= 64, "{}", world.nodes[0].pool.open_connections());
 }
--- a/crates/pool/tests/pool/main.rs
+++ b/crates/pool/tests/pool/main.rs
@@ -1,4 +1,4 @@
-//! The pool as a whole, on a virtual clock.
+//! Tests of the complete pool on a virtual clock.
 
 mod fleet;
 mod idle;
--- a/crates/pool/tests/pool/random.rs
+++ b/crates/pool/tests/pool/random.rs
@@ -1,57 +1,57 @@
-//! Random histories: whatever a host tells, and in whatever order, no limit is exceeded and no flow starves.
+//! Random sequences of events in any order: no limit is exceeded and no flow starves.
 
 use lapisrudder_pool::{
-    Care, Choice, ConnId, Deployment, End, Member, MemberId, Order, Place, Pool, Settings, Ticket,
+    ConnId, Deployment, End, FlowSeq, Member, MemberId, Order, Placement, Pool, RetrySafety, Settings, Ticket,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const MEMBERS: u64 = 3;
-const ROOM: usize = 12;
+const CAPACITY: usize = 12;
 const PER_MEMBER: u32 = 8;
 
 #[derive(Clone, Debug)]
-enum Do {
+enum Step {
     Wait(i64),
     Flow(u64, bool),
     Answer(usize),
-    ComesUp(usize),
+    Connected(usize),
     Refused(usize),
-    Ends(usize),
+    End(usize),
     Abandon(usize, usize),
-    Unplace(usize),
+    Unassign(usize),
     Withdraw(usize),
-    List(u64, bool),
-    Gone(u64),
-    Room(usize),
+    UpdateMember(u64, bool),
+    RemoveMember(u64),
+    SetCapacity(usize),
     CloseIdle(u64),
-    Moved(u64),
-    Beside(usize),
-    /// The next happens in the same turn: orders are not polled before it.
-    Together,
+    AddressChanged(u64),
+    AppendFlow(usize),
+    /// The following steps belong to the same event-loop iteration: orders are not polled between them.
+    Batch,
 }
 
-fn deed() -> impl Strategy<Value = Do> {
+fn step() -> impl Strategy<Value = Step> {
     let member = 0..MEMBERS;
     prop_oneof![
-        10 => (1i64..60_000).prop_map(Do::Wait),
-        1 => (60_000i64..20_000_000).prop_map(Do::Wait),
-        20 => (member.clone(), any::<bool>()).prop_map(|(m, once)| Do::Flow(m, once)),
-        18 => any::<usize>().prop_map(Do::Answer),
-        12 => any::<usize>().prop_map(Do::ComesUp),
-        2 => any::<usize>().prop_map(Do::Refused),
-        2 => any::<usize>().prop_map(Do::Ends),
-        2 => (any::<usize>(), any::<usize>()).prop_map(|(a, b)| Do::Abandon(a, b)),
-        1 => any::<usize>().prop_map(Do::Unplace),
-        1 => any::<usize>().prop_map(Do::Withdraw),
-        1 => (member.clone(), any::<bool>()).prop_map(|(m, drains)| Do::List(m, drains)),
-        1 => member.clone().prop_map(Do::Gone),
-        1 => (4..=ROOM).prop_map(Do::Room),
-        1 => member.clone().prop_map(Do::CloseIdle),
-        1 => member.prop_map(Do::Moved),
-        2 => any::<usize>().prop_map(Do::Beside),
-        20 => Just(Do::Together),
+        10 => (1i64..60_000).prop_map(Step::Wait),
+        1 => (60_000i64..20_000_000).prop_map(Step::Wait),
+        20 => (member.clone(), any::<bool>()).prop_map(|(m, once)| Step::Flow(m, once)),
+        18 => any::<usize>().prop_map(Step::Answer),
+        12 => any::<usize>().prop_map(Step::Connected),
+        2 => any::<usize>().prop_map(Step::Refused),
+        2 => any::<usize>().prop_map(Step::End),
+        2 => (any::<usize>(), any::<usize>()).prop_map(|(a, b)| Step::Abandon(a, b)),
+        1 => any::<usize>().prop_map(Step::Unassign),
+        1 => any::<usize>().prop_map(Step::Withdraw),
+        1 => (member.clone(), any::<bool>()).prop_map(|(m, drains)| Step::UpdateMember(m, drains)),
+        1 => member.clone().prop_map(Step::RemoveMember),
+        1 => (4..=CAPACITY).prop_map(Step::SetCapacity),
+        1 => member.clone().prop_map(Step::CloseIdle),
+        1 => member.prop_map(Step::AddressChanged),
+        2 => any::<usize>().prop_map(Step::AppendFlow),
+        20 => Just(Step::Batch),
     ]
 }
 
@@ -59,152 +59,155 @@
 struct Link {
     member: u64,
     up: bool,
-    flows: VecDeque<(Place, bool)>,
+    flows: VecDeque<(FlowSeq, bool)>,
 }
 
 struct Host {
     pool: Pool,
     now: i64,
-    room: usize,
+    capacity: usize,
     links: BTreeMap<ConnId, Link>,
     used: BTreeSet<ConnId>,
     waiting: BTreeMap<Ticket, u64>,
     listed: BTreeSet<u64>,
-    /// Orders are carried out later than they were given.
-    late: bool,
+    /// Orders are polled later than they were issued.
+    orders_delayed: bool,
 }
 
 fn info(member: u64, draining: bool) -> Member {
-    // The last takes one at a time.
-    let at_once = if member == MEMBERS - 1 { 1 } else { 3 };
-    Member { kind: (member / 2) as u32, at_once, draining, warm_at: None }
+    // The last member has no pipelining.
+    let pipeline_depth = if member == MEMBERS - 1 { 1 } else { 3 };
+    Member { kind: (member / 2) as u32, pipeline_depth, draining, warm_at: None }
 }
 
 impl Host {
     fn new(seed: u64) -> Host {
         let settings = Settings { per_member: PER_MEMBER, ..Settings::default() };
         let mut pool = Pool::new(settings, Deployment::default(), seed, 0).unwrap();
-        pool.room(0, ROOM);
+        pool.set_capacity(0, CAPACITY);
         let mut host = Host {
             pool,
             now: 0,
-            room: ROOM,
+            capacity: CAPACITY,
             links: BTreeMap::new(),
             used: BTreeSet::new(),
             waiting: BTreeMap::new(),
             listed: BTreeSet::new(),
-            late: false,
+            orders_delayed: false,
         };
         for m in 0..MEMBERS {
-            host.pool.list(0, MemberId(m), &info(m, false));
+            host.pool.update_member(0, MemberId(m), &info(m, false));
             host.listed.insert(m);
         }
         host
     }
 
-    /// One of the connections for which that holds.
+    /// Selects a connection that satisfies the condition.
     fn pick(&self, n: usize, fits: impl Fn(&Link) -> bool) -> Option<ConnId> {
         let all: Vec<ConnId> = self.links.iter().filter(|l| fits(l.1)).map(|l| *l.0).collect();
         (!all.is_empty()).then(|| all[n % all.len()])
     }
 
-    fn put(&mut self, member: u64, conn: ConnId, place: Place) {
+    fn put(&mut self, member: u64, conn: ConnId, seq: FlowSeq) {
         let link = self.links.get_mut(&conn).expect("a connection that there is");
         assert!(link.up && link.member == member, "it is up, and its member's");
         let free = link.flows.iter().all(|f| !f.1);
-        assert!(free || self.late, "nothing goes behind an abandoned flow");
-        link.flows.push_back((place, false));
-        assert!(link.flows.len() <= info(member, false).at_once as usize, "no more at once than may be");
+        assert!(free || self.orders_delayed, "nothing goes behind an abandoned flow");
+        link.flows.push_back((seq, false));
+        assert!(
+            link.flows.len() <= info(member, false).pipeline_depth as usize,
+            "no more at once than may be"
+        );
     }
 
-    fn act(&mut self, deed: &Do) {
+    fn act(&mut self, step: &Step) {
         let now = self.now;
-        match *deed {
-            Do::Wait(us) => self.now += us,
-            Do::Flow(m, once) => {
-                let care = if once { Care::Once } else { Care::MayRepeat };
-                match self.pool.flow(now, MemberId(m), care) {
-                    Choice::On { conn, place } => self.put(m, conn, place),
-                    Choice::Wait(ticket) => assert_eq!(self.waiting.insert(ticket, m), None),
-                    Choice::Refuse(_) => {}
+        match *step {
+            Step::Wait(us) => self.now += us,
+            Step::Flow(m, once) => {
+                let retry_safety = if once { RetrySafety::Unsafe } else { RetrySafety::Safe };
+                match self.pool.assign_flow(now, MemberId(m), retry_safety) {
+                    Placement::Assigned { conn, seq } => self.put(m, conn, seq),
+                    Placement::Queued(ticket) => assert_eq!(self.waiting.insert(ticket, m), None),
+                    Placement::Rejected(_) => {}
                 }
             }
-            Do::Answer(n) => {
+            Step::Answer(n) => {
                 if let Some(conn) = self.pick(n, |l| !l.flows.is_empty()) {
                     self.links.get_mut(&conn).unwrap().flows.pop_front();
                     self.pool.answered(now, conn);
                 }
             }
-            Do::ComesUp(n) => {
+            Step::Connected(n) => {
                 if let Some(conn) = self.pick(n, |l| !l.up) {
                     self.links.get_mut(&conn).unwrap().up = true;
                     self.pool.connected(now, conn);
                 }
             }
-            Do::Refused(n) => {
+            Step::Refused(n) => {
                 if let Some(conn) = self.pick(n, |l| !l.up) {
                     self.links.remove(&conn);
                     self.pool.ended(now, conn, End::Refused, false);
                 }
             }
-            Do::Ends(n) => {
+            Step::End(n) => {
                 if let Some(conn) = self.pick(n, |l| l.up) {
                     let link = self.links.remove(&conn).unwrap();
                     let end = if n % 3 == 0 { End::ByHost } else { End::ByPeer };
                     self.pool.ended(now, conn, end, !link.flows.is_empty() && n % 2 == 0);
                 }
             }
-            Do::Abandon(n, i) => {
+            Step::Abandon(n, i) => {
                 if let Some(conn) = self.pick(n, |l| !l.flows.is_empty()) {
                     let link = self.links.get_mut(&conn).unwrap();
                     let i = i % link.flows.len();
                     link.flows[i].1 = true;
-                    let place = link.flows[i].0;
-                    self.pool.abandoned(now, conn, place);
+                    let seq = link.flows[i].0;
+                    self.pool.abandoned(now, conn, seq);
                 }
             }
-            Do::Unplace(n) => {
+            Step::Unassign(n) => {
                 if let Some(conn) = self.pick(n, |l| l.flows.back().is_some_and(|f| !f.1)) {
                     let link = self.links.get_mut(&conn).unwrap();
-                    let (place, _) = link.flows.pop_back().unwrap();
-                    self.pool.unplaced(now, conn, place);
+                    let (seq, _) = link.flows.pop_back().unwrap();
+                    self.pool.unassigned(now, conn, seq);
                 }
             }
-            Do::Withdraw(n) => {
+            Step::Withdraw(n) => {
                 let all: Vec<(Ticket, u64)> = self.waiting.iter().map(|w| (*w.0, *w.1)).collect();
                 if !all.is_empty() {
                     let (ticket, m) = all[n % all.len()];
                     self.waiting.remove(&ticket);
-                    self.pool.withdrawn(now, MemberId(m), ticket);
+                    self.pool.wait_cancelled(now, MemberId(m), ticket);
                 }
             }
-            Do::List(m, drains) => {
+            Step::UpdateMember(m, drains) => {
                 if drains {
                     self.listed.remove(&m)
                 } else {
                     self.listed.insert(m)
                 };
-                self.pool.list(now, MemberId(m), &info(m, drains));
+                self.pool.update_member(now, MemberId(m), &info(m, drains));
             }
-            Do::Gone(m) => {
+            Step::RemoveMember(m) => {
                 self.listed.remove(&m);
-                self.pool.gone(now, MemberId(m));
+                self.pool.remove_member(now, MemberId(m));
             }
-            Do::Room(n) => {
-                self.room = n;
-                self.pool.room(now, n);
+            Step::SetCapacity(n) => {
+                self.capacity = n;
+                self.pool.set_capacity(now, n);
             }
-            Do::CloseIdle(m) => self.pool.close_idle(now, MemberId(m)),
-            Do::Moved(m) => self.pool.moved(now, MemberId(m)),
-            Do::Beside(n) => {
+            Step::CloseIdle(m) => self.pool.close_idle(now, MemberId(m)),
+            Step::AddressChanged(m) => self.pool.address_changed(now, MemberId(m)),
+            Step::AppendFlow(n) => {
                 if let Some(conn) = self.pick(n, |l| !l.flows.is_empty())
-                    && let Some(place) = self.pool.beside(now, conn)
+                    && let Some(seq) = self.pool.append_flow(now, conn)
                 {
                     let member = self.links[&conn].member;
-                    self.put(member, conn, place);
+                    self.put(member, conn, seq);
                 }
             }
-            Do::Together => {}
+            Step::Batch => {}
         }
     }
 
@@ -219,7 +222,11 @@
                     assert!(self.used.insert(conn), "names come once");
                     self.links.insert(conn, Link { member: member.0, ..Link::default() });
                     let all = self.links.len();
-                    assert!(all <= self.room || self.late, "{all} connections where {} may be", self.room);
+                    assert!(
+                        all <= self.capacity || self.orders_delayed,
+                        "{all} connections where {} may be",
+                        self.capacity
+                    );
                     let same = self.links.values().filter(|l| l.member == member.0).count();
                     assert!(same <= PER_MEMBER as usize);
                 }
@@ -227,11 +234,11 @@
                     let link = self.links.remove(&conn).expect("a connection that there is");
                     assert!(link.flows.iter().all(|f| f.1), "no flow that anybody waits for is cut off");
                 }
-                Order::Take { ticket, conn, place } => {
+                Order::Assign { ticket, conn, seq } => {
                     let m = self.waiting.remove(&ticket).expect("a flow that waits");
-                    self.put(m, conn, place);
+                    self.put(m, conn, seq);
                 }
-                Order::GiveUp { ticket, .. } => {
+                Order::Reject { ticket, .. } => {
                     assert!(self.waiting.remove(&ticket).is_some());
                 }
             }
@@ -240,13 +247,13 @@
 
     fn check(&self) {
         let links = self.links.len();
-        assert_eq!(self.pool.held(), links);
+        assert_eq!(self.pool.open_connections(), links);
         for m in self.pool.members() {
             let e = self.pool.explain(self.now, m).unwrap();
             let of = |f: &dyn Fn(&&Link) -> bool| {
                 self.links.values().filter(|l| l.member == m.0).filter(f).count()
             };
-            assert_eq!((e.up as usize, e.coming as usize), (of(&|l| l.up), of(&|l| !l.up)), "{e}");
+            assert_eq!((e.up as usize, e.connecting as usize), (of(&|l| l.up), of(&|l| !l.up)), "{e}");
             assert_eq!(e.idle as usize, of(&|l| l.up && l.flows.is_empty()), "{e}");
             let flows: usize = self.links.values().filter(|l| l.member == m.0).map(|l| l.flows.len()).sum();
             assert_eq!(
@@ -254,7 +261,7 @@
                 (flows, self.waiting.values().filter(|w| **w == m.0).count()),
                 "{e}"
             );
-            // A member that has answered nothing for long may be asked by one flow at a time.
+            // An unresponsive member is probed by a single flow at a time.
             assert!(
                 e.waiting == 0 || e.idle == 0 || e.silent_for.is_some(),
                 "flows wait beside idle connections: {e}"
@@ -272,37 +279,38 @@
     })]
 
     #[test]
-    fn no_limit_is_exceeded_and_no_flow_starves(
+    fn limits_hold_and_no_flow_starves(
         seed in 0u64..1000,
-        deeds in proptest::collection::vec(deed(), 1..120),
+        steps in proptest::collection::vec(step(), 1..120),
     ) {
         let mut host = Host::new(seed);
-        let mut together = false;
-        for deed in &deeds {
-            host.act(deed);
-            together = matches!(deed, Do::Together) || together && !matches!(deed, Do::Wait(_));
-            if together {
-                host.late = true;
+        let mut batched = false;
+        for step in &steps {
+            host.act(step);
+            batched = matches!(step, Step::Batch) || batched && !matches!(step, Step::Wait(_));
+            if batched {
+                host.orders_delayed = true;
             } else {
                 host.carry_out();
                 host.check();
-                host.late = false;
+                host.orders_delayed = false;
             }
         }
-        // With members back, room, and everything answered at once, all that waits gets its answer.
+        // Once members are listed, there is capacity, and all flows are answered, every queued flow must get
+        // a connection.
         for m in 0..MEMBERS {
-            host.act(&Do::List(m, false));
+            host.act(&Step::UpdateMember(m, false));
         }
-        host.act(&Do::Room(ROOM));
+        host.act(&Step::SetCapacity(CAPACITY));
         for _ in 0..4_000 {
             host.carry_out();
             host.check();
             if host.waiting.is_empty() {
                 break;
             }
-            host.act(&Do::ComesUp(0));
-            host.act(&Do::Answer(0));
-            host.act(&Do::Wait(500));
+            host.act(&Step::Connected(0));
+            host.act(&Step::Answer(0));
+            host.act(&Step::Wait(500));
         }
         prop_assert!(host.waiting.is_empty(), "{} still wait", host.waiting.len());
     }
--- a/crates/pool/tests/pool/targets.rs
+++ b/crates/pool/tests/pool/targets.rs
@@ -1,13 +1,18 @@
-//! Numbers of connections follow the load, without swinging.
+//! The number of connections follows the load without oscillating.
 
 use crate::world::{Server, World, member, s};
 use lapisrudder_pool::{Deployment, MemberId, Micros, Settings};
 
-/// The target, once each 100 ms.
-fn targets(at_once: u32, most: f64, until: f64, rate: impl Fn(f64) -> f64 + 'static) -> Vec<(f64, u32)> {
+/// The target, sampled every 100 ms.
+fn targets(
+    pipeline_depth: u32,
+    most: f64,
+    until: f64,
+    rate: impl Fn(f64) -> f64 + 'static,
+) -> Vec<(f64, u32)> {
     let mut world =
         World::new(1, vec![Server::plain(10_000.0)], 1, &Settings::default(), &Deployment::default());
-    world.list_all(&member(at_once));
+    world.list_all(&member(pipeline_depth));
     world.load(0, Some(0), most, s(1e6), Box::new(move |now| rate(now as f64 / 1e6)));
     let mut all = Vec::new();
     for step in 1..=(until * 10.0) as i64 {
@@ -18,21 +23,21 @@
     all
 }
 
-/// The greatest and the least within a stretch.
+/// Lowest and highest target within a period.
 fn range(all: &[(f64, u32)], from: f64, until: f64) -> (u32, u32) {
     let within = all.iter().filter(|t| (from..until).contains(&t.0)).map(|t| t.1);
     (within.clone().min().unwrap(), within.max().unwrap())
 }
 
-/// Changes of direction.
-fn turns(all: &[(f64, u32)], from: f64, until: f64) -> usize {
+/// Number of changes of direction within a period.
+fn reversals(all: &[(f64, u32)], from: f64, until: f64) -> usize {
     let within: Vec<u32> = all.iter().filter(|t| (from..until).contains(&t.0)).map(|t| t.1).collect();
     let moves: Vec<bool> = within.windows(2).filter(|w| w[0] != w[1]).map(|w| w[0] < w[1]).collect();
     moves.windows(2).filter(|w| w[0] != w[1]).count()
 }
 
 #[test]
-fn a_step_is_followed_within_two_seconds_and_given_back_within_a_minute_and_a_half_without_swinging() {
+fn target_follows_a_load_step_without_oscillating() {
     // Load 1, then 10, then 1 again.
     let all = targets(32, 1000.0, 240.0, |t| if (60.0..120.0).contains(&t) { 1000.0 } else { 100.0 });
     let (low, high) = (range(&all, 30.0, 60.0), range(&all, 90.0, 120.0));
@@ -44,26 +49,26 @@
     let end = all.last().unwrap().1;
     let down = all.iter().rfind(|t| t.1 > end + 2).unwrap().0;
     assert!((125.0..210.0).contains(&down), "settles downwards at {down}");
-    assert!(turns(&all, 30.0, 240.0) <= 12, "{} turns in 210 s", turns(&all, 30.0, 240.0));
+    assert!(reversals(&all, 30.0, 240.0) <= 12, "{} turns in 210 s", reversals(&all, 30.0, 240.0));
 }
 
 #[test]
-fn a_ramp_is_met_before_it_is_over_and_bursts_do_not_move_the_number_with_each() {
+fn target_follows_a_ramp_and_holds_through_bursts() {
     let all = targets(32, 1000.0, 120.0, |t| 100.0 + 900.0 * ((t - 30.0) / 60.0).clamp(0.0, 1.0));
     let end = range(&all, 110.0, 120.0).0;
     let mid = all.iter().find(|t| t.0 >= 60.0).unwrap().1;
     assert!(f64::from(mid) > 0.4 * f64::from(end), "{mid} half way to {end}");
     let falls = all.windows(2).filter(|w| (30.0..90.0).contains(&w[0].0) && w[1].1 < w[0].1).count();
     assert!(falls <= 8, "{falls} steps back on a ramp");
-    // A burst of 0.3 s every 3 s: what it needs is kept from one to the next.
+    // A burst of 0.3 s every 3 s: the connections for it are kept until the next one.
     let all = targets(32, 2000.0, 120.0, |t| if t % 3.0 < 0.3 { 2000.0 } else { 100.0 });
     let (least, most) = range(&all, 60.0, 120.0);
     assert!(most <= 2 * least, "{least} to {most}");
-    assert!(turns(&all, 60.0, 120.0) <= 12, "{}", turns(&all, 60.0, 120.0));
+    assert!(reversals(&all, 60.0, 120.0) <= 12, "{}", reversals(&all, 60.0, 120.0));
 }
 
 #[test]
-fn a_member_that_gets_slow_is_not_sent_more_connections() {
+fn slow_member_gets_no_additional_connections() {
     let mut world =
         World::new(2, vec![Server::plain(5_000.0)], 1, &Settings::default(), &Deployment::default());
     world.list_all(&member(32));
@@ -73,36 +78,39 @@
     world.servers[0].as_plain().mean = 50_000.0;
     world.run(s(80.0));
     let during = world.held(0, 0).0;
-    // In the place of those that seem to stall, once.
+    // Each connection that seems to stall may be replaced once.
     assert!(during <= 2 * before, "{before} before, {during} while it takes ten times as long");
 }
 
-/// Head-of-line delay is what connections are for: with the target it is a small part of a flow's time.
+/// Further connections exist to avoid head-of-line delay: at the target, that delay must be a small part of a
+/// flow's duration.
 #[test]
-fn waiting_behind_others_stays_a_small_part_of_the_time() {
-    for (at_once, per_s, bound) in [(32, 50.0, 1.35), (32, 1000.0, 1.25), (1, 50.0, 1.35), (1, 1000.0, 1.25)]
+fn head_of_line_delay_stays_a_small_part_of_the_duration() {
+    for (pipeline_depth, per_s, bound) in
+        [(32, 50.0, 1.35), (32, 1000.0, 1.25), (1, 50.0, 1.35), (1, 1000.0, 1.25)]
     {
         let mut world =
             World::new(3, vec![Server::plain(10_000.0)], 1, &Settings::default(), &Deployment::default());
-        world.list_all(&member(at_once));
-        world.seen.latencies = Some(Vec::new());
+        world.list_all(&member(pipeline_depth));
+        world.stats.latencies = Some(Vec::new());
         world.steady(0, Some(0), per_s);
         world.run(s(60.0));
-        let all = world.seen.latencies.take().unwrap();
+        let all = world.stats.latencies.take().unwrap();
         let within: Vec<f64> = all.iter().filter(|l| l.0 > s(10.0)).map(|l| l.1 as f64).collect();
         let mean = within.iter().sum::<f64>() / within.len() as f64;
         let alone = 10_400.0;
-        assert!(mean < bound * alone, "{mean} at {per_s}/s, {at_once} at once");
+        assert!(mean < bound * alone, "{mean} at {per_s}/s, {pipeline_depth} at once");
         let opened = world.pool(0).totals().opened;
-        assert!(opened <= 60, "{opened} opened at {per_s}/s, {at_once} at once");
+        assert!(opened <= 60, "{opened} opened at {per_s}/s, {pipeline_depth} at once");
     }
 }
 
 #[test]
-fn prices_of_the_deployment_lower_what_is_held() {
+fn deployment_costs_lower_the_number_of_connections() {
     let held = |connection_price: f64, handshake_price: f64| {
-        let told = Deployment { connection_price, handshake_price, siblings: 3, ..Deployment::default() };
-        let mut world = World::new(4, vec![Server::plain(5_000.0)], 1, &Settings::default(), &told);
+        let deployment =
+            Deployment { connection_price, handshake_price, node_count: 3, ..Deployment::default() };
+        let mut world = World::new(4, vec![Server::plain(5_000.0)], 1, &Settings::default(), &deployment);
         world.list_all(&member(32));
         world.steady(0, Some(0), 100.0);
         world.run(s(30.0));
@@ -119,10 +127,15 @@
 }
 
 #[test]
-fn load_is_foreseen_where_a_member_drains_and_where_one_gets_warm() {
-    let told = Deployment::default();
-    let mut world =
-        World::new(5, (0..2).map(|_| Server::plain(10_000.0)).collect(), 1, &Settings::default(), &told);
+fn load_is_expected_when_a_peer_drains_or_a_member_warms_up() {
+    let deployment = Deployment::default();
+    let mut world = World::new(
+        5,
+        (0..2).map(|_| Server::plain(10_000.0)).collect(),
+        1,
+        &Settings::default(),
+        &deployment,
+    );
     world.list_all(&member(32));
     for server in 0..2 {
         world.steady(0, Some(server), 200.0);
@@ -131,17 +144,17 @@
     let before = world.held(0, 1).0;
     let draining = lapisrudder_pool::Member { draining: true, ..member(32) };
     let now = world.now;
-    world.pool(0).list(now, MemberId(0), &draining);
+    world.pool(0).update_member(now, MemberId(0), &draining);
     world.drive(0);
     world.run(now + s(0.3));
     let after = world.held(0, 1).0;
     assert!(after > before, "{before} before a peer drains, {after} just after");
     assert_eq!(world.held(0, 0).1, 0, "nothing comes up at one that drains");
-    // A third is cold until 90 s: no flows before, and connections are there when they come.
+    // A third member is cold until 90 s: it gets no flows before, but must have connections when they begin.
     world.servers.push(Server::plain(10_000.0));
     let cold = lapisrudder_pool::Member { warm_at: Some(s(90.0)), ..member(32) };
     let now: Micros = world.now;
-    world.pool(0).list(now, MemberId(2), &cold);
+    world.pool(0).update_member(now, MemberId(2), &cold);
     world.drive(0);
     world.run(s(80.0));
     assert_eq!(world.held(0, 2), (0, 0));
--- a/crates/pool/tests/pool/trouble.rs
+++ b/crates/pool/tests/pool/trouble.rs
@@ -1,24 +1,24 @@
-//! Members in trouble.
+//! Faults of members: pauses, crashes, network cuts, full connection tables.
 
 use crate::world::{Server, World, member, quantile, s};
 use lapisrudder_model::server::Fault;
-use lapisrudder_pool::{Deployment, Member, MemberId, Micros, Refusal, Settings};
+use lapisrudder_pool::{Deployment, Member, MemberId, Micros, RejectReason, Settings};
 
 fn plain(n: usize, mean: f64) -> Vec<Server> {
     (0..n).map(|_| Server::plain(mean)).collect()
 }
 
-fn world(seed: u64, servers: Vec<Server>, at_once: u32) -> World {
+fn world(seed: u64, servers: Vec<Server>, pipeline_depth: u32) -> World {
     let mut world = World::new(seed, servers, 1, &Settings::default(), &Deployment::default());
-    world.list_all(&member(at_once));
+    world.list_all(&member(pipeline_depth));
     world
 }
 
-/// 42% of servers stand still for 0.6 s, again and again.
+/// 42% of the servers stall for 0.6 s, repeatedly.
 #[test]
-fn a_pause_brings_neither_a_storm_of_connects_nor_a_queue_on_what_stalls() {
+fn server_pauses_cause_no_connect_storm_and_no_queue_on_stalled_connections() {
     let mut world = world(12, plain(12, 4_000.0), 32);
-    // Whoever waits for longer than 0.3 s asks elsewhere, as hosts do.
+    // Flows are abandoned after 0.3 s, as hosts do when they retry elsewhere.
     world.load(0, None, 1200.0, 300_000, Box::new(|_| 1200.0));
     world.run(s(30.0));
     let opened = world.pool(0).totals().opened;
@@ -34,35 +34,35 @@
         for i in 0..5 {
             let e =
                 world.nodes[0].pool.explain(world.now, MemberId(((i + pause as usize) % 12) as u64)).unwrap();
-            // What was out when it began, and one flow to see now and then.
+            // The flows in flight when the pause began, and an occasional probe.
             assert!(e.in_flight <= 45, "{e}");
-            assert!(e.up + e.coming <= 16, "{} connections", e.up + e.coming);
+            assert!(e.up + e.connecting <= 16, "{} connections", e.up + e.connecting);
         }
         world.run(at + s(2.0) - 1);
     }
     let more = world.pool(0).totals().opened - opened;
     assert!(more <= 400, "{more} opened over 50 pauses");
-    assert_eq!(world.seen.losses.get("under work"), None);
-    // When it is over, all is as before.
+    assert_eq!(world.stats.losses.get("under work"), None);
+    // Afterwards latency is normal again.
     world.run(s(60.0));
-    world.seen.latencies = Some(Vec::new());
+    world.stats.latencies = Some(Vec::new());
     world.run(s(70.0));
-    let all = world.seen.latencies.take().unwrap();
+    let all = world.stats.latencies.take().unwrap();
     assert!(quantile(&all, s(60.0), s(70.0), 0.99) < 30_000);
 }
 
 #[test]
-fn a_write_on_a_dead_connection_is_no_failure_of_its_member_and_a_crash_is() {
-    // Each connection is dead after 3 s idle; one flow every 5 s.
+fn idle_death_is_distinguished_from_a_crash() {
+    // Each connection is dead after 3 s of idle time; one flow every 5 s.
     let mut idle = world(13, plain(1, 4_000.0), 32);
     idle.expires = Some(Box::new(|_, since| since + s(3.0)));
     for i in 1..4 {
         idle.run(s(5.0 * f64::from(i)));
-        idle.begin(0, 0, s(1e6));
+        idle.start_flow(0, 0, s(1e6));
     }
     idle.run(s(30.0));
-    assert_eq!(idle.seen.losses.get("dead while idle"), Some(&1), "{:?}", idle.seen.losses);
-    assert_eq!((idle.seen.lost_idle, idle.seen.lost_at_work), (1, 0));
+    assert_eq!(idle.stats.losses.get("dead while idle"), Some(&1), "{:?}", idle.stats.losses);
+    assert_eq!((idle.stats.lost_idle, idle.stats.lost_at_work), (1, 0));
     // A crash under load.
     let mut crash = world(14, plain(1, 10_000.0), 32);
     crash.steady(0, Some(0), 500.0);
@@ -71,20 +71,20 @@
     crash.run(s(21.0));
     let e = crash.pool(0).explain(s(21.0), MemberId(0)).unwrap();
     assert_eq!(e.counts.resets, 1, "{e}");
-    assert_eq!(e.counts.dead, 0, "{e}");
+    assert_eq!(e.counts.found_dead, 0, "{e}");
     assert_eq!(e.idle_limit, s(15.0), "nothing is learnt of idle times from it: {e}");
-    assert!(e.up > 0 && crash.seen.losses["all at once"] > 0);
+    assert!(e.up > 0 && crash.stats.losses["all at once"] > 0);
 }
 
 #[test]
-fn after_a_silent_cut_connections_from_before_it_are_not_trusted_and_after_a_pause_they_are() {
+fn old_connections_are_closed_after_a_silent_cut_but_kept_after_a_pause() {
     let after = |cut: bool| {
         let mut world = world(15, plain(1, 4_000.0), 32);
         world.load(0, Some(0), 300.0, 400_000, Box::new(|_| 300.0));
         world.run(s(20.0));
         let before = world.held(0, 0).0;
         if cut {
-            // The machine is cut off; what was open then stays silent for ever.
+            // The server is cut off from the network; connections from before the cut stay silent for ever.
             let forgotten: Micros = s(20.0);
             world.expires = None;
             world.servers[0].as_plain().cut = true;
@@ -99,15 +99,15 @@
         world.run(s(22.0));
         let opened = world.pool(0).totals().opened;
         world.run(s(30.0));
-        let flows = (world.seen.answered, world.seen.lost_idle + world.seen.lost_at_work);
+        let flows = (world.stats.answered, world.stats.lost_idle + world.stats.lost_at_work);
         world.run(s(40.0));
-        let answered = world.seen.answered - flows.0;
+        let answered = world.stats.answered - flows.0;
         assert!(answered > 2_700, "served again: {answered} in 10 s");
         (
             before,
             world.held(0, 0).0,
             world.pool(0).totals().opened - opened,
-            world.seen.lost_idle + world.seen.lost_at_work,
+            world.stats.lost_idle + world.stats.lost_at_work,
         )
     };
     let (before, held, opened, lost) = after(true);
@@ -117,49 +117,53 @@
 }
 
 #[test]
-fn a_server_with_a_full_table_is_served_on_the_connections_that_there_are() {
+fn server_with_a_full_table_is_used_on_existing_connections() {
     let mut world = world(16, plain(1, 10_000.0), 32);
     world.servers[0].as_plain().table = 2;
     world.steady(0, Some(0), 400.0);
     world.run(s(60.0));
-    assert!(world.seen.refused.is_empty(), "{:?}", world.seen.refused);
-    assert!(world.seen.answered + 30 > world.seen.flows);
+    assert!(world.stats.refused.is_empty(), "{:?}", world.stats.refused);
+    assert!(world.stats.answered + 30 > world.stats.flows);
     let e = world.pool(0).explain(s(60.0), MemberId(0)).unwrap();
     assert!(e.ceiling.is_some_and(|most| most <= 3) && e.up == 2, "{e}");
     assert!(e.counts.refused <= 20, "{e}");
 }
 
 #[test]
-fn an_origin_that_takes_one_at_a_time_stands_beside_members_that_take_32() {
+fn origin_without_pipelining_works_beside_pipelining_members() {
     let mut world = World::new(17, plain(2, 20_000.0), 1, &Settings::default(), &Deployment::default());
-    world.pool(0).list(0, MemberId(0), &Member { kind: 1, ..member(1) });
-    world.pool(0).list(0, MemberId(1), &member(32));
+    world.pool(0).update_member(0, MemberId(0), &Member { kind: 1, ..member(1) });
+    world.pool(0).update_member(0, MemberId(1), &member(32));
     world.steady(0, Some(0), 200.0);
     world.steady(0, Some(1), 200.0);
     world.run(s(60.0));
     let of = |world: &mut World, i| world.pool(0).explain(s(60.0), MemberId(i)).unwrap();
     let (origin, cache) = (of(&mut world, 0), of(&mut world, 1));
-    assert_eq!(origin.counts.behind, 0, "{origin}");
+    assert_eq!(origin.counts.pipelined, 0, "{origin}");
     assert!(origin.up > cache.up && origin.counts.opened < 40, "{origin}\n{cache}");
-    assert!(world.seen.answered + 40 > world.seen.flows);
+    assert!(world.stats.answered + 40 > world.stats.flows);
 }
 
 #[test]
-fn connects_in_vain_hold_up_nobody() {
+fn failed_connects_reject_flows_at_once() {
     let mut world = world(18, plain(1, 4_000.0), 32);
     world.servers[0].as_plain().table = 0;
     world.steady(0, Some(0), 200.0);
     world.run(s(10.0));
-    assert_eq!(world.seen.answered, 0);
-    let down = world.seen.refused["down"];
-    assert!(down + 3 >= world.seen.flows, "told at once: {down} of {}", world.seen.flows);
-    assert!(world.seen.opens.len() < 80, "{} connects in 10 s", world.seen.opens.len());
-    let why = world.nodes[0].pool.flow(s(10.0), MemberId(9), lapisrudder_pool::Care::Once);
-    assert_eq!(why, lapisrudder_pool::Choice::Refuse(Refusal::Closed), "one that nobody listed");
+    assert_eq!(world.stats.answered, 0);
+    let down = world.stats.refused["down"];
+    assert!(down + 3 >= world.stats.flows, "told at once: {down} of {}", world.stats.flows);
+    assert!(world.stats.opens.len() < 80, "{} connects in 10 s", world.stats.opens.len());
+    let why = world.nodes[0].pool.assign_flow(s(10.0), MemberId(9), lapisrudder_pool::RetrySafety::Unsafe);
+    assert_eq!(
+        why,
+        lapisrudder_pool::Placement::Rejected(RejectReason::MemberClosed),
+        "one that nobody listed"
+    );
 }
 
 #[test]
-fn a_crash_of_a_model_server_and_its_return() {
+fn model_server_crash_and_restart() {
     let config = lapisrudder_model::server::CacheConfig::default();
     let mut world = world(19, vec![Server::model(&config, 1)], 32);
     world.load(0, Some(0), 300.0, 500_000, Box::new(|_| 300.0));
@@ -167,9 +171,9 @@
     world.fault(0, Fault::Kill { silent: false });
     world.run(s(25.0));
     let e = world.pool(0).explain(s(25.0), MemberId(0)).unwrap();
-    assert!(e.up == 0 && e.fails > 0, "{e}");
+    assert!(e.up == 0 && e.consecutive_failures > 0, "{e}");
     world.fault(0, Fault::Restart { uid: None });
     world.run(s(27.0));
     let e = world.pool(0).explain(s(27.0), MemberId(0)).unwrap();
-    assert!(e.up > 0 && e.fails == 0 && e.waiting == 0, "{e}");
+    assert!(e.up > 0 && e.consecutive_failures == 0 && e.waiting == 0, "{e}");
 }
--- a/crates/pool/tests/pool/world.rs
+++ b/crates/pool/tests/pool/world.rs
@@ -1,16 +1,17 @@
-//! The harness: nodes with a pool each, servers, and the way between them, on a virtual clock.
+//! Test harness: nodes with a pool each, servers, and the network between them, on a virtual clock.
 //!
-//! Servers are either the model's (machine, table, handshakes; `crates/model`) or plain: each request takes its own
-//! time whatever else goes on, answers of a connection in order. Between node and server there may be a middlebox that
-//! forgets idle connections and says nothing; what is written on one of those is answered by a reset.
+//! Servers are either simulated by `crates/model` (machine, connection table, handshakes) or plain: each
+//! request takes a random time of its own, independent of other load, and the answers on a connection come in
+//! order. A middlebox between node and server may silently drop idle connections; a write on one of those is
+//! answered by a reset.
 
 use lapisrudder_model::server::{
     Act, CacheConfig, CacheServer, CloseKind, ConnId as Wire, Event, Fault, Kind, Request,
 };
 use lapisrudder_model::value::{Key, RequestId, Uid};
 use lapisrudder_pool::{
-    Care, Choice, ConnId, Deployment, End, Loss, Member, MemberId, Micros, Order, Place, Pool, Refusal,
-    Settings, Ticket, Why,
+    CloseReason, ConnId, Deployment, End, FlowSeq, Loss, Member, MemberId, Micros, Order, Placement, Pool,
+    RejectReason, RetrySafety, Settings, Ticket,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -23,22 +24,22 @@
     (s * 1e6) as Micros
 }
 
-/// From when an idle connection of a server is dead, by the time since when it is idle.
+/// Time of death of an idle connection, given its server and the start of its idle time.
 pub type Expires = Box<dyn Fn(usize, Micros) -> Micros>;
-/// Flows a second by time.
+/// Flows per second at a given time.
 pub type Rate = Box<dyn Fn(Micros) -> f64>;
 type Script = Box<dyn FnOnce(&mut World)>;
 
-/// A server whose requests do not disturb each other.
+/// A server whose requests don't affect each other.
 pub struct Plain {
-    /// Mean time of a request, µs; exponential.
+    /// Mean duration of a request, µs; exponential.
     pub mean: f64,
-    /// Connections that it holds at most.
+    /// Maximum number of connections.
     pub table: usize,
     pub held: usize,
-    /// It stands still until then.
+    /// Stalled until this time.
     pub paused: Micros,
-    /// Says nothing: neither to connects nor to requests.
+    /// Cut off: answers neither connects nor requests.
     pub cut: bool,
 }
 
@@ -65,7 +66,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Ev {
+enum SimEvent {
     Arrive(usize),
     Tick(usize),
     ServerTick(usize),
@@ -82,9 +83,9 @@
 struct Link {
     server: usize,
     wire: u64,
-    flows: VecDeque<(u32, Place)>,
+    flows: VecDeque<(u32, FlowSeq)>,
     idle_since: Micros,
-    /// Answers of a plain server go out in order.
+    /// When the last answer on it is sent; keeps the answers of a plain server in order.
     last_answer: Micros,
     up: bool,
 }
@@ -94,7 +95,7 @@
     server: usize,
     began: Micros,
     put: Micros,
-    over: bool,
+    finished: bool,
     on: Option<ConnId>,
     ticket: Option<Ticket>,
 }
@@ -110,16 +111,16 @@
 
 struct Load {
     node: usize,
-    /// The server, or any.
+    /// The server; `None`: a random one for each flow.
     server: Option<usize>,
     rate: Rate,
     most: f64,
     deadline: Micros,
 }
 
-/// What happened.
+/// Results and counters.
 #[derive(Default)]
-pub struct Seen {
+pub struct Stats {
     pub flows: u64,
     pub answered: u64,
     /// Flows lost on connections that had died while idle.
@@ -129,76 +130,76 @@
     pub refused: FxHashMap<&'static str, u64>,
     pub refused_connects: u64,
     pub losses: FxHashMap<&'static str, u64>,
-    /// When each connect arrived, and at which server.
+    /// Time of arrival and server of each connect.
     pub opens: Vec<(Micros, usize)>,
-    /// When a connection was begun or ended, where the trace is kept.
+    /// Time and change of the number of connections; recorded only together with `trace`.
     pub held: Vec<(Micros, i64)>,
-    /// Put and end of each flow, and its server, if kept.
+    /// Assignment time, end and server of each flow; recorded if set.
     pub trace: Option<Vec<(Micros, Micros, usize)>>,
-    /// Latencies, if kept: when it began, and how long it took.
+    /// Start and latency of each flow; recorded if set.
     pub latencies: Option<Vec<(Micros, Micros)>>,
-    pub closed: FxHashMap<Why, u64>,
+    pub closed: FxHashMap<CloseReason, u64>,
 }
 
 pub struct World {
     pub now: Micros,
     pub nodes: Vec<Node>,
     pub servers: Vec<Server>,
-    pub seen: Seen,
-    /// One way.
-    pub way: Micros,
+    pub stats: Stats,
+    /// Network delay in one direction.
+    pub one_way_delay: Micros,
     pub expires: Option<Expires>,
     pub random: SmallRng,
-    /// Share of flows that must not be repeated.
-    pub once: f64,
-    queue: BinaryHeap<Reverse<(Micros, u64, Ev)>>,
+    /// Share of flows that are not safe to retry.
+    pub unsafe_share: f64,
+    queue: BinaryHeap<Reverse<(Micros, u64, SimEvent)>>,
     seq: u64,
     loads: Vec<Load>,
     scripts: Vec<Option<Script>>,
-    /// When each server is looked at next.
+    /// Next scheduled wake-up of each server.
     server_armed: Vec<Micros>,
-    /// Whose a connection is, by the server's name for it.
-    wires: FxHashMap<u64, (usize, ConnId)>,
+    /// Node and connection by the server's id of the connection.
+    connections: FxHashMap<u64, (usize, ConnId)>,
 }
 
-pub fn member(at_once: u32) -> Member {
-    Member { kind: 0, at_once, draining: false, warm_at: None }
+pub fn member(pipeline_depth: u32) -> Member {
+    Member { kind: 0, pipeline_depth, draining: false, warm_at: None }
 }
 
 impl World {
-    /// Servers and nodes; no node knows of any server yet.
+    /// Creates servers and nodes; the nodes don't know any server yet.
     pub fn new(
         seed: u64,
         servers: Vec<Server>,
         nodes: usize,
         settings: &Settings,
-        told: &Deployment,
+        deployment: &Deployment,
     ) -> World {
         let mut world = World {
             now: 0,
             nodes: Vec::new(),
             servers,
-            seen: Seen::default(),
-            way: 200,
+            stats: Stats::default(),
+            one_way_delay: 200,
             expires: None,
             random: SmallRng::seed_from_u64(seed),
-            once: 0.0,
+            unsafe_share: 0.0,
             queue: BinaryHeap::new(),
             seq: 0,
             loads: Vec::new(),
             scripts: Vec::new(),
             server_armed: Vec::new(),
-            wires: FxHashMap::default(),
+            connections: FxHashMap::default(),
         };
-        (0..nodes).for_each(|n| world.start(n, seed, settings, told));
+        (0..nodes).for_each(|n| world.start(n, seed, settings, deployment));
         world
     }
 
-    /// A node starts, or starts over.
-    pub fn start(&mut self, n: usize, seed: u64, settings: &Settings, told: &Deployment) {
+    /// Starts or restarts a node.
+    pub fn start(&mut self, n: usize, seed: u64, settings: &Settings, deployment: &Deployment) {
         let seed = seed.wrapping_mul(1009) + n as u64 + self.now as u64;
-        let mut pool = Pool::new(settings.clone(), told.clone(), seed, self.now).unwrap();
-        pool.room(self.now, 512);
+        let mut pool = Pool::new(settings.clone(), deployment.clone(), seed, self.now).unwrap();
+        pool.set_capacity(self.now, 512);
         let node = Node {
             pool,
             links: FxHashMap::default(),
@@ -208,11 +209,11 @@
             armed: Micros::MAX,
         };
         if n < self.nodes.len() {
-            // What the old one had is gone, and its servers are told.
+            // The connections of the previous process are closed.
             let old = std::mem::replace(&mut self.nodes[n], node);
             for link in old.links.into_values() {
-                self.wires.remove(&link.wire);
-                self.at(self.way, Ev::Hangup { server: link.server, wire: link.wire });
+                self.connections.remove(&link.wire);
+                self.schedule(self.one_way_delay, SimEvent::Hangup { server: link.server, wire: link.wire });
             }
         } else {
             self.nodes.push(node);
@@ -227,16 +228,16 @@
 
     pub fn list(&mut self, node: usize, info: &Member) {
         for server in 0..self.servers.len() {
-            self.nodes[node].pool.list(self.now, MemberId(server as u64), info);
+            self.nodes[node].pool.update_member(self.now, MemberId(server as u64), info);
         }
         self.drive(node);
     }
 
-    /// Flows of a node, to one server or any; `most` is the greatest that the rate ever is.
+    /// Adds load from a node to one server or to all; `most` is an upper bound of the rate.
     pub fn load(&mut self, node: usize, server: Option<usize>, most: f64, deadline: Micros, rate: Rate) {
         self.loads.push(Load { node, server, rate, most, deadline });
-        let gap = self.gap(most);
-        self.at(gap, Ev::Arrive(self.loads.len() - 1));
+        let gap = self.interarrival(most);
+        self.schedule(gap, SimEvent::Arrive(self.loads.len() - 1));
     }
 
     pub fn steady(&mut self, node: usize, server: Option<usize>, per_s: f64) {
@@ -245,14 +246,14 @@
 
     pub fn script(&mut self, at: Micros, script: impl FnOnce(&mut World) + 'static) {
         self.scripts.push(Some(Box::new(script)));
-        self.at(at - self.now, Ev::Script(self.scripts.len() - 1));
+        self.schedule(at - self.now, SimEvent::Script(self.scripts.len() - 1));
     }
 
     pub fn run(&mut self, until: Micros) {
         while let Some(Reverse((at, _, ev))) = self.queue.peek().copied().filter(|e| e.0.0 <= until) {
             self.queue.pop();
             self.now = at;
-            self.happens(ev);
+            self.handle_event(ev);
         }
         self.now = until;
     }
@@ -261,19 +262,20 @@
         &mut self.nodes[node].pool
     }
 
-    /// Connections up and coming of a node at a server.
+    /// Established connections and pending connects of a node to a server.
     pub fn held(&self, node: usize, server: usize) -> (u32, u32) {
         let e = self.nodes[node].pool.explain(self.now, MemberId(server as u64)).unwrap();
-        (e.up, e.coming)
+        (e.up, e.connecting)
     }
 
-    /// The reset of all connections of a server.
+    /// Resets all connections of a server.
     pub fn reset(&mut self, server: usize) {
-        let wires: Vec<(u64, (usize, ConnId))> = self.wires.iter().map(|(w, at)| (*w, *at)).collect();
-        for (wire, (node, conn)) in wires {
+        let connections: Vec<(u64, (usize, ConnId))> =
+            self.connections.iter().map(|(w, at)| (*w, *at)).collect();
+        for (wire, (node, conn)) in connections {
             if self.nodes[node].links.get(&conn).is_some_and(|l| l.server == server && l.up) {
-                self.wires.remove(&wire);
-                self.at(self.way, Ev::End { node, conn: conn.0, refused: false });
+                self.connections.remove(&wire);
+                self.schedule(self.one_way_delay, SimEvent::End { node, conn: conn.0, refused: false });
             }
         }
     }
@@ -284,55 +286,57 @@
         self.server_acts(server);
     }
 
-    fn gap(&mut self, per_s: f64) -> Micros {
+    fn interarrival(&mut self, per_s: f64) -> Micros {
         (-(1.0 - self.random.random::<f64>()).ln() / per_s * 1e6).min(1e15) as Micros
     }
 
-    fn at(&mut self, after: Micros, ev: Ev) {
+    fn schedule(&mut self, after: Micros, ev: SimEvent) {
         self.seq += 1;
         self.queue.push(Reverse((self.now + after, self.seq, ev)));
     }
 
-    fn happens(&mut self, ev: Ev) {
+    fn handle_event(&mut self, ev: SimEvent) {
         let now = self.now;
         match ev {
-            Ev::Arrive(load) => self.arrive(load),
-            Ev::Tick(n) => {
+            SimEvent::Arrive(load) => self.arrive(load),
+            SimEvent::Tick(n) => {
                 if self.nodes[n].armed == now {
                     self.nodes[n].armed = Micros::MAX;
                     self.drive(n);
                 }
             }
-            Ev::ServerTick(server) => {
+            SimEvent::ServerTick(server) => {
                 if self.server_armed[server] == now {
                     self.server_armed[server] = Micros::MAX;
                     self.server_acts(server);
                 }
             }
-            Ev::Script(i) => {
+            SimEvent::Script(i) => {
                 if let Some(script) = self.scripts[i].take() {
                     script(self);
                 }
             }
-            Ev::Connect { node, conn, wire } => self.connect_arrives(node, ConnId(conn), wire),
-            Ev::Request { node, conn, wire, flow } => self.request_arrives(node, ConnId(conn), wire, flow),
-            Ev::Hangup { server, wire } => match &mut self.servers[server] {
+            SimEvent::Connect { node, conn, wire } => self.connect_arrives(node, ConnId(conn), wire),
+            SimEvent::Request { node, conn, wire, flow } => {
+                self.request_arrives(node, ConnId(conn), wire, flow)
+            }
+            SimEvent::Hangup { server, wire } => match &mut self.servers[server] {
                 Server::Plain(p) => p.held = p.held.saturating_sub(1),
                 Server::Model(m) => {
                     m.handle(now, Event::Hangup(Wire(wire)));
                     self.server_acts(server);
                 }
             },
-            Ev::Up { node, conn } => {
+            SimEvent::Up { node, conn } => {
                 if let Some(link) = self.nodes[node].links.get_mut(&ConnId(conn)) {
                     (link.up, link.idle_since) = (true, now);
                     self.nodes[node].pool.connected(now, ConnId(conn));
                     self.drive(node);
                 }
             }
-            Ev::Answer { node, conn, flow } => self.answer(node, ConnId(conn), flow),
-            Ev::End { node, conn, refused } => self.end(node, ConnId(conn), refused),
-            Ev::Deadline { node, flow } => self.deadline(node, flow),
+            SimEvent::Answer { node, conn, flow } => self.answer(node, ConnId(conn), flow),
+            SimEvent::End { node, conn, refused } => self.end(node, ConnId(conn), refused),
+            SimEvent::Deadline { node, flow } => self.deadline(node, flow),
         }
     }
 
@@ -341,22 +345,26 @@
     fn arrive(&mut self, load: usize) {
         let now = self.now;
         let Load { node, server, most, deadline, .. } = self.loads[load];
-        let gap = self.gap(most);
-        self.at(gap, Ev::Arrive(load));
+        let gap = self.interarrival(most);
+        self.schedule(gap, SimEvent::Arrive(load));
         if self.random.random::<f64>() * most >= (self.loads[load].rate)(now) {
             return;
         }
         let server = server.unwrap_or_else(|| self.random.random_range(0..self.servers.len()));
-        self.begin(node, server, deadline);
+        self.start_flow(node, server, deadline);
     }
 
-    /// A flow begins.
-    pub fn begin(&mut self, node: usize, server: usize, deadline: Micros) {
+    /// Starts a flow.
+    pub fn start_flow(&mut self, node: usize, server: usize, deadline: Micros) {
         let now = self.now;
-        self.seen.flows += 1;
-        let care = if self.random.random::<f64>() < self.once { Care::Once } else { Care::MayRepeat };
+        self.stats.flows += 1;
+        let retry_safety = if self.random.random::<f64>() < self.unsafe_share {
+            RetrySafety::Unsafe
+        } else {
+            RetrySafety::Safe
+        };
         let n = &mut self.nodes[node];
-        let flow = Flow { server, began: now, put: now, over: false, on: None, ticket: None };
+        let flow = Flow { server, began: now, put: now, finished: false, on: None, ticket: None };
         let id = match n.free.pop().filter(|_| deadline >= s(1e6)) {
             Some(id) => {
                 n.flows[id as usize] = flow;
@@ -367,56 +375,56 @@
                 (n.flows.len() - 1) as u32
             }
         };
-        match n.pool.flow(now, MemberId(server as u64), care) {
-            Choice::On { conn, place } => self.put(node, id, conn, place),
-            Choice::Wait(ticket) => {
+        match n.pool.assign_flow(now, MemberId(server as u64), retry_safety) {
+            Placement::Assigned { conn, seq } => self.put(node, id, conn, seq),
+            Placement::Queued(ticket) => {
                 n.tickets.insert(ticket, id);
                 n.flows[id as usize].ticket = Some(ticket);
             }
-            Choice::Refuse(why) => self.refused(node, id, why),
+            Placement::Rejected(why) => self.refused(node, id, why),
         }
         if deadline < s(1e6) {
-            self.at(deadline, Ev::Deadline { node, flow: id });
+            self.schedule(deadline, SimEvent::Deadline { node, flow: id });
         }
         self.drive(node);
     }
 
-    fn refused(&mut self, node: usize, flow: u32, why: Refusal) {
+    fn refused(&mut self, node: usize, flow: u32, why: RejectReason) {
         let name = match why {
-            Refusal::Closed => "closed",
-            Refusal::Down => "down",
-            Refusal::NotYet(_) => "not yet",
-            Refusal::NoRoom => "no room",
-            Refusal::Silent => "silent",
+            RejectReason::MemberClosed => "closed",
+            RejectReason::Unreachable => "down",
+            RejectReason::ConnectDelayed(_) => "not yet",
+            RejectReason::PoolExhausted => "no room",
+            RejectReason::Unresponsive => "silent",
         };
-        *self.seen.refused.entry(name).or_default() += 1;
-        self.over(node, flow);
+        *self.stats.refused.entry(name).or_default() += 1;
+        self.finished(node, flow);
     }
 
-    fn over(&mut self, node: usize, flow: u32) {
+    fn finished(&mut self, node: usize, flow: u32) {
         let n = &mut self.nodes[node];
-        n.flows[flow as usize].over = true;
+        n.flows[flow as usize].finished = true;
         n.free.push(flow);
     }
 
-    fn put(&mut self, node: usize, flow: u32, conn: ConnId, place: Place) {
-        let (now, way) = (self.now, self.way);
+    fn put(&mut self, node: usize, flow: u32, conn: ConnId, seq: FlowSeq) {
+        let (now, one_way_delay) = (self.now, self.one_way_delay);
         let link = self.nodes[node].links.get_mut(&conn).expect("the pool names connections that there are");
         assert!(link.up, "a flow goes on a connection that is up");
         let (server, wire) = (link.server, link.wire);
         let idle = link.flows.is_empty().then_some(link.idle_since);
-        link.flows.push_back((flow, place));
+        link.flows.push_back((flow, seq));
         let f = &mut self.nodes[node].flows[flow as usize];
         assert_eq!(f.server, server, "a flow goes to its own server");
         (f.put, f.on, f.ticket) = (now, Some(conn), None);
         let dead = idle.is_some_and(|since| self.expires.as_ref().is_some_and(|e| now >= e(server, since)));
         if dead {
-            if self.wires.remove(&wire).is_some() {
-                self.at(way, Ev::Hangup { server, wire });
+            if self.connections.remove(&wire).is_some() {
+                self.schedule(one_way_delay, SimEvent::Hangup { server, wire });
             }
-            self.at(2 * way, Ev::End { node, conn: conn.0, refused: false });
+            self.schedule(2 * one_way_delay, SimEvent::End { node, conn: conn.0, refused: false });
         } else {
-            self.at(way, Ev::Request { node, conn: conn.0, wire, flow });
+            self.schedule(one_way_delay, SimEvent::Request { node, conn: conn.0, wire, flow });
         }
     }
 
@@ -429,15 +437,15 @@
             link.idle_since = now;
         }
         let f = self.nodes[node].flows[flow as usize];
-        if !f.over {
-            self.seen.answered += 1;
-            if let Some(trace) = &mut self.seen.trace {
+        if !f.finished {
+            self.stats.answered += 1;
+            if let Some(trace) = &mut self.stats.trace {
                 trace.push((f.put, now, f.server));
             }
-            if let Some(latencies) = &mut self.seen.latencies {
+            if let Some(latencies) = &mut self.stats.latencies {
                 latencies.push((f.began, now - f.began));
             }
-            self.over(node, flow);
+            self.finished(node, flow);
         }
         self.nodes[node].pool.answered(now, conn);
         self.drive(node);
@@ -447,18 +455,18 @@
         let now = self.now;
         let Some(link) = self.nodes[node].links.remove(&conn) else { return };
         self.count_held(-1);
-        self.wires.remove(&link.wire);
-        self.seen.refused_connects += u64::from(refused);
+        self.connections.remove(&link.wire);
+        self.stats.refused_connects += u64::from(refused);
         let end = if refused { End::Refused } else { End::ByPeer };
         let loss = self.nodes[node].pool.ended(now, conn, end, !link.flows.is_empty());
-        *self.seen.losses.entry(loss_name(loss)).or_default() += 1;
+        *self.stats.losses.entry(loss_name(loss)).or_default() += 1;
         for (flow, _) in link.flows {
-            if !self.nodes[node].flows[flow as usize].over {
+            if !self.nodes[node].flows[flow as usize].finished {
                 match loss {
-                    Loss::DeadWhileIdle => self.seen.lost_idle += 1,
-                    _ => self.seen.lost_at_work += 1,
+                    Loss::DeadWhileIdle => self.stats.lost_idle += 1,
+                    _ => self.stats.lost_at_work += 1,
                 }
-                self.over(node, flow);
+                self.finished(node, flow);
             }
         }
         self.drive(node);
@@ -468,34 +476,34 @@
         let now = self.now;
         let n = &mut self.nodes[node];
         let f = n.flows[flow as usize];
-        if f.over {
+        if f.finished {
             return;
         }
-        self.seen.late += 1;
+        self.stats.late += 1;
         if let Some(ticket) = f.ticket {
             n.tickets.remove(&ticket);
-            n.pool.withdrawn(now, MemberId(f.server as u64), ticket);
+            n.pool.wait_cancelled(now, MemberId(f.server as u64), ticket);
         } else if let Some(conn) = f.on
             && let Some(link) = n.links.get(&conn)
-            && let Some((_, place)) = link.flows.iter().find(|p| p.0 == flow)
+            && let Some((_, seq)) = link.flows.iter().find(|p| p.0 == flow)
         {
-            n.pool.abandoned(now, conn, *place);
+            n.pool.abandoned(now, conn, *seq);
         }
-        n.flows[flow as usize].over = true;
+        n.flows[flow as usize].finished = true;
         self.drive(node);
     }
 
     fn count_held(&mut self, by: i64) {
-        if self.seen.trace.is_some() {
-            self.seen.held.push((self.now, by));
+        if self.stats.trace.is_some() {
+            self.stats.held.push((self.now, by));
         }
     }
 
     // ---- Orders ---------------------------------------------------------------------------------------
 
-    /// Carries out what a pool orders.
+    /// Carries out the orders of a pool.
     pub fn drive(&mut self, node: usize) {
-        let (now, way) = (self.now, self.way);
+        let (now, one_way_delay) = (self.now, self.one_way_delay);
         while let Some(order) = self.nodes[node].pool.poll(now) {
             match order {
                 Order::Connect { conn, member } => {
@@ -512,54 +520,57 @@
                     };
                     self.nodes[node].links.insert(conn, link);
                     self.count_held(1);
-                    self.at(way, Ev::Connect { node, conn: conn.0, wire });
+                    self.schedule(one_way_delay, SimEvent::Connect { node, conn: conn.0, wire });
                 }
                 Order::Close { conn, why } => {
-                    *self.seen.closed.entry(why).or_default() += 1;
+                    *self.stats.closed.entry(why).or_default() += 1;
                     let link = self.nodes[node].links.remove(&conn);
                     self.count_held(-1);
                     if let Some(link) = link
-                        && self.wires.remove(&link.wire).is_some()
+                        && self.connections.remove(&link.wire).is_some()
                     {
-                        self.at(way, Ev::Hangup { server: link.server, wire: link.wire });
+                        self.schedule(
+                            one_way_delay,
+                            SimEvent::Hangup { server: link.server, wire: link.wire },
+                        );
                     }
                 }
-                Order::Take { ticket, conn, place } => {
+                Order::Assign { ticket, conn, seq } => {
                     let flow = self.nodes[node].tickets.remove(&ticket).expect("a flow that waits");
-                    self.put(node, flow, conn, place);
+                    self.put(node, flow, conn, seq);
                 }
-                Order::GiveUp { ticket, why } => {
+                Order::Reject { ticket, why } => {
                     let flow = self.nodes[node].tickets.remove(&ticket).expect("a flow that waits");
                     self.refused(node, flow, why);
                 }
             }
         }
         let n = &mut self.nodes[node];
-        if let Some(due) = n.pool.due().map(|d| d.max(now + 1)).filter(|d| *d < n.armed) {
+        if let Some(due) = n.pool.next_deadline().map(|d| d.max(now + 1)).filter(|d| *d < n.armed) {
             n.armed = due;
-            self.at(due - now, Ev::Tick(node));
+            self.schedule(due - now, SimEvent::Tick(node));
         }
     }
 
     // ---- Servers --------------------------------------------------------------------------------------
 
     fn connect_arrives(&mut self, node: usize, conn: ConnId, wire: u64) {
-        let (now, way) = (self.now, self.way);
+        let (now, one_way_delay) = (self.now, self.one_way_delay);
         let Some(link) = self.nodes[node].links.get(&conn).filter(|l| l.wire == wire) else { return };
         let server = link.server;
-        self.seen.opens.push((now, server));
+        self.stats.opens.push((now, server));
         match &mut self.servers[server] {
             Server::Plain(p) if p.cut => {}
             Server::Plain(p) if p.held >= p.table => {
-                self.at(way, Ev::End { node, conn: conn.0, refused: true })
+                self.schedule(one_way_delay, SimEvent::End { node, conn: conn.0, refused: true })
             }
             Server::Plain(p) => {
                 p.held += 1;
-                self.wires.insert(wire, (node, conn));
-                self.at(way, Ev::Up { node, conn: conn.0 });
+                self.connections.insert(wire, (node, conn));
+                self.schedule(one_way_delay, SimEvent::Up { node, conn: conn.0 });
             }
             Server::Model(m) => {
-                self.wires.insert(wire, (node, conn));
+                self.connections.insert(wire, (node, conn));
                 m.handle(now, Event::Connect(Wire(wire)));
                 self.server_acts(server);
             }
@@ -567,7 +578,7 @@
     }
 
     fn request_arrives(&mut self, node: usize, conn: ConnId, wire: u64, flow: u32) {
-        let (now, way) = (self.now, self.way);
+        let (now, one_way_delay) = (self.now, self.one_way_delay);
         let Some(link) = self.nodes[node].links.get_mut(&conn).filter(|l| l.wire == wire) else { return };
         let server = link.server;
         match &mut self.servers[server] {
@@ -576,8 +587,8 @@
                 let work = -(1.0 - self.random.random::<f64>()).ln() * p.mean;
                 let done = now.max(p.paused) + work as Micros;
                 link.last_answer = link.last_answer.max(done);
-                let after = link.last_answer - now + way;
-                self.at(after, Ev::Answer { node, conn: conn.0, flow });
+                let after = link.last_answer - now + one_way_delay;
+                self.schedule(after, SimEvent::Answer { node, conn: conn.0, flow });
             }
             Server::Model(m) => {
                 let request = Request {
@@ -597,9 +608,9 @@
         }
     }
 
-    /// Carries out what a model of a server does.
+    /// Carries out the actions of a simulated server.
     fn server_acts(&mut self, server: usize) {
-        let (now, way) = (self.now, self.way);
+        let (now, one_way_delay) = (self.now, self.one_way_delay);
         let Server::Model(model) = &mut self.servers[server] else { return };
         let mut acts = Vec::new();
         while let Some(order) = model.poll(now) {
@@ -609,24 +620,24 @@
         for act in acts {
             match act {
                 Act::Accepted(wire) => {
-                    if let Some((node, conn)) = self.wires.get(&wire.0).copied() {
-                        self.at(way, Ev::Up { node, conn: conn.0 });
+                    if let Some((node, conn)) = self.connections.get(&wire.0).copied() {
+                        self.schedule(one_way_delay, SimEvent::Up { node, conn: conn.0 });
                     }
                 }
                 Act::Refused(wire) => {
-                    if let Some((node, conn)) = self.wires.remove(&wire.0) {
-                        self.at(way, Ev::End { node, conn: conn.0, refused: true });
+                    if let Some((node, conn)) = self.connections.remove(&wire.0) {
+                        self.schedule(one_way_delay, SimEvent::End { node, conn: conn.0, refused: true });
                     }
                 }
                 Act::Answer(answered) => {
-                    if let Some((node, conn)) = self.wires.get(&answered.conn.0).copied() {
+                    if let Some((node, conn)) = self.connections.get(&answered.conn.0).copied() {
                         let flow = answered.request.0 as u32;
-                        self.at(way, Ev::Answer { node, conn: conn.0, flow });
+                        self.schedule(one_way_delay, SimEvent::Answer { node, conn: conn.0, flow });
                     }
                 }
                 Act::Close(wire, kind) if kind != CloseKind::Silent => {
-                    if let Some((node, conn)) = self.wires.remove(&wire.0) {
-                        self.at(way, Ev::End { node, conn: conn.0, refused: false });
+                    if let Some((node, conn)) = self.connections.remove(&wire.0) {
+                        self.schedule(one_way_delay, SimEvent::End { node, conn: conn.0, refused: false });
                     }
                 }
                 _ => {}
@@ -635,23 +646,23 @@
         self.server_armed.resize(self.servers.len(), Micros::MAX);
         if let Some(next) = next.map(|n| n.max(now + 1)).filter(|n| *n < self.server_armed[server]) {
             self.server_armed[server] = next;
-            self.at(next - now, Ev::ServerTick(server));
+            self.schedule(next - now, SimEvent::ServerTick(server));
         }
     }
 }
 
 fn loss_name(loss: Loss) -> &'static str {
     match loss {
-        Loss::NeverUp => "never up",
-        Loss::Idle => "idle",
+        Loss::ConnectFailed => "never up",
+        Loss::ClosedIdle => "idle",
         Loss::DeadWhileIdle => "dead while idle",
-        Loss::UnderWork => "under work",
-        Loss::AllAtOnce => "all at once",
+        Loss::InUse => "under work",
+        Loss::MassReset => "all at once",
         Loss::Closed => "closed",
     }
 }
 
-/// The latency that this share of flows stays under, of those that began within a time.
+/// Quantile `share` of the latencies of flows that began within a period.
 pub fn quantile(latencies: &[(Micros, Micros)], from: Micros, until: Micros, share: f64) -> Micros {
     let within = latencies.iter().filter(|l| (from..until).contains(&l.0));
     let mut all: Vec<Micros> = within.map(|l| l.1).collect();
@@ -659,7 +670,7 @@
     all.get(((all.len() as f64 * share) as usize).min(all.len().saturating_sub(1))).copied().unwrap_or(0)
 }
 
-/// Most opens at a server within any time of that length.
+/// Highest number of connects to a server within any period of the given length.
 pub fn most_within(opens: &[(Micros, usize)], server: usize, length: Micros) -> usize {
     let times: Vec<Micros> = opens.iter().filter(|o| o.1 == server).map(|o| o.0).collect();
     (0..times.len()).map(|i| times[i..].partition_point(|t| *t < times[i] + length)).max().unwrap_or(0)
