--- a/crates/pool/src/holding_cost.rs
+++ b/crates/pool/src/holding_cost.rs
@@ -121,7 +121,7 @@
         }
         assert!(
             (regression.cost() - PRIOR).abs() < 0.7 * PRIOR,
-            "the number held never changed: {}",
+            "the number of connections never changed: {}",
             regression.cost()
         );
         for bad in [f64::NAN, f64::INFINITY, 0.0, -1.0] {
--- a/crates/pool/src/idle_limit.rs
+++ b/crates/pool/src/idle_limit.rs
@@ -302,7 +302,7 @@
         let safe = table.safe().unwrap();
         assert!((14_000_000..20_000_000).contains(&safe), "{safe}");
         table.decay(36_000_000_000);
-        assert_eq!(table.safe(), None, "hours later nothing of it counts");
+        assert_eq!(table.safe(), None, "observations have decayed after ten hours");
     }
 
     #[test]
@@ -312,7 +312,7 @@
         (0..7).for_each(|_| assert!(!limit.on_alive(0, 9_000_000, &mut kind)));
         assert!(limit.on_alive(0, 9_000_000, &mut kind) && limit.limit() == 12_500_000);
         (0..100).for_each(|_| _ = limit.on_alive(0, 5_000_000, &mut kind));
-        assert_eq!(limit.limit(), 12_500_000, "ages far below prove nothing");
+        assert_eq!(limit.limit(), 12_500_000, "ages far below the limit are no evidence for it");
         limit.on_death(0, 12_000_000);
         kind.on_death(0, 1, 12_000_000);
         assert_eq!(limit.limit(), 6_000_000);
@@ -328,7 +328,7 @@
         for _ in 0..1000 {
             limit.on_alive(DECAY_TIME, limit.limit() - 1, &mut kind);
         }
-        assert_eq!(limit.limit(), 60_000_000, "what is long past counts no more");
+        assert_eq!(limit.limit(), 60_000_000, "a death stops counting after DECAY_TIME");
     }
 
     #[test]
--- a/crates/pool/src/pool/mod.rs
+++ b/crates/pool/src/pool/mod.rs
@@ -60,7 +60,7 @@
 /// State shared by members of one kind.
 #[derive(Debug)]
 struct Kind {
-    name: u32,
+    id: u32,
     idle_limit: KindIdleLimit,
     /// Additional time that the first answer on a connection takes, µs.
     first_answer_extra: f64,
@@ -277,9 +277,9 @@
     }
 
     fn add(&mut self, now: Micros, id: MemberId, info: &Member) {
-        let kind = self.kinds.iter().position(|k| k.name == info.kind).unwrap_or_else(|| {
+        let kind = self.kinds.iter().position(|k| k.id == info.kind).unwrap_or_else(|| {
             let idle_limit = KindIdleLimit::new(now);
-            self.kinds.push(Kind { name: info.kind, idle_limit, first_answer_extra: 0.0 });
+            self.kinds.push(Kind { id: info.kind, idle_limit, first_answer_extra: 0.0 });
             self.kinds.len() - 1
         });
         let most = self.max_idle();
--- a/crates/pool/src/pool/tick.rs
+++ b/crates/pool/src/pool/tick.rs
@@ -76,14 +76,14 @@
         if state.demand.time() > OVERLOAD_RATIO * state.demand.base_time() {
             need = need.min(state.recent_need.value().max(1));
         }
-        let held = state.recent_need.update(now, need, hold);
+        let recent = state.recent_need.update(now, need, hold);
         let mut reason = match () {
-            _ if held == 0 => TargetReason::LowLoad,
+            _ if recent == 0 => TargetReason::LowLoad,
             _ if expected >= rate => TargetReason::ExpectedLoad,
-            _ if held > need => TargetReason::RecentLoad,
+            _ if recent > need => TargetReason::RecentLoad,
             _ => TargetReason::Load,
         };
-        let mut target = held;
+        let mut target = recent;
         let mut bound = |most: u32, why| {
             if target > most {
                 (target, reason) = (most, why);
--- a/crates/pool/src/sliding_max.rs
+++ b/crates/pool/src/sliding_max.rs
@@ -49,7 +49,7 @@
         {
             assert_eq!(max.update(now, need, 100), expected, "at {now}");
         }
-        assert_eq!(max.update(1_000, 2, 100), 2, "what is long past counts no more");
+        assert_eq!(max.update(1_000, 2, 100), 2, "values before the period don't count");
     }
 
     #[test]
--- a/crates/pool/tests/pool/fleet.rs
+++ b/crates/pool/tests/pool/fleet.rs
@@ -1,6 +1,6 @@
 //! Many nodes without knowledge of each other.
 
-use crate::world::{Server, World, member, most_within, s};
+use crate::world::{Server, World, max_connects_within, member, s};
 use lapisrudder_model::server::{CacheConfig, Class, Connections, Dist, Machine};
 use lapisrudder_pool::{Deployment, MemberId, Settings};
 
@@ -45,10 +45,10 @@
             world.steady(n, Some(0), 200.0 / nodes as f64);
         }
         world.run(s(40.0));
-        let most = most_within(&world.stats.opens, 0, s(1.0));
-        assert!(most <= LIMIT, "{most} opens in a second by {nodes} nodes that are told {node_count}");
+        let most = max_connects_within(&world.stats.opens, 0, s(1.0));
+        assert!(most <= LIMIT, "{most} opens in a second by {nodes} nodes configured for {node_count}");
         // Every node gets a connection nevertheless.
-        let without = (0..nodes).filter(|n| world.held(*n, 0).0 == 0).count();
+        let without = (0..nodes).filter(|n| world.connections_to(*n, 0).0 == 0).count();
         assert_eq!(without, 0, "nodes without a connection after 30 s");
     }
 }
@@ -72,8 +72,11 @@
         world.stats.opens.clear();
         world.run(s(60.0));
         for server in 0..5 {
-            let most = most_within(&world.stats.opens, server, s(1.0));
-            assert!(most <= LIMIT, "{most} opens in a second at server {server}, told {node_count}");
+            let most = max_connects_within(&world.stats.opens, server, s(1.0));
+            assert!(
+                most <= LIMIT,
+                "{most} opens in a second at server {server}, configured for {node_count} nodes"
+            );
         }
     }
 }
@@ -90,8 +93,8 @@
     world.stats.opens.clear();
     world.reset(0);
     world.run(s(80.0));
-    let most = most_within(&world.stats.opens, 0, s(1.0));
-    assert!(most <= LIMIT, "{most} opens in a second after a reset of all");
+    let most = max_connects_within(&world.stats.opens, 0, s(1.0));
+    assert!(most <= LIMIT, "{most} opens in a second after a mass reset");
     // Down for 10 s: connects are refused and back off.
     world.servers[0].as_plain().table = 0;
     world.reset(0);
@@ -102,8 +105,8 @@
     world.servers[0].as_plain().table = usize::MAX;
     world.stats.opens.clear();
     world.run(s(110.0));
-    let most = most_within(&world.stats.opens, 0, s(1.0));
-    assert!(most <= LIMIT, "{most} opens in a second after it is back");
+    let most = max_connects_within(&world.stats.opens, 0, s(1.0));
+    assert!(most <= LIMIT, "{most} opens in a second after the server is back");
     for n in 0..nodes {
         let e = world.nodes[n].pool.explain(world.now, MemberId(0)).unwrap();
         assert!(e.up > 0, "{e}");
@@ -125,8 +128,8 @@
     let (refused, flows) = (world.stats.refused_connects, world.stats.flows);
     world.run(s(240.0));
     let refused = world.stats.refused_connects - refused;
-    assert!(refused < 300, "{refused} refused in 120 s by six nodes");
-    let held: Vec<u32> = (0..nodes).map(|n| world.held(n, 0).0).collect();
+    assert!(refused < 300, "{refused} connects of six nodes refused in 120 s");
+    let held: Vec<u32> = (0..nodes).map(|n| world.connections_to(n, 0).0).collect();
     assert!(held.iter().all(|h| (1..=8).contains(h)), "{held:?}");
     assert!(world.stats.refused.is_empty() && world.stats.flows > flows, "{:?}", world.stats.refused);
     assert!(
@@ -164,14 +167,14 @@
         let mut sum = 0;
         for step in 0..1000 {
             world.run(s(500.0) + step * 100_000);
-            sum += (0..nodes).map(|n| world.held(n, 0).0).sum::<u32>();
+            sum += (0..nodes).map(|n| world.connections_to(n, 0).0).sum::<u32>();
         }
         let all = (0..nodes).map(|n| world.nodes[n].pool.explain(world.now, MemberId(0)).unwrap().cost);
         (all.sum::<f64>() / nodes as f64, f64::from(sum) / 1000.0)
     };
     let (costly, free) = (held(0.6), held(0.0));
-    assert!(costly.0 > 1.8 * free.0, "{costly:?} where they cost, {free:?} where not");
-    assert!(costly.1 < 0.9 * free.1, "{costly:?} where they cost, {free:?} where not");
+    assert!(costly.0 > 1.8 * free.0, "{costly:?} with costly connections, {free:?} with free ones");
+    assert!(costly.1 < 0.9 * free.1, "{costly:?} with costly connections, {free:?} with free ones");
 }
 
 /// 1,000 members with little traffic each: the connections stay within the node's limit and no flow starves.
@@ -198,7 +201,7 @@
     // Lowering the limit closes idle connections at once.
     let now = world.now;
     world.pool(0).set_capacity(now, 64);
-    world.drive(0);
+    world.carry_out_orders(0);
     world.run(now + s(5.0));
     assert!(world.nodes[0].pool.open_connections() <= 64, "{}", world.nodes[0].pool.open_connections());
 }
--- a/crates/pool/tests/pool/idle.rs
+++ b/crates/pool/tests/pool/idle.rs
@@ -105,7 +105,7 @@
     world.run(until);
     let flows: Vec<(Micros, Micros)> = world.stats.trace.take().unwrap().iter().map(|t| (t.0, t.1)).collect();
     let (optimal_cost, optimal_opens, work) = optimal_cost(&flows, worth);
-    assert_eq!(world.stats.lost_at_work, 0, "all losses are told for what they are");
+    assert_eq!(world.stats.lost_in_use, 0, "every loss is classified as an idle death");
     Outcome {
         flows: world.stats.flows,
         lost_learning,
--- a/crates/pool/tests/pool/random.rs
+++ b/crates/pool/tests/pool/random.rs
@@ -108,16 +108,13 @@
         (!all.is_empty()).then(|| all[n % all.len()])
     }
 
-    fn put(&mut self, member: u64, conn: ConnId, seq: FlowSeq) {
-        let link = self.links.get_mut(&conn).expect("a connection that there is");
-        assert!(link.up && link.member == member, "it is up, and its member's");
+    fn assign(&mut self, member: u64, conn: ConnId, seq: FlowSeq) {
+        let link = self.links.get_mut(&conn).expect("an open connection");
+        assert!(link.up && link.member == member, "established, and to the right member");
         let free = link.flows.iter().all(|f| !f.1);
-        assert!(free || self.orders_delayed, "nothing goes behind an abandoned flow");
+        assert!(free || self.orders_delayed, "flow assigned behind an abandoned one");
         link.flows.push_back((seq, false));
-        assert!(
-            link.flows.len() <= info(member, false).pipeline_depth as usize,
-            "no more at once than may be"
-        );
+        assert!(link.flows.len() <= info(member, false).pipeline_depth as usize, "pipeline depth exceeded");
     }
 
     fn act(&mut self, step: &Step) {
@@ -127,7 +124,7 @@
             Step::Flow(m, once) => {
                 let retry_safety = if once { RetrySafety::Unsafe } else { RetrySafety::Safe };
                 match self.pool.assign_flow(now, MemberId(m), retry_safety) {
-                    Placement::Assigned { conn, seq } => self.put(m, conn, seq),
+                    Placement::Assigned { conn, seq } => self.assign(m, conn, seq),
                     Placement::Queued(ticket) => assert_eq!(self.waiting.insert(ticket, m), None),
                     Placement::Rejected(_) => {}
                 }
@@ -204,7 +201,7 @@
                     && let Some(seq) = self.pool.append_flow(now, conn)
                 {
                     let member = self.links[&conn].member;
-                    self.put(member, conn, seq);
+                    self.assign(member, conn, seq);
                 }
             }
             Step::Batch => {}
@@ -215,28 +212,31 @@
         let mut orders = 0;
         while let Some(order) = self.pool.poll(self.now) {
             orders += 1;
-            assert!(orders < 10_000, "orders without end");
+            assert!(orders < 10_000, "endless orders");
             match order {
                 Order::Connect { conn, member } => {
-                    assert!(self.listed.contains(&member.0), "no connect to one that drains or is gone");
-                    assert!(self.used.insert(conn), "names come once");
+                    assert!(self.listed.contains(&member.0), "connect to a draining or removed member");
+                    assert!(self.used.insert(conn), "connection id reused");
                     self.links.insert(conn, Link { member: member.0, ..Link::default() });
                     let all = self.links.len();
                     assert!(
                         all <= self.capacity || self.orders_delayed,
-                        "{all} connections where {} may be",
+                        "{all} connections exceed the limit of {}",
                         self.capacity
                     );
                     let same = self.links.values().filter(|l| l.member == member.0).count();
                     assert!(same <= PER_MEMBER as usize);
                 }
                 Order::Close { conn, .. } => {
-                    let link = self.links.remove(&conn).expect("a connection that there is");
-                    assert!(link.flows.iter().all(|f| f.1), "no flow that anybody waits for is cut off");
+                    let link = self.links.remove(&conn).expect("an open connection");
+                    assert!(
+                        link.flows.iter().all(|f| f.1),
+                        "close of a connection with a flow that is not abandoned"
+                    );
                 }
                 Order::Assign { ticket, conn, seq } => {
-                    let m = self.waiting.remove(&ticket).expect("a flow that waits");
-                    self.put(m, conn, seq);
+                    let m = self.waiting.remove(&ticket).expect("the order names a queued flow");
+                    self.assign(m, conn, seq);
                 }
                 Order::Reject { ticket, .. } => {
                     assert!(self.waiting.remove(&ticket).is_some());
@@ -264,7 +264,7 @@
             // An unresponsive member is probed by a single flow at a time.
             assert!(
                 e.waiting == 0 || e.idle == 0 || e.silent_for.is_some(),
-                "flows wait beside idle connections: {e}"
+                "flows are queued despite idle connections: {e}"
             );
         }
     }
@@ -312,6 +312,6 @@
             host.act(&Step::Answer(0));
             host.act(&Step::Wait(500));
         }
-        prop_assert!(host.waiting.is_empty(), "{} still wait", host.waiting.len());
+        prop_assert!(host.waiting.is_empty(), "{} flows are still queued", host.waiting.len());
     }
 }
--- a/crates/pool/tests/pool/targets.rs
+++ b/crates/pool/tests/pool/targets.rs
@@ -41,7 +41,7 @@
     // Load 1, then 10, then 1 again.
     let all = targets(32, 1000.0, 240.0, |t| if (60.0..120.0).contains(&t) { 1000.0 } else { 100.0 });
     let (low, high) = (range(&all, 30.0, 60.0), range(&all, 90.0, 120.0));
-    assert!(low.1 - low.0 <= 2 && high.1 - high.0 <= 3, "steady under steady load: {low:?} {high:?}");
+    assert!(low.1 - low.0 <= 2 && high.1 - high.0 <= 3, "target varies under steady load: {low:?} {high:?}");
     let up = all.iter().find(|t| t.0 > 60.0 && f64::from(t.1) >= 0.8 * f64::from(high.0)).unwrap().0;
     assert!(up < 62.5, "settles upwards at {up}");
     let over = range(&all, 60.0, 90.0).1;
@@ -49,7 +49,7 @@
     let end = all.last().unwrap().1;
     let down = all.iter().rfind(|t| t.1 > end + 2).unwrap().0;
     assert!((125.0..210.0).contains(&down), "settles downwards at {down}");
-    assert!(reversals(&all, 30.0, 240.0) <= 12, "{} turns in 210 s", reversals(&all, 30.0, 240.0));
+    assert!(reversals(&all, 30.0, 240.0) <= 12, "{} reversals in 210 s", reversals(&all, 30.0, 240.0));
 }
 
 #[test]
@@ -59,7 +59,7 @@
     let mid = all.iter().find(|t| t.0 >= 60.0).unwrap().1;
     assert!(f64::from(mid) > 0.4 * f64::from(end), "{mid} half way to {end}");
     let falls = all.windows(2).filter(|w| (30.0..90.0).contains(&w[0].0) && w[1].1 < w[0].1).count();
-    assert!(falls <= 8, "{falls} steps back on a ramp");
+    assert!(falls <= 8, "target fell {falls} times on a ramp");
     // A burst of 0.3 s every 3 s: the connections for it are kept until the next one.
     let all = targets(32, 2000.0, 120.0, |t| if t % 3.0 < 0.3 { 2000.0 } else { 100.0 });
     let (least, most) = range(&all, 60.0, 120.0);
@@ -74,12 +74,12 @@
     world.list_all(&member(32));
     world.steady(0, Some(0), 400.0);
     world.run(s(60.0));
-    let before = world.held(0, 0).0;
+    let before = world.connections_to(0, 0).0;
     world.servers[0].as_plain().mean = 50_000.0;
     world.run(s(80.0));
-    let during = world.held(0, 0).0;
+    let during = world.connections_to(0, 0).0;
     // Each connection that seems to stall may be replaced once.
-    assert!(during <= 2 * before, "{before} before, {during} while it takes ten times as long");
+    assert!(during <= 2 * before, "{before} before, {during} while the server is ten times slower");
 }
 
 /// Further connections exist to avoid head-of-line delay: at the target, that delay must be a small part of a
@@ -99,9 +99,9 @@
         let within: Vec<f64> = all.iter().filter(|l| l.0 > s(10.0)).map(|l| l.1 as f64).collect();
         let mean = within.iter().sum::<f64>() / within.len() as f64;
         let alone = 10_400.0;
-        assert!(mean < bound * alone, "{mean} at {per_s}/s, {pipeline_depth} at once");
+        assert!(mean < bound * alone, "{mean} at {per_s}/s, pipeline depth {pipeline_depth}");
         let opened = world.pool(0).totals().opened;
-        assert!(opened <= 60, "{opened} opened at {per_s}/s, {pipeline_depth} at once");
+        assert!(opened <= 60, "{opened} opened at {per_s}/s, pipeline depth {pipeline_depth}");
     }
 }
 
@@ -117,13 +117,13 @@
         let mut sum = 0.0;
         for step in 0..300 {
             world.run(s(30.0) + step * 100_000);
-            sum += f64::from(world.held(0, 0).0) / 300.0;
+            sum += f64::from(world.connections_to(0, 0).0) / 300.0;
         }
         sum
     };
     let free = held(0.0, 0.0);
     assert!(held(50.0, 1.0) < 0.7 * free, "{} against {free}", held(50.0, 1.0));
-    assert!(held(50.0, 0.0) < 1.0, "kept by nobody: {}", held(50.0, 0.0));
+    assert!(held(50.0, 0.0) < 1.0, "mean connections held: {}", held(50.0, 0.0));
 }
 
 #[test]
@@ -141,23 +141,23 @@
         world.steady(0, Some(server), 200.0);
     }
     world.run(s(60.0));
-    let before = world.held(0, 1).0;
+    let before = world.connections_to(0, 1).0;
     let draining = lapisrudder_pool::Member { draining: true, ..member(32) };
     let now = world.now;
     world.pool(0).update_member(now, MemberId(0), &draining);
-    world.drive(0);
+    world.carry_out_orders(0);
     world.run(now + s(0.3));
-    let after = world.held(0, 1).0;
+    let after = world.connections_to(0, 1).0;
     assert!(after > before, "{before} before a peer drains, {after} just after");
-    assert_eq!(world.held(0, 0).1, 0, "nothing comes up at one that drains");
+    assert_eq!(world.connections_to(0, 0).1, 0, "connecting to a draining member");
     // A third member is cold until 90 s: it gets no flows before, but must have connections when they begin.
     world.servers.push(Server::plain(10_000.0));
     let cold = lapisrudder_pool::Member { warm_at: Some(s(90.0)), ..member(32) };
     let now: Micros = world.now;
     world.pool(0).update_member(now, MemberId(2), &cold);
-    world.drive(0);
+    world.carry_out_orders(0);
     world.run(s(80.0));
-    assert_eq!(world.held(0, 2), (0, 0));
+    assert_eq!(world.connections_to(0, 2), (0, 0));
     world.run(s(89.9));
-    assert!(world.held(0, 2).0 >= 3, "{:?}", world.held(0, 2));
+    assert!(world.connections_to(0, 2).0 >= 3, "{:?}", world.connections_to(0, 2));
 }
--- a/crates/pool/tests/pool/trouble.rs
+++ b/crates/pool/tests/pool/trouble.rs
@@ -41,8 +41,8 @@
         world.run(at + s(2.0) - 1);
     }
     let more = world.pool(0).totals().opened - opened;
-    assert!(more <= 400, "{more} opened over 50 pauses");
-    assert_eq!(world.stats.losses.get("under work"), None);
+    assert!(more <= 400, "{more} connections opened over 50 pauses");
+    assert_eq!(world.stats.losses.get("in use"), None);
     // Afterwards latency is normal again.
     world.run(s(60.0));
     world.stats.latencies = Some(Vec::new());
@@ -62,7 +62,7 @@
     }
     idle.run(s(30.0));
     assert_eq!(idle.stats.losses.get("dead while idle"), Some(&1), "{:?}", idle.stats.losses);
-    assert_eq!((idle.stats.lost_idle, idle.stats.lost_at_work), (1, 0));
+    assert_eq!((idle.stats.lost_idle, idle.stats.lost_in_use), (1, 0));
     // A crash under load.
     let mut crash = world(14, plain(1, 10_000.0), 32);
     crash.steady(0, Some(0), 500.0);
@@ -72,8 +72,8 @@
     let e = crash.pool(0).explain(s(21.0), MemberId(0)).unwrap();
     assert_eq!(e.counts.resets, 1, "{e}");
     assert_eq!(e.counts.found_dead, 0, "{e}");
-    assert_eq!(e.idle_limit, s(15.0), "nothing is learnt of idle times from it: {e}");
-    assert!(e.up > 0 && crash.stats.losses["all at once"] > 0);
+    assert_eq!(e.idle_limit, s(15.0), "a crash does not change the idle limit: {e}");
+    assert!(e.up > 0 && crash.stats.losses["mass reset"] > 0);
 }
 
 #[test]
@@ -82,7 +82,7 @@
         let mut world = world(15, plain(1, 4_000.0), 32);
         world.load(0, Some(0), 300.0, 400_000, Box::new(|_| 300.0));
         world.run(s(20.0));
-        let before = world.held(0, 0).0;
+        let before = world.connections_to(0, 0).0;
         if cut {
             // The server is cut off from the network; connections from before the cut stay silent for ever.
             let forgotten: Micros = s(20.0);
@@ -99,15 +99,15 @@
         world.run(s(22.0));
         let opened = world.pool(0).totals().opened;
         world.run(s(30.0));
-        let flows = (world.stats.answered, world.stats.lost_idle + world.stats.lost_at_work);
+        let flows = (world.stats.answered, world.stats.lost_idle + world.stats.lost_in_use);
         world.run(s(40.0));
         let answered = world.stats.answered - flows.0;
-        assert!(answered > 2_700, "served again: {answered} in 10 s");
+        assert!(answered > 2_700, "only {answered} flows answered in 10 s");
         (
             before,
-            world.held(0, 0).0,
+            world.connections_to(0, 0).0,
             world.pool(0).totals().opened - opened,
-            world.stats.lost_idle + world.stats.lost_at_work,
+            world.stats.lost_idle + world.stats.lost_in_use,
         )
     };
     let (before, held, opened, lost) = after(true);
@@ -151,15 +151,11 @@
     world.steady(0, Some(0), 200.0);
     world.run(s(10.0));
     assert_eq!(world.stats.answered, 0);
-    let down = world.stats.refused["down"];
-    assert!(down + 3 >= world.stats.flows, "told at once: {down} of {}", world.stats.flows);
+    let down = world.stats.refused["unreachable"];
+    assert!(down + 3 >= world.stats.flows, "only {down} of {} flows rejected at once", world.stats.flows);
     assert!(world.stats.opens.len() < 80, "{} connects in 10 s", world.stats.opens.len());
     let why = world.nodes[0].pool.assign_flow(s(10.0), MemberId(9), lapisrudder_pool::RetrySafety::Unsafe);
-    assert_eq!(
-        why,
-        lapisrudder_pool::Placement::Rejected(RejectReason::MemberClosed),
-        "one that nobody listed"
-    );
+    assert_eq!(why, lapisrudder_pool::Placement::Rejected(RejectReason::MemberClosed), "unknown member");
 }
 
 #[test]
--- a/crates/pool/tests/pool/world.rs
+++ b/crates/pool/tests/pool/world.rs
@@ -31,7 +31,7 @@
 type Script = Box<dyn FnOnce(&mut World)>;
 
 /// A server whose requests don't affect each other.
-pub struct Plain {
+pub struct IndependentServer {
     /// Mean duration of a request, µs; exponential.
     pub mean: f64,
     /// Maximum number of connections.
@@ -44,20 +44,20 @@
 }
 
 pub enum Server {
-    Plain(Plain),
+    Plain(IndependentServer),
     Model(Box<CacheServer>),
 }
 
 impl Server {
     pub fn plain(mean: f64) -> Server {
-        Server::Plain(Plain { mean, table: usize::MAX, held: 0, paused: 0, cut: false })
+        Server::Plain(IndependentServer { mean, table: usize::MAX, held: 0, paused: 0, cut: false })
     }
 
     pub fn model(config: &CacheConfig, seed: u64) -> Server {
         Server::Model(Box::new(CacheServer::new(config, Uid(seed), seed, true, 0).unwrap()))
     }
 
-    pub fn as_plain(&mut self) -> &mut Plain {
+    pub fn as_plain(&mut self) -> &mut IndependentServer {
         match self {
             Server::Plain(plain) => plain,
             Server::Model(_) => panic!("not a plain server"),
@@ -93,8 +93,8 @@
 #[derive(Clone, Copy)]
 struct Flow {
     server: usize,
-    began: Micros,
-    put: Micros,
+    started: Micros,
+    assigned_at: Micros,
     finished: bool,
     on: Option<ConnId>,
     ticket: Option<Ticket>,
@@ -106,7 +106,7 @@
     flows: Vec<Flow>,
     free: Vec<u32>,
     tickets: FxHashMap<Ticket, u32>,
-    armed: Micros,
+    timer_at: Micros,
 }
 
 struct Load {
@@ -125,7 +125,7 @@
     pub answered: u64,
     /// Flows lost on connections that had died while idle.
     pub lost_idle: u64,
-    pub lost_at_work: u64,
+    pub lost_in_use: u64,
     pub late: u64,
     pub refused: FxHashMap<&'static str, u64>,
     pub refused_connects: u64,
@@ -157,7 +157,7 @@
     loads: Vec<Load>,
     scripts: Vec<Option<Script>>,
     /// Next scheduled wake-up of each server.
-    server_armed: Vec<Micros>,
+    server_timer_at: Vec<Micros>,
     /// Node and connection by the server's id of the connection.
     connections: FxHashMap<u64, (usize, ConnId)>,
 }
@@ -188,7 +188,7 @@
             seq: 0,
             loads: Vec::new(),
             scripts: Vec::new(),
-            server_armed: Vec::new(),
+            server_timer_at: Vec::new(),
             connections: FxHashMap::default(),
         };
         (0..nodes).for_each(|n| world.start(n, seed, settings, deployment));
@@ -206,7 +206,7 @@
             flows: Vec::new(),
             free: Vec::new(),
             tickets: FxHashMap::default(),
-            armed: Micros::MAX,
+            timer_at: Micros::MAX,
         };
         if n < self.nodes.len() {
             // The connections of the previous process are closed.
@@ -230,7 +230,7 @@
         for server in 0..self.servers.len() {
             self.nodes[node].pool.update_member(self.now, MemberId(server as u64), info);
         }
-        self.drive(node);
+        self.carry_out_orders(node);
     }
 
     /// Adds load from a node to one server or to all; `most` is an upper bound of the rate.
@@ -250,10 +250,10 @@
     }
 
     pub fn run(&mut self, until: Micros) {
-        while let Some(Reverse((at, _, ev))) = self.queue.peek().copied().filter(|e| e.0.0 <= until) {
+        while let Some(Reverse((at, _, event))) = self.queue.peek().copied().filter(|e| e.0.0 <= until) {
             self.queue.pop();
             self.now = at;
-            self.handle_event(ev);
+            self.handle_event(event);
         }
         self.now = until;
     }
@@ -263,7 +263,7 @@
     }
 
     /// Established connections and pending connects of a node to a server.
-    pub fn held(&self, node: usize, server: usize) -> (u32, u32) {
+    pub fn connections_to(&self, node: usize, server: usize) -> (u32, u32) {
         let e = self.nodes[node].pool.explain(self.now, MemberId(server as u64)).unwrap();
         (e.up, e.connecting)
     }
@@ -281,7 +281,7 @@
     }
 
     pub fn fault(&mut self, server: usize, fault: Fault) {
-        let Server::Model(model) = &mut self.servers[server] else { panic!("not a model") };
+        let Server::Model(model) = &mut self.servers[server] else { panic!("not a simulated server") };
         model.handle(self.now, Event::Fault(fault));
         self.server_acts(server);
     }
@@ -290,24 +290,24 @@
         (-(1.0 - self.random.random::<f64>()).ln() / per_s * 1e6).min(1e15) as Micros
     }
 
-    fn schedule(&mut self, after: Micros, ev: SimEvent) {
+    fn schedule(&mut self, after: Micros, event: SimEvent) {
         self.seq += 1;
-        self.queue.push(Reverse((self.now + after, self.seq, ev)));
+        self.queue.push(Reverse((self.now + after, self.seq, event)));
     }
 
-    fn handle_event(&mut self, ev: SimEvent) {
+    fn handle_event(&mut self, event: SimEvent) {
         let now = self.now;
-        match ev {
+        match event {
             SimEvent::Arrive(load) => self.arrive(load),
             SimEvent::Tick(n) => {
-                if self.nodes[n].armed == now {
-                    self.nodes[n].armed = Micros::MAX;
-                    self.drive(n);
+                if self.nodes[n].timer_at == now {
+                    self.nodes[n].timer_at = Micros::MAX;
+                    self.carry_out_orders(n);
                 }
             }
             SimEvent::ServerTick(server) => {
-                if self.server_armed[server] == now {
-                    self.server_armed[server] = Micros::MAX;
+                if self.server_timer_at[server] == now {
+                    self.server_timer_at[server] = Micros::MAX;
                     self.server_acts(server);
                 }
             }
@@ -331,7 +331,7 @@
                 if let Some(link) = self.nodes[node].links.get_mut(&ConnId(conn)) {
                     (link.up, link.idle_since) = (true, now);
                     self.nodes[node].pool.connected(now, ConnId(conn));
-                    self.drive(node);
+                    self.carry_out_orders(node);
                 }
             }
             SimEvent::Answer { node, conn, flow } => self.answer(node, ConnId(conn), flow),
@@ -364,7 +364,7 @@
             RetrySafety::Safe
         };
         let n = &mut self.nodes[node];
-        let flow = Flow { server, began: now, put: now, finished: false, on: None, ticket: None };
+        let flow = Flow { server, started: now, assigned_at: now, finished: false, on: None, ticket: None };
         let id = match n.free.pop().filter(|_| deadline >= s(1e6)) {
             Some(id) => {
                 n.flows[id as usize] = flow;
@@ -376,7 +376,7 @@
             }
         };
         match n.pool.assign_flow(now, MemberId(server as u64), retry_safety) {
-            Placement::Assigned { conn, seq } => self.put(node, id, conn, seq),
+            Placement::Assigned { conn, seq } => self.assign(node, id, conn, seq),
             Placement::Queued(ticket) => {
                 n.tickets.insert(ticket, id);
                 n.flows[id as usize].ticket = Some(ticket);
@@ -386,16 +386,16 @@
         if deadline < s(1e6) {
             self.schedule(deadline, SimEvent::Deadline { node, flow: id });
         }
-        self.drive(node);
+        self.carry_out_orders(node);
     }
 
     fn refused(&mut self, node: usize, flow: u32, why: RejectReason) {
         let name = match why {
-            RejectReason::MemberClosed => "closed",
-            RejectReason::Unreachable => "down",
-            RejectReason::ConnectDelayed(_) => "not yet",
-            RejectReason::PoolExhausted => "no room",
-            RejectReason::Unresponsive => "silent",
+            RejectReason::MemberClosed => "member closed",
+            RejectReason::Unreachable => "unreachable",
+            RejectReason::ConnectDelayed(_) => "connect delayed",
+            RejectReason::PoolExhausted => "pool exhausted",
+            RejectReason::Unresponsive => "unresponsive",
         };
         *self.stats.refused.entry(name).or_default() += 1;
         self.finished(node, flow);
@@ -407,16 +407,16 @@
         n.free.push(flow);
     }
 
-    fn put(&mut self, node: usize, flow: u32, conn: ConnId, seq: FlowSeq) {
+    fn assign(&mut self, node: usize, flow: u32, conn: ConnId, seq: FlowSeq) {
         let (now, one_way_delay) = (self.now, self.one_way_delay);
-        let link = self.nodes[node].links.get_mut(&conn).expect("the pool names connections that there are");
-        assert!(link.up, "a flow goes on a connection that is up");
+        let link = self.nodes[node].links.get_mut(&conn).expect("the pool returns ids of open connections");
+        assert!(link.up, "flow assigned to a connection that is not established");
         let (server, wire) = (link.server, link.wire);
         let idle = link.flows.is_empty().then_some(link.idle_since);
         link.flows.push_back((flow, seq));
         let f = &mut self.nodes[node].flows[flow as usize];
-        assert_eq!(f.server, server, "a flow goes to its own server");
-        (f.put, f.on, f.ticket) = (now, Some(conn), None);
+        assert_eq!(f.server, server, "flow assigned to a connection of another server");
+        (f.assigned_at, f.on, f.ticket) = (now, Some(conn), None);
         let dead = idle.is_some_and(|since| self.expires.as_ref().is_some_and(|e| now >= e(server, since)));
         if dead {
             if self.connections.remove(&wire).is_some() {
@@ -431,8 +431,8 @@
     fn answer(&mut self, node: usize, conn: ConnId, flow: u32) {
         let now = self.now;
         let Some(link) = self.nodes[node].links.get_mut(&conn) else { return };
-        let Some((first, _)) = link.flows.pop_front() else { panic!("an answer that nobody waits for") };
-        assert_eq!(first, flow, "answers come in order");
+        let Some((first, _)) = link.flows.pop_front() else { panic!("answer without a pending flow") };
+        assert_eq!(first, flow, "answers out of order");
         if link.flows.is_empty() {
             link.idle_since = now;
         }
@@ -440,15 +440,15 @@
         if !f.finished {
             self.stats.answered += 1;
             if let Some(trace) = &mut self.stats.trace {
-                trace.push((f.put, now, f.server));
+                trace.push((f.assigned_at, now, f.server));
             }
             if let Some(latencies) = &mut self.stats.latencies {
-                latencies.push((f.began, now - f.began));
+                latencies.push((f.started, now - f.started));
             }
             self.finished(node, flow);
         }
         self.nodes[node].pool.answered(now, conn);
-        self.drive(node);
+        self.carry_out_orders(node);
     }
 
     fn end(&mut self, node: usize, conn: ConnId, refused: bool) {
@@ -464,12 +464,12 @@
             if !self.nodes[node].flows[flow as usize].finished {
                 match loss {
                     Loss::DeadWhileIdle => self.stats.lost_idle += 1,
-                    _ => self.stats.lost_at_work += 1,
+                    _ => self.stats.lost_in_use += 1,
                 }
                 self.finished(node, flow);
             }
         }
-        self.drive(node);
+        self.carry_out_orders(node);
     }
 
     fn deadline(&mut self, node: usize, flow: u32) {
@@ -490,7 +490,7 @@
             n.pool.abandoned(now, conn, *seq);
         }
         n.flows[flow as usize].finished = true;
-        self.drive(node);
+        self.carry_out_orders(node);
     }
 
     fn count_held(&mut self, by: i64) {
@@ -502,7 +502,7 @@
     // ---- Orders ---------------------------------------------------------------------------------------
 
     /// Carries out the orders of a pool.
-    pub fn drive(&mut self, node: usize) {
+    pub fn carry_out_orders(&mut self, node: usize) {
         let (now, one_way_delay) = (self.now, self.one_way_delay);
         while let Some(order) = self.nodes[node].pool.poll(now) {
             match order {
@@ -536,18 +536,20 @@
                     }
                 }
                 Order::Assign { ticket, conn, seq } => {
-                    let flow = self.nodes[node].tickets.remove(&ticket).expect("a flow that waits");
-                    self.put(node, flow, conn, seq);
+                    let flow =
+                        self.nodes[node].tickets.remove(&ticket).expect("the order names a queued flow");
+                    self.assign(node, flow, conn, seq);
                 }
                 Order::Reject { ticket, why } => {
-                    let flow = self.nodes[node].tickets.remove(&ticket).expect("a flow that waits");
+                    let flow =
+                        self.nodes[node].tickets.remove(&ticket).expect("the order names a queued flow");
                     self.refused(node, flow, why);
                 }
             }
         }
         let n = &mut self.nodes[node];
-        if let Some(due) = n.pool.next_deadline().map(|d| d.max(now + 1)).filter(|d| *d < n.armed) {
-            n.armed = due;
+        if let Some(due) = n.pool.next_deadline().map(|d| d.max(now + 1)).filter(|d| *d < n.timer_at) {
+            n.timer_at = due;
             self.schedule(due - now, SimEvent::Tick(node));
         }
     }
@@ -643,9 +645,9 @@
                 _ => {}
             }
         }
-        self.server_armed.resize(self.servers.len(), Micros::MAX);
-        if let Some(next) = next.map(|n| n.max(now + 1)).filter(|n| *n < self.server_armed[server]) {
-            self.server_armed[server] = next;
+        self.server_timer_at.resize(self.servers.len(), Micros::MAX);
+        if let Some(next) = next.map(|n| n.max(now + 1)).filter(|n| *n < self.server_timer_at[server]) {
+            self.server_timer_at[server] = next;
             self.schedule(next - now, SimEvent::ServerTick(server));
         }
     }
@@ -653,11 +655,11 @@
 
 fn loss_name(loss: Loss) -> &'static str {
     match loss {
-        Loss::ConnectFailed => "never up",
-        Loss::ClosedIdle => "idle",
+        Loss::ConnectFailed => "connect failed",
+        Loss::ClosedIdle => "closed idle",
         Loss::DeadWhileIdle => "dead while idle",
-        Loss::InUse => "under work",
-        Loss::MassReset => "all at once",
+        Loss::InUse => "in use",
+        Loss::MassReset => "mass reset",
         Loss::Closed => "closed",
     }
 }
@@ -671,7 +673,7 @@
 }
 
 /// Highest number of connects to a server within any period of the given length.
-pub fn most_within(opens: &[(Micros, usize)], server: usize, length: Micros) -> usize {
+pub fn max_connects_within(opens: &[(Micros, usize)], server: usize, length: Micros) -> usize {
     let times: Vec<Micros> = opens.iter().filter(|o| o.1 == server).map(|o| o.0).collect();
     (0..times.len()).map(|i| times[i..].partition_point(|t| *t < times[i] + length)).max().unwrap_or(0)
 }
