--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,9 +1,10 @@
-//! Connection pool for cache servers ("members"): decides how many connections a node holds to each member, when to
-//! open and close them, and which of them carries each flow (one attempt of a request).
+//! Connection pool for cache servers ("members"): decides how many connections a node holds to each member,
+//! when to open and close them, and which of them carries each flow (one attempt of a request).
 //!
-//! The crate does no I/O and reads no clock: the host reports events with their time and carries out the orders that
-//! it gets back. Times are [`Micros`] on the caller's monotonic clock. [`Pool`] is the only type that hosts call; the
-//! estimators that it uses each have a module. The design is described in `docs/design/pool.md`.
+//! The crate does no I/O and reads no clock: the host reports events with their time and carries out the
+//! orders that it gets back. Times are [`Micros`] on the caller's monotonic clock. [`Pool`] is the only type
+//! that hosts call; the estimators that it uses each have a module. The design is described in
+//! `docs/design/pool.md`.
 //!
 //! ```
 //! use lapisrudder_pool::{Deployment, Member, MemberId, Order, Placement, Pool, RetrySafety, Settings};
@@ -22,15 +23,17 @@
 //! pool.answered(4_800, conn);
 //!
 //! // The next flow reuses the idle connection.
-//! assert!(matches!(pool.assign_flow(5_000, id, RetrySafety::Safe), Placement::Assigned { conn: on, .. } if on == conn));
+//! let placement = pool.assign_flow(5_000, id, RetrySafety::Safe);
+//! assert!(matches!(placement, Placement::Assigned { conn: on, .. } if on == conn));
 //! println!("{}", pool.explain(5_000, id).unwrap());
 //! # Ok::<(), lapisrudder_pool::SettingsError>(())
 //! ```
 //!
 //! # Out of scope
 //!
-//! The choice of the server, retries and timeouts of requests are in `crates/decisions`; sockets, bytes and the flows
-//! themselves belong to the host. The pool never repeats a flow; it only classifies the loss of a connection.
+//! The choice of the server, retries and timeouts of requests are in `crates/decisions`; sockets, bytes and the
+//! flows themselves belong to the host. The pool never repeats a flow; it only classifies the loss of a
+//! connection.
 #![forbid(unsafe_code)]
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/pool/src/pool/ends.rs
+++ b/crates/pool/src/pool/ends.rs
@@ -203,15 +203,15 @@
         self.after_end(now, m);
     }
 
-    // ---- Unresponsive members ------------------------------------------------------------------------------------------
+    // ---- Unresponsive members --------------------------------------------------------------------------
 
     /// Detects stalled connections and an unresponsive member.
     pub(super) fn check_stalls(&mut self, now: Micros, m: u32) {
         let state = &mut self.members[m as usize];
-        let mark = state.stall_threshold(self.deployment.connect_timeout);
+        let threshold = state.stall_threshold(self.deployment.connect_timeout);
         while let Some(at) = state.progress.front() {
             let c = &mut self.conns[at as usize];
-            if now - c.progress < mark {
+            if now - c.progress < threshold {
                 break;
             }
             c.stalled = true;
@@ -222,7 +222,7 @@
         let stalls = state.blocked > 0;
         // Flows assigned to other connections meanwhile need time too. One stalled connection may have a slow
         // request; two of them, or one for twice the threshold, indicate the member.
-        let long = now - state.last_answer >= if state.blocked > 1 { mark } else { 2 * mark };
+        let long = now - state.last_answer >= if state.blocked > 1 { threshold } else { 2 * threshold };
         if state.silent_since.is_none() && stalls && long {
             state.silent_since = Some(state.last_answer);
             state.next_probe = now;
@@ -248,8 +248,8 @@
     /// newer ones and on no older one: it was cut off and has lost the state of the old ones.
     pub(super) fn close_half_open(&mut self, now: Micros, m: u32) {
         let state = &mut self.members[m as usize];
-        let Some((since, heard)) = state.older_unconfirmed else { return };
-        if now - heard < state.stall_threshold(self.deployment.connect_timeout) {
+        let Some((since, answered_at)) = state.older_unconfirmed else { return };
+        if now - answered_at < state.stall_threshold(self.deployment.connect_timeout) {
             return;
         }
         state.older_unconfirmed = None;
--- a/crates/pool/src/pool/explain.rs
+++ b/crates/pool/src/pool/explain.rs
@@ -94,9 +94,10 @@
         let Counts { found_dead, closed_by_peer, failed, resets, retired, max_up, .. } = self;
         write!(
             f,
-            "opened {opened} ({preconnected} pre-connected, {refused} failed), flows {flows} ({reused} on reused \
-             connections, {pipelined} pipelined, {rejected} rejected), found dead {found_dead}, closed by peer \
-             {closed_by_peer}, failed in use {failed}, mass resets {resets}, retired {retired}, max up {max_up}"
+            "opened {opened} ({preconnected} pre-connected, {refused} failed), flows {flows} ({reused} on \
+             reused connections, {pipelined} pipelined, {rejected} rejected), found dead {found_dead}, \
+             closed by peer {closed_by_peer}, failed in use {failed}, mass resets {resets}, retired \
+             {retired}, max up {max_up}"
         )
     }
 }
@@ -155,9 +156,9 @@
         let ms = |us: f64| us / 1e3;
         write!(
             f,
-            "member {}: target {} ({}): {:.1} flows/s of {:.2} ms, load {:.2}, peakedness {:.1}, cost per connection {:.4}; \
-             {} up ({} idle, {} blocked), {} coming, {} in flight, {} queued; connect {:.2} ms, first answer +{:.2} ms; idle up \
-             to {:.1} s",
+            "member {}: target {} ({}): {:.1} flows/s of {:.2} ms, load {:.2}, peakedness {:.1}, cost per \
+             connection {:.4}; {} up ({} idle, {} blocked), {} connecting, {} in flight, {} queued; connect \
+             {:.2} ms, first answer +{:.2} ms; idle up to {:.1} s",
             self.member.0,
             self.target,
             self.reason,
--- a/crates/pool/src/pool/flows.rs
+++ b/crates/pool/src/pool/flows.rs
@@ -108,14 +108,14 @@
                 kind.first_answer_extra += (state.first_answer_extra - kind.first_answer_extra) * 0.1;
             }
         }
-        let proven = std::mem::replace(&mut c.has_answered, true);
+        let had_answered = std::mem::replace(&mut c.has_answered, true);
         c.progress = now;
         c.stalled = false;
         let idle_age = c.idle_age.take();
         state.last_answer = now;
         state.update_blocked(c);
         if let Some(age) = idle_age
-            && (proven || age > 0)
+            && (had_answered || age > 0)
         {
             state.idle_limit.on_alive(now, age, &mut self.kinds[state.kind].idle_limit);
         }
@@ -165,19 +165,19 @@
                 return;
             }
         }
-        // It was assigned already, but the host has not received the order yet.
-        let of_it = |o: &Order| match o {
+        // An order for it is queued already, which the host has not received yet.
+        let for_ticket = |o: &Order| match o {
             Order::Assign { ticket: t, .. } | Order::Reject { ticket: t, .. } => *t == ticket,
             _ => false,
         };
         if let Some(Order::Assign { conn, seq, .. }) =
-            self.orders.iter().position(of_it).and_then(|i| self.orders.remove(i))
+            self.orders.iter().position(for_ticket).and_then(|i| self.orders.remove(i))
         {
             self.unassigned(now, conn, seq);
         }
     }
 
-    // ---- Selection -------------------------------------------------------------------------------------------
+    // ---- Selection -------------------------------------------------------------------------------------
 
     /// Selects a connection that a flow can use now.
     fn pick(&mut self, now: Micros, m: u32, retry_safety: RetrySafety) -> Option<u32> {
@@ -219,7 +219,7 @@
     /// Selects a busy connection to pipeline on, if that is expected to be faster than waiting for a new one.
     fn pick_busy(&mut self, now: Micros, m: u32) -> Option<u32> {
         let timeout = self.deployment.connect_timeout;
-        let taker = loop {
+        let candidate = loop {
             let state = &mut self.members[m as usize];
             let Some(head) = state.least_busy() else { break state.slow.front() };
             // Connections without progress for half the stall threshold are used only after all others.
@@ -229,9 +229,9 @@
             state.list_slow(&mut self.conns, head);
         }?;
         let state = &self.members[m as usize];
-        let ahead = self.conns[taker as usize].load();
+        let ahead = self.conns[candidate as usize].load();
         let cost = staffing::queueing_delay(ahead, state.demand.cv2()) * state.demand.time();
-        (cost <= self.wait_for_new(now, m)).then_some(taker)
+        (cost <= self.wait_for_new(now, m)).then_some(candidate)
     }
 
     /// Expected wait for a new connection, µs.
@@ -276,8 +276,8 @@
         FlowSeq(seq)
     }
 
-    /// Updates the lists of a connection after an answer (`got_on`) or the removal of a flow.
-    fn relist(&mut self, now: Micros, at: u32, got_on: bool) {
+    /// Updates the lists of a connection after an answer (`progressed`) or the removal of a flow.
+    fn relist(&mut self, now: Micros, at: u32, progressed: bool) {
         let c = &self.conns[at as usize];
         if c.state != State::Up {
             return;
@@ -290,7 +290,7 @@
             self.members[m].remove_from_progress(&mut self.conns, at);
             return self.on_idle(now, at);
         }
-        if got_on {
+        if progressed {
             self.members[m].remove_from_progress(&mut self.conns, at);
             self.conns[at as usize].in_progress_list = true;
             self.members[m].progress.push_back(&mut self.conns, at);
--- a/crates/pool/src/pool/tick.rs
+++ b/crates/pool/src/pool/tick.rs
@@ -19,8 +19,8 @@
 const WARM_AHEAD: Micros = 2_000_000;
 /// A member whose mean flow time exceeds its undisturbed time by this factor gets no additional connections.
 const OVERLOAD_RATIO: f64 = 2.0;
-/// While the sum of the targets exceeds this share of the node's connection limit, the price of a connection
-/// rises by `SCARCITY_STEP` with each update, from `MIN_SCARCITY_PRICE`.
+/// While the sum of the targets exceeds this share of the node's connection limit, the scarcity price
+/// of a connection is multiplied by `SCARCITY_STEP` with each update, from `MIN_SCARCITY_PRICE`.
 const SCARCITY_THRESHOLD: f64 = 0.9;
 const SCARCITY_STEP: f64 = 1.1;
 const MIN_SCARCITY_PRICE: f64 = 1e-3;
@@ -34,7 +34,7 @@
 }
 
 impl Pool {
-    // ---- Target size -----------------------------------------------------------------------------------------
+    // ---- Target size -----------------------------------------------------------------------------------
 
     /// Closes the arrival-counting windows that have ended, and updates the target if one has.
     pub(super) fn end_windows(&mut self, now: Micros, m: u32) {
@@ -125,8 +125,8 @@
         let rate = self.members[m as usize].demand.mean_rate().max(1e-3);
         // The deployment's prices are for a hundred connections to each member, and for opening one per
         // request.
-        let even: f64 = 100.0 * handshake_price / (connection_price * self.node_count() * rate);
-        limit.min((even.min(1e6) * 1e6) as Micros)
+        let break_even: f64 = 100.0 * handshake_price / (connection_price * self.node_count() * rate);
+        limit.min((break_even.min(1e6) * 1e6) as Micros)
     }
 
     /// Number of connections to open now.
@@ -196,7 +196,7 @@
         self.idle.back().filter(|c| self.conns[*c as usize].member != m)
     }
 
-    // ---- Opening ------------------------------------------------------------------------------------------
+    // ---- Opening ---------------------------------------------------------------------------------------
 
     /// Opens the missing connections as far as limits permit.
     pub(super) fn open_missing(&mut self, now: Micros, m: u32) {
@@ -240,15 +240,16 @@
     pub(super) fn open_for_starved(&mut self, now: Micros, except: u32) {
         while let Some((m, id)) = self.starved.pop_front() {
             let state = &self.members[m as usize];
-            let wants = state.id == id && !state.closed && !state.waiting.is_empty() && state.total() == 0;
-            if wants && m != except {
+            let is_starved =
+                state.id == id && !state.closed && !state.waiting.is_empty() && state.total() == 0;
+            if is_starved && m != except {
                 self.open_missing(now, m);
                 break;
             }
         }
     }
 
-    // ---- Closing ------------------------------------------------------------------------------------------
+    // ---- Closing ---------------------------------------------------------------------------------------
 
     /// When an idle connection is closed.
     pub(super) fn idle_deadline(&self, at: u32) -> Micros {
@@ -340,13 +341,13 @@
 
     /// Requeues flows assigned to a removed connection whose order the host has not received yet.
     fn requeue_undelivered(&mut self, now: Micros, at: u32, m: u32) {
-        let gone = |o: &Order| match o {
+        let orphaned_ticket = |o: &Order| match o {
             Order::Assign { ticket, conn, .. } if self.index_of(*conn).is_none() => {
                 (conn.0 & u64::from(u32::MAX) == u64::from(at)).then_some(*ticket)
             }
             _ => None,
         };
-        let mut tickets: Vec<_> = self.orders.iter().filter_map(gone).collect();
+        let mut tickets: Vec<_> = self.orders.iter().filter_map(orphaned_ticket).collect();
         if tickets.is_empty() {
             return;
         }
@@ -385,7 +386,7 @@
         }
     }
 
-    // ---- Periodic check -------------------------------------------------------------------------------------
+    // ---- Periodic check --------------------------------------------------------------------------------
 
     /// Periodic check of a member.
     pub(super) fn tick(&mut self, now: Micros, m: u32) {
@@ -408,14 +409,14 @@
         if state.closed {
             return;
         }
-        let moves = state.in_flight > 0
+        let active = state.in_flight > 0
             || state.demand.rate() > 1.0
             || self.missing_connections(now, m) > 0
             || state.limit_before_end.is_some()
             || state.older_unconfirmed.is_some();
         if !state.waiting.is_empty() {
             self.arm_member(now, m);
-        } else if moves {
+        } else if active {
             self.arm_member_at(m, now + TICK_ACTIVE);
         } else if state.total() > 0 || state.target > 0 || state.demand.rate() > 0.0 {
             self.arm_member_at(m, now + TICK_QUIET);
