--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -31,8 +31,8 @@
 //!
 //! # Out of scope
 //!
-//! The choice of the server, retries and timeouts of requests are in `crates/decisions`; sockets, bytes and the
-//! flows themselves belong to the host. The pool never repeats a flow; it only classifies the loss of a
+//! The choice of the server, retries and timeouts of requests are in `crates/decisions`; sockets, bytes and
+//! the flows themselves belong to the host. The pool never repeats a flow; it only classifies the loss of a
 //! connection.
 #![forbid(unsafe_code)]
 #![warn(missing_docs, unreachable_pub)]
