--- a/crates/pool/src/pool/mod.rs
+++ b/crates/pool/src/pool/mod.rs
@@ -206,7 +206,7 @@
         if !std::mem::replace(&mut m.closed, true) {
             self.close_member(now, at);
         }
-        self.forget_if_over(at);
+        self.drop_removed_member(at);
     }
 
     /// Announces a load of `per_s` flows per second at a member from now until `until`; connections are
@@ -360,7 +360,7 @@
         }
     }
 
-    fn forget_if_over(&mut self, at: u32) {
+    fn drop_removed_member(&mut self, at: u32) {
         let m = &self.members[at as usize];
         if m.removed && m.total() == 0 && self.by_id.get(&m.id) == Some(&at) {
             self.removed_counts.add(&m.counts);
--- a/crates/pool/src/pool/tick.rs
+++ b/crates/pool/src/pool/tick.rs
@@ -336,7 +336,7 @@
         self.connection_count -= 1;
         self.requeue_undelivered(now, at, m);
         self.arm_member(now, m);
-        self.forget_if_over(m);
+        self.drop_removed_member(m);
     }
 
     /// Requeues flows assigned to a removed connection whose order the host has not received yet.
