--- a/crates/lab/src/load/carrier.rs
+++ b/crates/lab/src/load/carrier.rs
@@ -6,7 +6,7 @@
 use crate::Micros;
 use crate::ledger::{ClientBook, ClientEvent};
 use lapisrudder_model::arrivals::Class;
-use lapisrudder_model::clients::{OutgoingRequest, ConnId, Event, NodeId, Reader};
+use lapisrudder_model::clients::{ConnId, Event, NodeId, OutgoingRequest, Reader};
 
 /// What all parts of the load's thread work on.
 pub(super) struct Cx {
--- a/crates/lab/src/load/net.rs
+++ b/crates/lab/src/load/net.rs
@@ -135,7 +135,8 @@
             noted.ready.push((conn, ready.readable || ready.error, ready.writable || ready.error));
             Ok(PostAction::Continue)
         };
-        let token = self.events.handle().insert_source(source, callback).map_err(|_| ConnectFailure::Other)?;
+        let token =
+            self.events.handle().insert_source(source, callback).map_err(|_| ConnectFailure::Other)?;
         wire.socket = Some((stream, token));
         Ok(())
     }
--- a/crates/lab/src/load/nodes.rs
+++ b/crates/lab/src/load/nodes.rs
@@ -6,7 +6,7 @@
 use crate::Micros;
 use crate::ledger::{Answer, ClientEvent, Closer, ConnNo, NodeNo, ReqId};
 use lapisrudder_model::arrivals::{Class, RequestId};
-use lapisrudder_model::clients::{self, OutgoingRequest, Event, Reader};
+use lapisrudder_model::clients::{self, Event, OutgoingRequest, Reader};
 use lapisrudder_model::mix::{keyed_rng, unit};
 use rustc_hash::FxHashMap;
 use std::cmp::Reverse;
--- a/crates/lab/src/load/plan.rs
+++ b/crates/lab/src/load/plan.rs
@@ -7,7 +7,7 @@
 use crate::{Micros, millis, seconds};
 use lapisrudder_model::arrivals::{self, Arrival, Arrivals, Digest, Population};
 use lapisrudder_model::clients::{
-    BadPlan, ClientsError, ClientsPlan, NodeSelection, FrontPlan, Habits, Health, Reader, Retry, ReusePolicy,
+    BadPlan, ClientsError, ClientsPlan, FrontPlan, Habits, Health, NodeSelection, Reader, Retry, ReusePolicy,
 };
 use lapisrudder_model::keys::{Drift, Keys};
 use lapisrudder_model::mix::Spread;
--- a/crates/lab/src/load/policy.rs
+++ b/crates/lab/src/load/policy.rs
@@ -14,7 +14,7 @@
 use crate::rivals::{Catalog, Chooser};
 use lapisrudder_codec::{http, memcache};
 use lapisrudder_model::arrivals::{Class, RequestId};
-use lapisrudder_model::clients::{self, OutgoingRequest, Event, Reader};
+use lapisrudder_model::clients::{self, Event, OutgoingRequest, Reader};
 use lapisrudder_model::mix::keyed_rng;
 use rand::RngCore;
 use rustc_hash::FxHashMap;
--- a/crates/lab/src/sim/catalog.rs
+++ b/crates/lab/src/sim/catalog.rs
@@ -11,7 +11,7 @@
 use lapisrudder_model::discovery::{
     Address as Site, Ask, CallId, Discovery, Event, Listing, Member, Order, State, View,
 };
-use lapisrudder_model::network::{Conn, Fault, FaultId, Host, Side, HostSet};
+use lapisrudder_model::network::{Conn, Fault, FaultId, Host, HostSet, Side};
 use lapisrudder_model::server::State as Running;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
--- a/crates/lab/src/sim/hands.rs
+++ b/crates/lab/src/sim/hands.rs
@@ -15,7 +15,7 @@
 use lapisrudder_model::discovery::{Event as Told, Outage, View};
 use lapisrudder_model::draw::stream;
 use lapisrudder_model::mix::{SplitMix, Spread, exponential, keyed_rng, unit};
-use lapisrudder_model::network::{Conn, Fault as Link, FaultId, Heal, Host, Side as End, HostSet};
+use lapisrudder_model::network::{Conn, Fault as Link, FaultId, Heal, Host, HostSet, Side as End};
 use lapisrudder_model::server::{Event as Happening, Fault, Noise, NoiseSet, State};
 use lapisrudder_model::value::Uid;
 use rand_distr::{Distribution, Exp};
@@ -207,7 +207,8 @@
                 let extra = millis(self.e.world.discovery.call_ms * (times - 1.0));
                 let slow = Link::Slow(Spread::Fixed(extra));
                 let ids = self.catalog.hosts.to_vec();
-                let ids = ids.into_iter().map(|h| self.cx.net.begin(HostSet::Host(h), HostSet::Any, false, slow));
+                let ids =
+                    ids.into_iter().map(|h| self.cx.net.begin(HostSet::Host(h), HostSet::Any, false, slow));
                 let ids = ids.collect();
                 self.hands.links.insert(of, ids);
             }
--- a/crates/lab/src/sim/people.rs
+++ b/crates/lab/src/sim/people.rs
@@ -10,7 +10,8 @@
 use bytes::Bytes;
 use lapisrudder_model::arrivals::RequestId;
 use lapisrudder_model::clients::{
-    self, OutgoingRequest, Clients, ClientsError, ConnId, End, Event, NodeId, ConnectFailure, Order, Pace, Reader, RequestRecord, Tally,
+    self, Clients, ClientsError, ConnId, ConnectFailure, End, Event, NodeId, Order, OutgoingRequest, Pace,
+    Reader, RequestRecord, Tally,
 };
 use lapisrudder_model::mix::{keyed_rng, unit};
 use lapisrudder_model::network::{Conn, Host, Side};
--- a/crates/lab/src/sim/world.rs
+++ b/crates/lab/src/sim/world.rs
@@ -21,9 +21,9 @@
 use lapisrudder_config::{Environment, Platform};
 use lapisrudder_model::clients::{NodeId, Tally};
 use lapisrudder_model::discovery::{Address as Site, Discovery, DiscoveryPlan, Event as Told};
-use lapisrudder_model::mix::{mix, keyed_rng};
+use lapisrudder_model::mix::{keyed_rng, mix};
 use lapisrudder_model::network::{
-    Delivery, Fault, FaultId, Host, LinksPlan, Network, NetworkPlan, Side, Split, HostSet,
+    Delivery, Fault, FaultId, Host, HostSet, LinksPlan, Network, NetworkPlan, Side, Split,
 };
 use lapisrudder_model::origin::Origin;
 use lapisrudder_model::server::{CacheServer, State};
--- a/crates/lab/src/stand/control.rs
+++ b/crates/lab/src/stand/control.rs
@@ -8,7 +8,7 @@
 use lapisrudder_model::clients::NodeId;
 use lapisrudder_model::discovery::{Address, Event, Member, Outage, State as Listing, View};
 use lapisrudder_model::network::{Fault as LinkFault, FaultId, Host, HostSet};
-use lapisrudder_model::server::{ServerStats, CloseKind, Event as Happening, Fault};
+use lapisrudder_model::server::{CloseKind, Event as Happening, Fault, ServerStats};
 use lapisrudder_model::value::{Key, Uid};
 use std::net::SocketAddr;
 use std::sync::mpsc;
--- a/crates/lab/src/stand/of_experiment.rs
+++ b/crates/lab/src/stand/of_experiment.rs
@@ -11,8 +11,9 @@
 use lapisrudder_model::mix::Spread as Law;
 use lapisrudder_model::network::Delay;
 use lapisrudder_model::server::{
-    Abandoned, CacheConfig, ConcurrencyPenalty, Class as Work, CloseKind, Connections, Dist, Eviction as Order, Machine,
-    OriginConfig, OverloadOutage, Pauses, Sizes, OverloadThreshold, WarmUp, Writes,
+    Abandoned, CacheConfig, Class as Work, CloseKind, ConcurrencyPenalty, Connections, Dist,
+    Eviction as Order, Machine, OriginConfig, OverloadOutage, OverloadThreshold, Pauses, Sizes, WarmUp,
+    Writes,
 };
 use rand_distr::{Distribution, LogNormal};
 
--- a/crates/lab/src/stand/server.rs
+++ b/crates/lab/src/stand/server.rs
@@ -12,7 +12,7 @@
 use lapisrudder_model::mix::SplitMix;
 use lapisrudder_model::origin::Origin;
 use lapisrudder_model::server::{
-    Abandoned, Begun, ServerStats, CacheServer, CloseKind, ConnId, Event, Kind, Order, Request, State,
+    Abandoned, Begun, CacheServer, CloseKind, ConnId, Event, Kind, Order, Request, ServerStats, State,
 };
 use lapisrudder_model::value::{Key, RequestId};
 use rustc_hash::FxHashSet;
--- a/crates/lab/tests/load/toy.rs
+++ b/crates/lab/tests/load/toy.rs
@@ -1,7 +1,7 @@
 //! A scripted node: what it does with each request is a function of the test's.
 
 use lapisrudder_codec::memcache::{Command, parse_command};
-use lapisrudder_model::value::{Key, ValueSpec, Maker, Receipt, RequestId, Uid, make};
+use lapisrudder_model::value::{Key, Maker, Receipt, RequestId, Uid, ValueSpec, make};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
--- a/crates/model/examples/world_speed.rs
+++ b/crates/model/examples/world_speed.rs
@@ -8,7 +8,7 @@
 
 use lapisrudder_model::arrivals::{Arrivals, Class, Load, OnOff, Population};
 use lapisrudder_model::clients::{
-    Clients, ClientsPlan, NodeSelection, Event, FrontPlan, Habits, NodeId, Order, Reply, Tally,
+    Clients, ClientsPlan, Event, FrontPlan, Habits, NodeId, NodeSelection, Order, Reply, Tally,
 };
 use lapisrudder_model::keys::Keys;
 use lapisrudder_model::mix::Spread;
@@ -16,8 +16,13 @@
 use lapisrudder_model::profile::Profile;
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let read =
-        Class { name: "read".into(), give_up: 2_500_000, latency_target: 750_000, worth: 5.0, ..Class::default() };
+    let read = Class {
+        name: "read".into(),
+        give_up: 2_500_000,
+        latency_target: 750_000,
+        worth: 5.0,
+        ..Class::default()
+    };
     let keys = Keys { population: 1_000_000, exponent: 0.9, ..Keys::default() };
     let even =
         Population { keys, sources: 10_000, rate: Profile::constant(50_000.0), ..Population::default() };
@@ -42,7 +47,12 @@
 }
 
 fn run_clients(load: Load) -> Result<Tally, Box<dyn Error>> {
-    let front = FrontPlan { zones: vec![0; 3], selection: NodeSelection::Any, health: None, linger: Spread::Fixed(0) };
+    let front = FrontPlan {
+        zones: vec![0; 3],
+        selection: NodeSelection::Any,
+        health: None,
+        linger: Spread::Fixed(0),
+    };
     let plan = ClientsPlan { load, habits: vec![Habits::default()], front, max_connections_per_node: None };
     let mut clients = Clients::new(plan, 1)?;
     (0..3).for_each(|node| clients.handle(0, Event::Probed(NodeId(node), true)));
--- a/crates/model/src/server/cache.rs
+++ b/crates/model/src/server/cache.rs
@@ -12,7 +12,7 @@
 use super::time::{Nanos, from_micros};
 use super::warm_up::{OfferedLoad, WarmUpState};
 use crate::Micros;
-use crate::value::{Key, MIN_SIZE, ValueSpec, Maker, Receipt, Uid};
+use crate::value::{Key, MIN_SIZE, Maker, Receipt, Uid, ValueSpec};
 
 /// A cache server.
 pub type CacheServer = Server<Cache>;
--- a/crates/model/src/server/message.rs
+++ b/crates/model/src/server/message.rs
@@ -1,7 +1,7 @@
 //! Events and orders of a server. They are typed: the codec parses and writes bytes.
 
 use crate::Micros;
-use crate::value::{IdempotencyKey, Key, ValueSpec, Maker, Receipt, RequestId, Uid};
+use crate::value::{IdempotencyKey, Key, Maker, Receipt, RequestId, Uid, ValueSpec};
 
 /// A connection, by the number that the driver gave it. Numbers are never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/model/tests/world.rs
+++ b/crates/model/tests/world.rs
@@ -6,8 +6,8 @@
 use lapisrudder_model::Micros;
 use lapisrudder_model::arrivals::{Class, Digest, Load, Population, RequestId};
 use lapisrudder_model::clients::{
-    Clients, ClientsPlan, ConnId, NodeSelection, End, Event, FrontPlan, Habits, Health, NodeId, ConnectFailure, Order, Reply,
-    RequestRecord, Tally,
+    Clients, ClientsPlan, ConnId, ConnectFailure, End, Event, FrontPlan, Habits, Health, NodeId,
+    NodeSelection, Order, Reply, RequestRecord, Tally,
 };
 use lapisrudder_model::mix::Spread;
 use lapisrudder_model::network::{
@@ -43,14 +43,20 @@
 }
 
 fn world(split: Split, seed: u64) -> World {
-    let class = Class { name: "read".into(), give_up: S, latency_target: S / 4, worth: 1.0, ..Class::default() };
+    let class =
+        Class { name: "read".into(), give_up: S, latency_target: S / 4, worth: 1.0, ..Class::default() };
     let population = Population { sources: 50, rate: Profile::constant(400.0), ..Population::default() };
     let delay = |base| Delay { base, jitter: Spread::Exponential(200.0) };
     let health = Some(Health { every: S / 2, notice: 3 * S / 2 });
     let plan = ClientsPlan {
         load: Load { span: 10 * S, classes: vec![class], populations: vec![population] },
         habits: vec![Habits { try_timeout_share: (0.3, 0.3), connect_timeout: S / 5, ..Habits::default() }],
-        front: FrontPlan { zones: vec![0, 0], selection: NodeSelection::Any, health, linger: Spread::Fixed(0) },
+        front: FrontPlan {
+            zones: vec![0, 0],
+            selection: NodeSelection::Any,
+            health,
+            linger: Spread::Fixed(0),
+        },
         max_connections_per_node: Some(100),
     };
     let links = LinksPlan { zones: vec![0; 3], near: delay(300), far: delay(2000), pairs: Vec::new() };
@@ -96,7 +102,9 @@
                 self.clients.handle(now, Event::Probed(node, up));
             }
             Order::Finished(story) => self.stories.push(*story),
-            Order::Late(..) | Order::Unsolicited(..) => panic!("{order:?}: no request shares a connection here"),
+            Order::Late(..) | Order::Unsolicited(..) => {
+                panic!("{order:?}: no request shares a connection here")
+            }
         }
     }
 
@@ -110,7 +118,9 @@
         };
         match delivery {
             Delivery::Opened(conn) => self.clients.handle(now, Event::Opened(self.names[&conn])),
-            Delivery::Refused(conn) => over(self, conn, |name| Event::OpenFailed(name, ConnectFailure::Refused)),
+            Delivery::Refused(conn) => {
+                over(self, conn, |name| Event::OpenFailed(name, ConnectFailure::Refused))
+            }
             Delivery::Data(conn, side, bytes) => {
                 let mut received = self.received.remove(&(conn, side)).unwrap_or_default();
                 received.extend_from_slice(&bytes);
@@ -216,8 +226,9 @@
 fn a_node_is_used_again_once_it_answers() {
     let (stories, ..) = world(Split::Whole, 5).run();
     let by = |node, from: Micros, to: Micros| {
-        let first =
-            |story: &&RequestRecord| (from..to).contains(&story.due) && story.tries[0].node == Some(NodeId(node));
+        let first = |story: &&RequestRecord| {
+            (from..to).contains(&story.due) && story.tries[0].node == Some(NodeId(node))
+        };
         stories.iter().filter(first).count()
     };
     assert!(by(0, 0, 2 * S) > 100 && by(0, 37 * S / 10, 4 * S) == 0 && by(0, 6 * S, 7 * S) > 100);
